--- a/internal/place/admit.go
+++ b/internal/place/admit.go
@@ -2,151 +2,154 @@
 
 import "time"
 
-// Verdict is what becomes of a request that has a choice.
+// Verdict is the outcome of an admission decision.
 type Verdict int
 
-// The verdicts.
+// The possible verdicts.
 const (
-	// Send: the request is sent.
+	// Send means that the request is sent to the chosen target.
 	Send Verdict = iota + 1
-	// Defer: its answer would be late, and it would make others late; it waits at
-	// this VM until an engine is nearly idle.
+	// Defer means that the request waits at this VM until an engine is nearly idle: its answer
+	// would be late, and it would delay others.
 	Defer
-	// Refuse: it could not be served in time at all.
+	// Refuse means that the request could not be served in time at all.
 	Refuse
 )
 
-// Reason says what keeps a request from being sent.
+// Reason states why a request was deferred or refused.
 type Reason string
 
-// The reasons.
+// The possible reasons.
 const (
-	// TooLongToRead: its own reading takes longer than its caller waits.
+	// TooLongToRead: prefilling the prompt alone takes longer than the caller waits.
 	TooLongToRead Reason = "too_long_to_read"
-	// BehindPrompts: the prompts that the targets have in hand take too long.
+	// BehindPrompts: the prompts that the targets still have to prefill take too long.
 	BehindPrompts Reason = "behind_prompts"
-	// NoSeat: the batches that it could join are full, and that takes longer than the prompts.
+	// NoSeat: the batches that the request could join are full, and the wait for a seat is longer
+	// than the one for pending prompts.
 	NoSeat Reason = "no_seat"
-	// NotItsTurn: what waits on all VMs fills the room that the targets have.
+	// NotItsTurn: the requests that are deferred on all VMs need the capacity that is free.
 	NotItsTurn Reason = "not_its_turn"
-	// QueueFull: those deferred before take all the time that it has.
+	// QueueFull: the requests deferred earlier take up the time that this one has left.
 	QueueFull Reason = "queue_full"
 )
 
-// Ruling is a verdict on a request and, unless it is sent, the reason.
+// Ruling is a verdict and, unless the request is sent, the reason for it.
 type Ruling struct {
 	Verdict Verdict
 	Reason  Reason
 }
 
 const (
-	// onTimeShare is the part of the objective by which an answer is to begin; the rest
-	// is for what the reckoning misses.
+	// onTimeShare is the part of the objective within which an answer is planned to begin. The rest
+	// allows for errors of the estimate.
 	onTimeShare = 0.9
-	// ownShare is the part of the objective up to which a prompt's own reading counts. A
-	// longer one is late by itself and would else be refused whenever engines are busy.
-	ownShare = 0.4
-	// idleShare is the part of the objective that prompts ahead may take at an
-	// engine for a request to go that is late anyway: others come on time behind it.
+	// maxOwnShare is the part of the objective up to which the prefill of the request itself
+	// counts. A longer prefill is late in any case, and the request would be refused whenever
+	// engines are busy.
+	maxOwnShare = 0.4
+	// idleShare is the part of the objective that pending prompts at an engine may take for a
+	// request to be sent although it is late already. Requests that arrive later are still on time
+	// behind it.
 	idleShare = 0.3
-	// deferredShare is the part of what is left of a request's time that those deferred
-	// before it may take all engines together: a part of them only is free.
-	deferredShare = 0.25
-	// spareShare is how much longer than reckoned reading a prompt may take.
-	spareShare = 1.25
-	// deferShare is the part of the time to a first event for which a request is
-	// deferred at most; then its caller is told to come back, and has as much time again.
+	// queuedShare is the part of a request's remaining time that the requests deferred earlier may
+	// take all engines together. It is small because only a part of the engines is free for them.
+	queuedShare = 0.25
+	// prefillMargin is the factor by which a prefill may take longer than estimated.
+	prefillMargin = 1.25
+	// deferShare is the part of the time to the first event for which a request is deferred at
+	// most. Its caller is then told to come back, and has as much time again for that.
 	deferShare = 0.5
 )
 
-// Asked is what an admission rests on.
+// Asked holds the inputs of an admission decision for one request.
 type Asked struct {
-	// Objective is the route's time to the first event, and Waited how long ago its
-	// caller first asked.
+	// Objective is the route's time to the first event, and Waited the time since the caller's
+	// first try.
 	Objective time.Duration
 	Waited    time.Duration
-	// Left is what is left of the caller's time for the whole answer, and Patience
-	// for its first event; 0 is no bound.
+	// Left is the time that the caller still allows for the whole answer, and Patience for its
+	// first event. A Patience of 0 means no such limit.
 	Left     time.Duration
 	Patience time.Duration
-	// Held is how long the request has been in hand here.
+	// Held is how long this VM has had the request.
 	Held time.Duration
-	// Deferred is the time that requests deferred before will take all engines together.
+	// Deferred is the time that the requests deferred earlier will take all engines together.
 	Deferred time.Duration
-	// Queue is the reading that all VMs keep waiting, this request included where it has
-	// been deferred; else it is 0. Look is the time between two looks of such a request.
+	// Queue is the prefill time of the requests deferred on all VMs, including this one, or 0 if
+	// this one has not been deferred. Look is the time between two checks of a deferred request.
 	Queue time.Duration
 	Look  time.Duration
-	// Favor is how much of its own reading is left out, from 0 to 1, as prompts of its size are
-	// admitted less often than others.
+	// Favor is the part of the request's own prefill time that is not counted, from 0 to 1. It
+	// favors prompt sizes that are admitted less often than others.
 	Favor float64
 	// Random is uniform in [0, 1).
 	Random float64
 }
 
-// left is how soon the answer must begin to be of use. How long it lasts is not
-// reckoned with: callers' estimates are often several times off.
-func (a Asked) left() time.Duration {
+// timeLeft returns how soon the answer must begin to be of use. The duration of the answer is not
+// considered, as callers' estimates of its length are often several times off.
+func (a Asked) timeLeft() time.Duration {
 	if a.Patience > 0 {
 		return min(a.Left, a.Patience)
 	}
 	return a.Left
 }
 
-// idleWait returns the queueing time up to which a target counts as idle.
+// idleWait returns the queueing delay up to which a target counts as idle.
 func idleWait(objective time.Duration) time.Duration {
 	return time.Duration(idleShare * float64(objective))
 }
 
-// maxWait returns the longest queueing time at which a request is sent: the answer is still
-// on time, or the target counts as idle.
+// maxWait returns the longest queueing delay at which a request with a prefill time of own is sent:
+// the answer is still on time, or the target counts as idle.
 func (a Asked) maxWait(own time.Duration) time.Duration {
-	own = time.Duration((1 - a.Favor) * float64(min(own, time.Duration(ownShare*float64(a.Objective)))))
+	own = time.Duration((1 - a.Favor) * float64(min(own, time.Duration(maxOwnShare*float64(a.Objective)))))
 	return max(time.Duration(onTimeShare*float64(a.Objective))-a.Waited-own, idleWait(a.Objective))
 }
 
-// MaxWait is maxWait before the time to read the prompt is known.
+// MaxWait returns the longest queueing delay before the prefill time of the request is known.
 func (a Asked) MaxWait() time.Duration { return a.maxWait(0) }
 
-// turn reports whether a deferred request may be sent now.
+// isTurn reports whether a deferred request may be sent now.
 //
-// Load pattern: after a burst, hundreds of requests are deferred on as many VMs. When one
-// engine becomes idle, all VMs learn it from the same report and send at once. Each request is
-// therefore sent with the probability at which the requests that look during the age of a
+// Load pattern: after a burst, hundreds of requests are deferred on as many VMs. When an engine
+// becomes idle, all VMs learn it from the same report and would send at once. Each request is
+// therefore sent with a probability at which the requests that are checked during the age of a
 // report fill the free capacity once.
-func turn(c Choice, a Asked) bool {
+func isTurn(c Choice, a Asked) bool {
 	if a.Queue <= 0 {
 		return true
 	}
-	looking := float64(a.Queue) * min(1, float64(c.Age)/float64(max(a.Look, 1)))
-	return a.Random*looking <= float64(max(c.Room, 0))
+	checking := float64(a.Queue) * min(1, float64(c.Age)/float64(max(a.Look, 1)))
+	return a.Random*checking <= float64(max(c.Room, 0))
 }
 
-// Judge decides whether a request may go on with a choice. In a burst prompts come
-// faster than the engines read them. Were all sent, all would be late until the
-// backlog is read; so what is on time goes first, and the rest is deferred until engines are
-// nearly idle, late but whole, as long as there is time.
+// Judge decides whether a request is sent to the chosen target. In a burst, prompts arrive faster
+// than the engines prefill them. If all were sent, all would be late until the backlog is done.
+// Requests that are on time therefore go first. The others are deferred until engines are nearly
+// idle, and are answered late but completely while there is time left.
 func Judge(c Choice, a Asked) Ruling {
-	left := a.left()
-	lastLook := a.Held > time.Duration(deferShare*float64(left+a.Held))
-	soon := c.Wait() <= a.maxWait(c.Own)
+	left := a.timeLeft()
+	lastCheck := a.Held > time.Duration(deferShare*float64(left+a.Held))
+	inTime := c.Wait() <= a.maxWait(c.Own)
 	switch {
-	case time.Duration(spareShare*float64(c.Own)) > left:
+	case time.Duration(prefillMargin*float64(c.Own)) > left:
 		return Ruling{Refuse, TooLongToRead}
-	case soon && (lastLook || turn(c, a)):
+	case inTime && (lastCheck || isTurn(c, a)):
 		return Ruling{Verdict: Send}
-	case lastLook:
-		return Ruling{Refuse, c.obstacle()}
-	case a.Deferred > time.Duration(deferredShare*float64(left)):
+	case lastCheck:
+		return Ruling{Refuse, c.waitReason()}
+	case a.Deferred > time.Duration(queuedShare*float64(left)):
 		return Ruling{Refuse, QueueFull}
-	case soon:
+	case inTime:
 		return Ruling{Defer, NotItsTurn}
 	}
-	return Ruling{Defer, c.obstacle()}
+	return Ruling{Defer, c.waitReason()}
 }
 
-// obstacle is what most of the wait for a choice comes from.
-func (c Choice) obstacle() Reason {
+// waitReason returns what causes most of the expected wait.
+func (c Choice) waitReason() Reason {
 	if 2*c.SeatWait > c.Wait() {
 		return NoSeat
 	}
--- a/internal/place/apart_test.go
+++ b/internal/place/apart_test.go
@@ -11,8 +11,8 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// left returns the targets that are still to be asked.
-func left(targets []*fleet.Target, tried place.Tried) []string {
+// remaining returns the ids of the targets that have not been tried.
+func remaining(targets []*fleet.Target, tried place.Tried) []string {
 	var ids []string
 	for _, t := range targets {
 		if !tried[t.ID] {
@@ -22,11 +22,12 @@
 	return ids
 }
 
-// Each key has one target that runs requests, the same each time, and keys are spread over all;
-// targets that were tried, leave, only read prompts or cannot be reached are none.
-func TestEachSuspectHasATargetOfItsOwn(t *testing.T) {
+// Each key selects one target that runs requests, always the same one, and the keys are spread over
+// all such targets. Targets that were tried, leave, only prefill or cannot be reached are never
+// selected.
+func TestSuspectRequestsGetDifferentTargets(t *testing.T) {
 	is := is.New(t)
-	p := newPlacer(others{})
+	p := newPlacer(peerWork{})
 	targets := []*fleet.Target{engine("read", fleet.Prefill), engine("tried", fleet.Decode), engine("down", fleet.Decode)}
 	leaving := engine("leaving", fleet.Decode)
 	leaving.Leaving = true
@@ -39,13 +40,13 @@
 	chosen := make(map[string]int)
 	for i := range 300 {
 		key := []byte(fmt.Sprint("key", i))
-		ids := left(targets, p.AllButOne(targets, tried, key))
+		ids := remaining(targets, p.AllButOne(targets, tried, key))
 		is.Equal(len(ids), 1)
-		is.Equal(left(targets, p.AllButOne(targets, tried, key)), ids)
+		is.Equal(remaining(targets, p.AllButOne(targets, tried, key)), ids)
 		chosen[ids[0]]++
 	}
 	is.Equal(len(chosen), 6)
-	is.Equal(len(tried), 1) // it is left as it was
-	unsuited := targets[:4]
-	is.Equal(len(left(unsuited, p.AllButOne(unsuited, tried, []byte("key")))), 0)
+	is.Equal(len(tried), 1) // AllButOne does not change its argument
+	unusable := targets[:4]
+	is.Equal(len(remaining(unusable, p.AllButOne(unusable, tried, []byte("key")))), 0)
 }
--- a/internal/place/bench_test.go
+++ b/internal/place/bench_test.go
@@ -9,7 +9,7 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// BenchmarkRead weighs a prompt at 104 engines, as each look at a deferred request does.
+// BenchmarkRead evaluates a prompt at 104 engines, as each check of a deferred request does.
 func BenchmarkRead(b *testing.B) {
 	var targets []*fleet.Target
 	for i := range 104 {
@@ -19,14 +19,14 @@
 		}
 		targets = append(targets, engine(fmt.Sprintf("i-%010d", i), stage))
 	}
-	p := newPlacer(others{"i-0000000003": {Prefill: time.Millisecond, Prefills: 1}})
+	p := newPlacer(peerWork{"i-0000000003": {Prefill: time.Millisecond, Prefills: 1}})
 	now := time.Unix(1000, 0)
-	q := session(7)
+	q := sessionPrompt(7)
 	b.ReportAllocs()
 	for b.Loop() {
 		c, ok := p.Read(targets, spec, q, nil, now)
 		if !ok {
-			b.Fatal("no way")
+			b.Fatal("no target can be used")
 		}
 		c.Ticket.End(place.Neutral, now)
 	}
--- a/internal/place/cache.go
+++ b/internal/place/cache.go
@@ -6,28 +6,29 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// cache reckons which prompt parts a target's KV cache holds: parts yield in
-// the order of their last use, so a part is held as long as fewer tokens than
-// the cache's size have come in since. All VMs tell each other their uses.
-type cache struct {
-	// came is how many tokens have come in so far.
-	came float64
-	// used is the value of came at each part's last use.
-	used map[uint64]float64
+// cacheModel estimates which prompt parts a target's KV cache holds. It assumes least-recently-used
+// eviction: a part is cached until as many new tokens as the cache holds have been added since its
+// last use. All VMs report their uses to each other.
+type cacheModel struct {
+	// tokensAdded is the number of tokens added to the cache so far.
+	tokensAdded float64
+	// lastUse is the value of tokensAdded at each part's last use, by the part's hash.
+	lastUse map[uint64]float64
 }
 
-// maxCacheParts bounds the parts that are remembered for one target.
+// maxCacheParts is the largest number of parts that are remembered per target.
 const maxCacheParts = 8192
 
-func newCache() *cache { return &cache{used: make(map[uint64]float64)} }
+// newCacheModel returns the model of an empty cache.
+func newCacheModel() *cacheModel { return &cacheModel{lastUse: make(map[uint64]float64)} }
 
-// held returns the tokens at the prompt's start that the target holds. A part
-// is of use only where all parts before it are held.
-func (c *cache) held(q *Prompt, size float64) int {
+// cachedTokens returns the length of the prompt's cached prefix, for a cache of size tokens. A part
+// is of use only if all parts before it are cached too.
+func (c *cacheModel) cachedTokens(q *Prompt, size float64) int {
 	tokens := 0
 	for _, part := range q.sharedParts() {
-		at, ok := c.used[part.Hash]
-		if !ok || c.came-at > size {
+		lastUse, ok := c.lastUse[part.Hash]
+		if !ok || c.tokensAdded-lastUse > size {
 			break
 		}
 		tokens += part.Tokens
@@ -35,90 +36,91 @@
 	return tokens
 }
 
-// use notes that the target has the whole prompt, of which missing tokens were
-// new to it.
-func (c *cache) use(parts []uint64, missing int) {
-	c.came += float64(missing)
+// add records that the target now holds all of these parts. missing is the number of the prompt's
+// tokens that it did not hold before.
+func (c *cacheModel) add(parts []uint64, missing int) {
+	c.tokensAdded += float64(missing)
 	for _, hash := range parts {
-		c.used[hash] = c.came
+		c.lastUse[hash] = c.tokensAdded
 	}
-	if len(c.used) > maxCacheParts {
-		c.shrink()
+	if len(c.lastUse) > maxCacheParts {
+		c.evictOlderHalf()
 	}
 }
 
-// shrink forgets the older half of the parts, by last use.
-func (c *cache) shrink() {
-	oldest := c.came
-	for _, at := range c.used {
+// evictOlderHalf forgets the parts whose last use lies in the older half of the recorded range.
+func (c *cacheModel) evictOlderHalf() {
+	oldest := c.tokensAdded
+	for _, at := range c.lastUse {
 		oldest = min(oldest, at)
 	}
-	middle := (oldest + c.came) / 2
-	for hash, at := range c.used {
-		if at <= middle {
-			delete(c.used, hash)
+	threshold := (oldest + c.tokensAdded) / 2
+	for hash, at := range c.lastUse {
+		if at <= threshold {
+			delete(c.lastUse, hash)
 		}
 	}
 }
 
-// Use is one request that a target was given, or one that it failed.
+// Use is one request that was sent to a target, or one failure of a target.
 type Use struct {
-	// Target is the run of the target.
+	// Target is the id of the target's run.
 	Target string
-	// Parts is the hashes of the prompt's parts that other prompts may share.
+	// Parts are the hashes of the prompt's parts that other prompts may share.
 	Parts []uint64
-	// Missing is the prompt's tokens that were new to the target, and Reads says that it
-	// reads them itself; else they are moved to it.
+	// Missing is the number of the prompt's tokens that the target did not have cached. Reads is
+	// set if the target prefills them itself; otherwise their KV cache is transferred to it.
 	Missing int
 	Reads   bool
-	// Failed says that an earlier request to the target has failed.
+	// Failed is set if an earlier request to the target has failed.
 	Failed bool
 }
 
-// noteUse takes in a use of this VM's own, but for its parts; the caller holds p.mu.
-func (p *Placer) noteUse(u Use, q *Prompt, now time.Time) {
+// recordPromptUse records a use of this VM and fills in the parts of its prompt. The caller holds
+// p.mu.
+func (p *Placer) recordPromptUse(u Use, q *Prompt, now time.Time) {
 	for _, part := range q.sharedParts() {
 		u.Parts = append(u.Parts, part.Hash)
 	}
-	p.tell(u, now)
+	p.recordUse(u, now)
 }
 
-// tell takes in a use of this VM's own and keeps it for the others; the caller
-// holds p.mu.
-func (p *Placer) tell(u Use, now time.Time) {
-	s := p.state(u.Target)
-	s.take(u, now)
-	p.noteReading(s, u, now)
+// recordUse records a use of this VM and keeps it to be reported to the other VMs. The caller holds
+// p.mu.
+func (p *Placer) recordUse(u Use, now time.Time) {
+	s := p.stateByID(u.Target)
+	s.applyUse(u, now)
+	p.noteInPlacePrefill(s, u, now)
 	if len(p.uses) < maxUses {
 		p.uses = append(p.uses, u)
 	}
 }
 
-// take takes in a use.
-func (s *state) take(u Use, now time.Time) {
+// applyUse updates the state of a target by a use of any VM.
+func (s *state) applyUse(u Use, now time.Time) {
 	if u.Failed {
-		s.record.fail(now)
+		s.sends.addFailure(now)
 		return
 	}
-	s.record.send(now)
-	s.cache.use(u.Parts, u.Missing)
+	s.sends.addSend(now)
+	s.cache.add(u.Parts, u.Missing)
 }
 
-// noteReading notes a prompt that a decode target reads beside its streams, each step of which
-// then takes longer; the caller holds p.mu.
-func (p *Placer) noteReading(s *state, u Use, now time.Time) {
+// noteInPlacePrefill records a prompt that a decode target prefills beside its running requests,
+// which makes each of their steps longer. The caller holds p.mu.
+func (p *Placer) noteInPlacePrefill(s *state, u Use, now time.Time) {
 	if !u.Reads || s.stage == fleet.Prefill {
 		return
 	}
-	took := time.Duration(float64(p.profile(s.service).InPlaceTime(u.Missing, 0)) * s.slowdown)
-	s.reading.add(took, now)
-	s.read += u.Missing
+	took := time.Duration(float64(p.profile(s.service).InPlaceTime(u.Missing, 0)) * s.prefillSlowdown)
+	s.inPlacePrefills.add(took, now)
+	s.inPlaceTokens += u.Missing
 }
 
-// maxUses bounds the uses that wait to be told to other VMs.
+// maxUses is the largest number of uses that are kept until they are reported to other VMs.
 const maxUses = 256
 
-// TakeUses returns this VM's uses since the last call.
+// TakeUses returns and clears this VM's uses since the last call.
 func (p *Placer) TakeUses() []Use {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,16 +129,16 @@
 	return out
 }
 
-// Observe takes in another VM's uses.
+// Observe records uses that other VMs report.
 func (p *Placer) Observe(uses []Use, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, u := range uses {
-		s := p.state(u.Target)
-		s.take(u, now)
-		p.noteReading(s, u, now)
+		s := p.stateByID(u.Target)
+		s.applyUse(u, now)
+		p.noteInPlacePrefill(s, u, now)
 		if u.Reads {
-			p.inflow(s.service).add(p.profile(s.service).ReadTime(u.Missing, 0), now)
+			p.peerInflow(s.service).add(p.profile(s.service).ReadTime(u.Missing, 0), now)
 		}
 	}
 }
--- a/internal/place/config.go
+++ b/internal/place/config.go
@@ -2,35 +2,38 @@
 
 import "time"
 
-// Config is a placer's settings. What engines take is no setting: it is learned.
+// Config holds the settings of a Placer. The timing of engines is learned and not configured.
 type Config struct {
-	// DataCentre is this VM's own.
+	// DataCentre is the data centre of this VM.
 	DataCentre string
-	// LinkMbps is the speed of this VM's network link; 0 is unknown.
+	// LinkMbps is the speed of this VM's network link in Mbit/s, or 0 if it is unknown.
 	LinkMbps float64
-	// RemotePenalty is added to the price of targets in other data centres.
+	// RemotePenalty is added to the cost of targets in other data centres.
 	RemotePenalty time.Duration
-	// Seed makes the random part of the prices repeat; 0 draws one.
+	// Seed makes random choices reproducible. With 0 a random seed is drawn.
 	Seed uint64
-	// Off switches mechanisms off, to measure what they are worth.
+	// Off disables mechanisms, to measure what each of them gains.
 	Off Off
 }
 
-// Off is the mechanisms that are switched off.
+// Off selects the mechanisms that are disabled.
 type Off struct {
-	// Profile keeps the profile's prior: nothing is learned of the engines.
+	// Profile disables learning the timing of engines: the initial values are kept.
 	Profile bool
-	// Pauses lets prompts be read beside streams whatever it does to their pauses.
+	// Pauses disables the limit on the gaps between events: prompts are prefilled beside streams
+	// whatever it does to their gaps.
 	Pauses bool
-	// Slowdown takes all engines of a service for equally fast.
+	// Slowdown disables learning the speed of each engine: all engines of a service are assumed to
+	// be equally fast.
 	Slowdown bool
-	// Cache takes no prompt for cached.
+	// Cache disables the cache model: no prompt is assumed to be cached.
 	Cache bool
-	// Stay weighs a prefill's work no more than the time that its request waits.
+	// Stay disables the higher weight of prefill work, which sends sessions back to the engine that
+	// has them cached: a prefill costs no more than the time that its own request waits.
 	Stay bool
 }
 
-// DefaultConfig returns the settings of a VM of a data centre.
+// DefaultConfig returns the default settings of a VM in a data centre.
 func DefaultConfig(dataCentre string) Config {
 	return Config{DataCentre: dataCentre, RemotePenalty: 9 * time.Millisecond}
 }
--- a/internal/place/load_test.go
+++ b/internal/place/load_test.go
@@ -10,11 +10,11 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// While streams run at every decode engine and prompts queue at the prefill engine, a
-// long prompt is not read beside the streams, whose pauses it would break; where no
-// pause counts, it is.
-func TestPromptsKeepToTheStreamsPauses(t *testing.T) {
-	load := others{
+// While streams run at every decode engine and prompts queue at the prefill engine, a long prompt
+// is not prefilled beside the streams, as this would exceed their maximum gap between events. With
+// the limit on gaps disabled, it is.
+func TestPromptsKeepMaxGapOfStreams(t *testing.T) {
+	load := peerWork{
 		"p": {Prefill: 600 * time.Millisecond, Prefills: 20},
 		"d": {Running: 8, Streams: 8, Prefill: 90 * time.Millisecond, Prefills: 1},
 	}
@@ -23,39 +23,38 @@
 		is := is.New(t)
 		cfg := place.DefaultConfig("a")
 		cfg.Off.Pauses = off
-		c, ok := taught(t, cfg, load).Read(targets, spec, session(5), nil, time.Now())
+		c, ok := trainedPlacer(t, cfg, load).Read(targets, spec, sessionPrompt(5), nil, time.Now())
 		is.True(ok)
 		is.Equal(c.InPlace, off)
 	}
 }
 
-// Where nothing but a decode engine with streams is left, it reads the prompt all the
-// same.
-func TestStreamsWaitWhereNothingElseIsLeft(t *testing.T) {
+// If a decode engine with streams is the only one left, it prefills the prompt nevertheless.
+func TestStreamsWaitIfNoOtherTargetIsLeft(t *testing.T) {
 	is := is.New(t)
-	p := taught(t, place.DefaultConfig("a"), others{"d": {Running: 8, Streams: 8, Prefill: 60 * time.Millisecond, Prefills: 2}})
-	c, ok := p.Read([]*fleet.Target{engine("d", fleet.Decode)}, spec, session(5), nil, time.Now())
+	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{"d": {Running: 8, Streams: 8, Prefill: 60 * time.Millisecond, Prefills: 2}})
+	c, ok := p.Read([]*fleet.Target{engine("d", fleet.Decode)}, spec, sessionPrompt(5), nil, time.Now())
 	is.True(ok)
 	is.True(c.InPlace)
 }
 
-// In a burst a session goes back to the engine that holds it though prompts wait there
-// and another one is idle: read anew, it would delay more of those that come next.
-func TestSessionStaysThoughOthersWait(t *testing.T) {
+// In a burst, a session goes back to the engine that has it cached even if prompts wait there and
+// another engine is idle: a new prefill elsewhere would delay more of the prompts that come next.
+func TestSessionStaysAtBusyTarget(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		is := is.New(t)
 		cfg := place.DefaultConfig("a")
 		cfg.Off.Stay = off
-		load := others{"p1": {Prefill: 60 * time.Millisecond, Prefills: 100}, "d": busy}
-		p := taught(t, cfg, load)
+		load := peerWork{"p1": {Prefill: 60 * time.Millisecond, Prefills: 100}, "d": busy}
+		p := trainedPlacer(t, cfg, load)
 		targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("p2", fleet.Prefill), engine("d", fleet.Decode)}
 		now := time.Now()
-		first, ok := p.Read([]*fleet.Target{targets[0], targets[2]}, spec, session(5), nil, now)
+		first, ok := p.Read([]*fleet.Target{targets[0], targets[2]}, spec, sessionPrompt(5), nil, now)
 		is.True(ok)
 		is.Equal(first.Target.ID, "p1")
-		p.Commit(first, session(5), now)
+		p.Commit(first, sessionPrompt(5), now)
 		first.Ticket.End(place.Neutral, now)
-		again, _ := p.Read(targets, spec, session(5), nil, now)
+		again, _ := p.Read(targets, spec, sessionPrompt(5), nil, now)
 		want := "p1"
 		if off {
 			want = "p2"
--- a/internal/place/pick.go
+++ b/internal/place/pick.go
@@ -8,244 +8,253 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// Choice is a target with the request on its account.
+// Choice is a target chosen for a request, with the request counted as work there.
 type Choice struct {
 	Target *fleet.Target
 	Ticket *Ticket
-	// Expected is the reckoned time to the answer's begin.
+	// Expected is the estimated time until the answer begins.
 	Expected time.Duration
-	// Own is the part of Expected that the request's own prefill takes.
+	// Own is the part of Expected that the prefill of this request takes.
 	Own time.Duration
 	// SeatWait is the part of Expected that the request waits for a seat in a batch.
 	SeatWait time.Duration
-	// Cached is the prompt's tokens that the target is reckoned to hold.
+	// Cached is the estimated number of the prompt's tokens that the target has cached.
 	Cached int
-	// InPlace says that the decode target reads the prompt itself.
+	// InPlace is set if the decode target that runs the request also prefills its prompt.
 	InPlace bool
-	// Room is how much reading the targets can take on before the request would not be sent,
-	// and Age how old what is known of the others' work is.
+	// Room is how much prefill work the targets can take on before the request would no longer be
+	// sent. Age is the average age of the reports of other VMs' work.
 	Room time.Duration
 	Age  time.Duration
-	// Seat is what the choice of a decode target rests on.
+	// Seat is the estimate of the decode phase.
 	Seat Seat
 }
 
-// Seat is what a run at a decode target was reckoned with.
+// Seat is the estimate with which a request was placed in a decode target's batch.
 type Seat struct {
-	// Beside is the requests that the target ran, and Longest the time of the longest answer
-	// that the request may have, as fast as answers are made beside so many.
+	// Beside is the number of requests that the target ran already. Longest is the time of the
+	// longest answer that the request may have, at the speed of a batch of that size.
 	Beside  int
 	Longest time.Duration
 }
 
-// Wait is the time to the answer's begin but for the request's own prefill.
+// Wait returns the expected time until the answer begins, without the request's own prefill.
 func (c Choice) Wait() time.Duration { return c.Expected - c.Own }
 
-// Tried holds the ids of targets that are not to be chosen again.
+// Tried is the set of ids of targets that must not be chosen again for a request.
 type Tried map[string]bool
 
-// Plain chooses the target of a plain call: the least loaded that is sound,
-// the own data centre's before others.
+// Plain chooses the target of a plain call: the least loaded healthy one, with preference for this
+// VM's data centre. It starts at a random target, so that ties are broken at random. It returns
+// false if no target can be used.
 func (p *Placer) Plain(targets []*fleet.Target, tried Tried, random uint64, now time.Time) (Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var best *fleet.Target
-	var least time.Duration
+	var lowest time.Duration
 	for i := range targets {
 		t := targets[(i+int(random%uint64(len(targets))))%len(targets)]
 		if t.Leaving || tried[t.ID] {
 			continue
 		}
-		price := p.plainPrice(t, now)
-		if best == nil || price < least {
-			best, least = t, price
+		cost := p.plainCost(t, now)
+		if best == nil || cost < lowest {
+			best, lowest = t, cost
 		}
 	}
 	if best == nil {
 		return Choice{}, false
 	}
-	p.tell(Use{Target: best.RunID()}, now)
+	p.recordUse(Use{Target: best.RunID()}, now)
 	ticket := p.begin(best, Work{Running: 1}, now)
-	ticket.way = plainCall
-	return Choice{Target: best, Expected: least, Ticket: ticket}, true
+	ticket.task = taskPlain
+	return Choice{Target: best, Expected: lowest, Ticket: ticket}, true
 }
 
-func (p *Placer) plainPrice(t *fleet.Target, now time.Time) time.Duration {
-	load := float64(p.total(t.RunID()).Running+1) / float64(max(t.Slots, 1))
-	price := time.Duration(load * load * float64(p.profile(t.Service).PlainTime()))
-	return price + p.remote(t) + p.unsound(p.at(t), now)
+// plainCost returns the cost of a plain call at t. The caller holds p.mu.
+func (p *Placer) plainCost(t *fleet.Target, now time.Time) time.Duration {
+	load := float64(p.totalWork(t.RunID()).Running+1) / float64(max(t.Slots, 1))
+	cost := time.Duration(load * load * float64(p.profile(t.Service).PlainTime()))
+	return cost + p.remotePenalty(t) + p.healthPenalty(p.stateOf(t), now)
 }
 
-func (p *Placer) remote(t *fleet.Target) time.Duration {
+// remotePenalty returns the extra cost of a target in another data centre.
+func (p *Placer) remotePenalty(t *fleet.Target) time.Duration {
 	if t.DataCentre == p.cfg.DataCentre {
 		return 0
 	}
 	return p.cfg.RemotePenalty
 }
 
-// Read chooses where a prompt is prefilled: at a prefill target, or in place
-// at the decode target that then goes on.
+// Read chooses where a prompt is prefilled: at a prefill target, or in place at the decode target
+// that then runs the request. It returns false if no target can be used.
 func (p *Placer) Read(targets []*fleet.Target, spec *fleet.EngineSpec, q *Prompt, tried Tried, now time.Time) (Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(targets) == 0 {
 		return Choice{}, false
 	}
-	r := reading{service: targets[0].Service, engines: p.engines(targets, spec), prompt: q, tried: tried, now: now, keepPauses: !p.cfg.Off.Pauses}
-	p.setBatch(&r.engines, targets, q, now)
-	r.next, r.apart = p.bestDecode(p.decoders(targets), r.engines, "", tried, now)
-	best, chosen := p.bestRead(p.thin(targets, q), r)
+	req := prefillRequest{service: targets[0].Service, model: p.engineModel(targets, spec), prompt: q, tried: tried, now: now, keepMaxGap: !p.cfg.Off.Pauses}
+	p.setBatchNeeds(&req.model, targets, q, now)
+	req.decodeSeat, req.canHandOff = p.bestDecodeSeat(p.sampleDecodeTargets(targets), req.model, "", tried, now)
+	best, chosen := p.bestPrefill(p.sampleTargets(targets, q), req)
 	if best.Target == nil {
-		// Where nothing else is left, streams wait for the prompt.
-		r.keepPauses = false
-		r.next, r.apart = p.bestDecode(targets, r.engines, "", tried, now)
-		best, chosen = p.bestRead(targets, r)
+		// No target keeps the maximum gap, so the running streams wait for this prompt.
+		req.keepMaxGap = false
+		req.decodeSeat, req.canHandOff = p.bestDecodeSeat(targets, req.model, "", tried, now)
+		best, chosen = p.bestPrefill(targets, req)
 	}
 	if best.Target == nil {
 		return Choice{}, false
 	}
 	best.Ticket = p.begin(best.Target, chosen.work, now)
-	best.Ticket.expect(chosen, q)
+	best.Ticket.setExpected(chosen, q)
 	return best, true
 }
 
-// pickWay returns the way to take: the cheapest to the session's cache, where that is not
-// above the level of the others, or a way that is drawn. The caller holds p.mu.
-func (p *Placer) pickWay(ways []weighed, s *spread, q *Prompt) int {
+// pickCandidate returns the index of the candidate to use: the cheapest target that has the
+// prompt's session cached, if it is worth keeping the session there, or else one that the picker
+// draws. The caller holds p.mu.
+func (p *Placer) pickCandidate(candidates []candidate, picker *staleLoadPicker, q *Prompt) int {
 	shared := q.sharedTokens()
-	for _, i := range s.order[:s.reached] {
-		if shared > 0 && ways[i].cached >= shared && s.stays(i) {
+	for _, i := range picker.order[:picker.reached] {
+		if shared > 0 && candidates[i].cached >= shared && picker.keepsSession(i) {
 			return i
 		}
 	}
-	return s.draw(p.random.Float64())
+	return picker.pick(p.random.Float64())
 }
 
-// reading is a prompt to be prefilled.
-type reading struct {
+// prefillRequest describes a prompt to be prefilled and the state that it is placed by.
+type prefillRequest struct {
 	service string
-	engines engines
+	model   engineModel
 	prompt  *Prompt
 	tried   Tried
 	now     time.Time
-	// next is the best seat for a prompt that is prefilled apart, which apart says
-	// is possible.
-	next  seat
-	apart bool
-	// keepPauses says that no stream may be kept waiting beyond its pauses.
-	keepPauses bool
+	// decodeSeat is the best seat for the request if it is prefilled elsewhere and then handed off
+	// to a decode target. canHandOff is set if there is such a seat.
+	decodeSeat seat
+	canHandOff bool
+	// keepMaxGap is set if no running stream may be delayed beyond its maximum gap between events.
+	keepMaxGap bool
 }
 
-// bestRead returns a way to prefill at one of the targets, and what it was weighed at:
-// the cheapest, as far as the others' work is known. The caller holds p.mu.
-func (p *Placer) bestRead(targets []*fleet.Target, r reading) (Choice, weighed) {
-	link := p.linkWait(r.now) + p.linkTime(r.prompt)
-	ways := make([]weighed, 0, len(targets))
-	prices := make([]time.Duration, 0, len(targets))
+// bestPrefill chooses one of the targets to prefill the prompt and returns the choice and its
+// candidate: the cheapest, as far as the work of other VMs is known. Both are zero if no target can
+// be used. The caller holds p.mu.
+func (p *Placer) bestPrefill(targets []*fleet.Target, req prefillRequest) (Choice, candidate) {
+	link := p.linkWait(req.now) + p.linkTime(req.prompt)
+	candidates := make([]candidate, 0, len(targets))
+	costs := make([]time.Duration, 0, len(targets))
 	for _, t := range targets {
-		if !p.usable(t, r.tried) || (t.Stage == fleet.Prefill && !r.apart) {
+		if !p.usable(t, req.tried) || (t.Stage == fleet.Prefill && !req.canHandOff) {
 			continue
 		}
-		w, ok := p.weigh(t, r)
+		c, ok := p.evaluate(t, req)
 		if !ok {
 			continue
 		}
-		w.expected += link
-		ways, prices = append(ways, w), append(prices, w.price)
+		c.expected += link
+		candidates, costs = append(candidates, c), append(costs, c.cost)
 	}
-	if len(ways) == 0 {
-		return Choice{}, weighed{}
+	if len(candidates) == 0 {
+		return Choice{}, candidate{}
 	}
 	age := p.others.Age()
-	unseen := p.inflow(r.service).within(age, r.now)
-	w := ways[p.pickWay(ways, newSpread(prices, unseen), r.prompt)]
+	unreported := p.peerInflow(req.service).expectedWithin(age, req.now)
+	chosen := candidates[p.pickCandidate(candidates, newStaleLoadPicker(costs, unreported), req.prompt)]
 	return Choice{
-		Target: w.target, Expected: w.expected, Own: w.own, SeatWait: w.seatWait, Cached: w.cached, InPlace: w.target.Stage != fleet.Prefill,
-		Room: room(ways, r.prompt.MaxWait, unseen), Age: age, Seat: r.engines.seatOf(p.at(w.target), w.beside, r.prompt),
-	}, w
+		Target: chosen.target, Expected: chosen.expected, Own: chosen.ownPrefill, SeatWait: chosen.seatWait, Cached: chosen.cached, InPlace: chosen.target.Stage != fleet.Prefill,
+		Room: freeCapacity(candidates, req.prompt.MaxWait, unreported), Age: age, Seat: req.model.seatEstimate(p.stateOf(chosen.target), chosen.running, req.prompt),
+	}, chosen
 }
 
-// Commit notes that the request of a choice is sent: the target has its prompt
-// from now on, and the VM's link is busy with it.
+// Commit records that the request is sent to its chosen target, which caches the prompt from now
+// on, and reserves the VM's link for it.
 func (p *Placer) Commit(c Choice, q *Prompt, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.noteUse(Use{Target: c.Target.RunID(), Missing: q.Tokens - c.Cached, Reads: true}, q, now)
+	p.recordPromptUse(Use{Target: c.Target.RunID(), Missing: q.Tokens - c.Cached, Reads: true}, q, now)
 	p.occupyLink(q, now)
 }
 
-// AllButOne returns tried and all other targets but one that can run a request and be reached:
-// that with the highest hash of its run and a key. Requests that may end their targets are
-// tried apart from each other so: where two went to one target, its end would be held against
-// both.
+// AllButOne returns tried and all other targets except one that runs requests and can be reached:
+// the one with the highest hash of its run's id and key. Requests that may crash their targets are
+// sent to different targets this way. If two were sent to the same one, its crash would be held
+// against both.
 func (p *Placer) AllButOne(targets []*fleet.Target, tried Tried, key []byte) Tried {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var one *fleet.Target
+	var kept *fleet.Target
 	var highest uint64
 	out := make(Tried, len(targets))
 	for _, t := range targets {
 		out[t.ID] = true
-		if t.Stage == fleet.Prefill || !p.usable(t, tried) || p.at(t).misses > 0 {
+		if t.Stage == fleet.Prefill || !p.usable(t, tried) || p.stateOf(t).connErrors > 0 {
 			continue
 		}
-		if weight := xxhash.Sum64(append([]byte(t.RunID()), key...)); one == nil || weight > highest {
-			one, highest = t, weight
+		if weight := xxhash.Sum64(append([]byte(t.RunID()), key...)); kept == nil || weight > highest {
+			kept, highest = t, weight
 		}
 	}
-	if one != nil {
-		delete(out, one.ID)
+	if kept != nil {
+		delete(out, kept.ID)
 	}
 	return out
 }
 
+// usable reports whether t may be given a request: it is neither leaving nor changing its stage,
+// and was not tried.
 func (p *Placer) usable(t *fleet.Target, tried Tried) bool {
-	return !t.Leaving && !tried[t.ID] && !p.changing(t)
+	return !t.Leaving && !tried[t.ID] && !p.changingStage(t)
 }
 
-// bestDecode returns the least price of a seat, or false where no target can
-// go on with a prefilled prompt.
-func (p *Placer) bestDecode(targets []*fleet.Target, e engines, near string, tried Tried, now time.Time) (seat, bool) {
-	t, s := p.pickDecode(targets, e, near, tried, now)
+// bestDecodeSeat returns the cheapest seat for a prefilled prompt, or false if no target can decode
+// it. The caller holds p.mu.
+func (p *Placer) bestDecodeSeat(targets []*fleet.Target, model engineModel, near string, tried Tried, now time.Time) (seat, bool) {
+	t, s := p.pickDecode(targets, model, near, tried, now)
 	return s, t != nil
 }
 
-func (p *Placer) pickDecode(targets []*fleet.Target, e engines, near string, tried Tried, now time.Time) (*fleet.Target, seat) {
+// pickDecode returns the decode target with the cheapest seat, or nil if there is none. near is the
+// data centre of the target that holds the prefilled prompt, or empty. The caller holds p.mu.
+func (p *Placer) pickDecode(targets []*fleet.Target, model engineModel, near string, tried Tried, now time.Time) (*fleet.Target, seat) {
 	var best *fleet.Target
-	var least seat
+	var lowest seat
 	for _, t := range targets {
 		if t.Stage == fleet.Prefill || !p.usable(t, tried) {
 			continue
 		}
-		s := e.seat(t, p.at(t), p.total(t.RunID()), now)
-		s.price += p.remote(t) + p.unsound(p.at(t), now) + p.scatter()
+		s := model.seat(t, p.stateOf(t), p.totalWork(t.RunID()), now)
+		s.cost += p.remotePenalty(t) + p.healthPenalty(p.stateOf(t), now) + p.jitter()
 		if near != "" && t.DataCentre != near {
-			s.price += p.cfg.RemotePenalty
+			s.cost += p.cfg.RemotePenalty
 		}
-		if best == nil || s.price < least.price {
-			best, least = t, s
+		if best == nil || s.cost < lowest.cost {
+			best, lowest = t, s
 		}
 	}
-	return best, least
+	return best, lowest
 }
 
-// Decode chooses the decode target that goes on with a prefilled prompt; near
-// is the data centre of the target that keeps it.
+// Decode chooses the decode target for a prefilled prompt. near is the data centre of the target
+// that holds the prompt's KV cache. It returns false if no target can be used.
 func (p *Placer) Decode(targets []*fleet.Target, spec *fleet.EngineSpec, q *Prompt, near string, tried Tried, now time.Time) (Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.engines(targets, spec)
-	p.setBatch(&e, targets, q, now)
-	t, s := p.pickDecode(p.decoders(targets), e, near, tried, now)
+	model := p.engineModel(targets, spec)
+	p.setBatchNeeds(&model, targets, q, now)
+	t, s := p.pickDecode(p.sampleDecodeTargets(targets), model, near, tried, now)
 	if t == nil {
-		t, s = p.pickDecode(targets, e, near, tried, now)
+		t, s = p.pickDecode(targets, model, near, tried, now)
 	}
 	if t == nil {
 		return Choice{}, false
 	}
-	p.noteUse(Use{Target: t.RunID(), Missing: q.Tokens}, q, now)
+	p.recordPromptUse(Use{Target: t.RunID(), Missing: q.Tokens}, q, now)
 	p.occupyLink(q, now)
-	ticket := p.begin(t, Work{Running: 1, Streams: e.streams(q), Tokens: q.Tokens + q.Output/2}, now)
-	ticket.way, ticket.prompt, ticket.waits, ticket.span.beside = goOn, q, s.wait > 0, p.total(t.RunID()).Running-1
-	return Choice{Target: t, Expected: s.wait, Ticket: ticket, Seat: e.seatOf(p.at(t), ticket.span.beside, q)}, true
+	ticket := p.begin(t, Work{Running: 1, Streams: model.longStreams(q), Tokens: q.Tokens + q.Output/2}, now)
+	ticket.task, ticket.prompt, ticket.waitedForSeat, ticket.span.running = taskDecode, q, s.wait > 0, p.totalWork(t.RunID()).Running-1
+	return Choice{Target: t, Expected: s.wait, Ticket: ticket, Seat: model.seatEstimate(p.stateOf(t), ticket.span.running, q)}, true
 }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -11,44 +11,49 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// others is what other VMs have in hand.
-type others map[string]place.Work
+// peerWork is the work in progress of other VMs, by target.
+type peerWork map[string]place.Work
 
-func (o others) Work(id string) place.Work { return o[id] }
+func (o peerWork) Work(id string) place.Work { return o[id] }
 
-func (o others) Age() time.Duration { return 0 }
+func (o peerWork) Age() time.Duration { return 0 }
 
-func unchanging(*fleet.Target) bool { return false }
+// noStageChange reports that no engine is changing its stage.
+func noStageChange(*fleet.Target) bool { return false }
 
+// spec describes the engines of service "m".
 var spec = &fleet.EngineSpec{Slots: 48, KVTokens: 300000, MaxGap: 150 * time.Millisecond}
 
+// engine returns a target of service "m" with 48 slots in data centre "a".
 func engine(id string, stage fleet.Stage) *fleet.Target {
 	return &fleet.Target{ID: id, Service: "m", DataCentre: "a", Slots: 48, Stage: stage}
 }
 
-func newPlacer(o others) *place.Placer {
-	return place.New(place.DefaultConfig("a"), o, unchanging)
+// newPlacer returns a placer in data centre "a" that has learned nothing yet.
+func newPlacer(o peerWork) *place.Placer {
+	return place.New(place.DefaultConfig("a"), o, noStageChange)
 }
 
-// taught returns a placer that has seen engines which read 300 tokens a millisecond,
-// move a prompt in 8 ms, take 35 ms for an event of 59 tokens and 4 s for an answer.
-func taught(t *testing.T, cfg place.Config, o others) *place.Placer {
+// trainedPlacer returns a placer that has learned of engines which prefill 300 tokens per
+// millisecond, hand a prompt off in 8 ms, and take 35 ms for an event of 59 tokens and 4 s for an
+// answer.
+func trainedPlacer(t *testing.T, cfg place.Config, o peerWork) *place.Placer {
 	t.Helper()
-	quiet := others{}
-	p := place.New(cfg, switching{&quiet}, unchanging)
-	teach(p)
+	work := peerWork{}
+	p := place.New(cfg, replaceableWork{&work}, noStageChange)
+	train(p)
 	for id, w := range o {
-		quiet[id] = w
+		work[id] = w
 	}
 	return p
 }
 
-// teach has a placer see what taught says.
-func teach(p *place.Placer) {
+// train has a placer observe the timing that trainedPlacer describes.
+func train(p *place.Placer) {
 	now := time.Now()
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	for i := range 40 {
-		q := session(uint64(1000 + i))
+		q := sessionPrompt(uint64(1000 + i))
 		read, ok := p.Read([]*fleet.Target{engine("teacher", fleet.Prefill), engine("pupil", fleet.Decode)}, spec, q, place.Tried{"pupil": true}, now)
 		if !ok {
 			read, _ = p.Read([]*fleet.Target{engine("pupil", fleet.Decode)}, spec, q, nil, now)
@@ -60,31 +65,32 @@
 			took += 4000
 		}
 		read.Ticket.End(place.Good, now.Add(ms(took)))
-		run, _ := p.Decode([]*fleet.Target{engine("pupil", fleet.Decode)}, spec, hint(), "a", nil, now)
+		run, _ := p.Decode([]*fleet.Target{engine("pupil", fleet.Decode)}, spec, longAnswerPrompt(), "a", nil, now)
 		run.Ticket.First(now.Add(ms(8)))
-		run.Ticket.Stream(hint().Output/59, ms(35*float64(hint().Output/59-1)))
+		run.Ticket.Stream(longAnswerPrompt().Output/59, ms(35*float64(longAnswerPrompt().Output/59-1)))
 		run.Ticket.End(place.Good, now.Add(4*time.Second))
 	}
 	p.TakeUses()
 }
 
-// switching is other VMs whose work is set later.
-type switching struct{ *others }
+// replaceableWork is the work of other VMs in a map that may be replaced later.
+type replaceableWork struct{ *peerWork }
 
-func (s switching) Work(id string) place.Work { return (*s.others)[id] }
+func (s replaceableWork) Work(id string) place.Work { return (*s.peerWork)[id] }
 
-// busy is a decode target at which no long prompt is read in place.
+// busy is the work of a decode target at which no long prompt is prefilled in place.
 var busy = place.Work{Prefill: 60 * time.Millisecond, Streams: 1, Running: 1}
 
-// session is a long prompt whose second part belongs to a session.
-func session(part uint64) *place.Prompt {
+// sessionPrompt returns a long prompt whose second part belongs to a session.
+func sessionPrompt(part uint64) *place.Prompt {
 	return &place.Prompt{
 		Tokens: 9000, Output: 80, MaxOutput: 354,
 		Parts: []place.Part{{Hash: 1, Tokens: 2500}, {Hash: part, Tokens: 3500}, {Hash: part * 1000, Tokens: 3000}},
 	}
 }
 
-func hint() *place.Prompt {
+// longAnswerPrompt returns a short prompt with a long expected answer and a time limit.
+func longAnswerPrompt() *place.Prompt {
 	return &place.Prompt{
 		Tokens: 220, Output: 5000, MaxOutput: 12000, Limit: 15 * time.Second,
 		Parts: []place.Part{{Hash: 7, Tokens: 100}, {Hash: 8, Tokens: 120}},
@@ -93,112 +99,113 @@
 
 func TestSessionGoesBackToItsCache(t *testing.T) {
 	is := is.New(t)
-	p := newPlacer(others{})
+	p := newPlacer(peerWork{})
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("p2", fleet.Prefill), engine("p3", fleet.Prefill), engine("d", fleet.Decode)}
 	now := time.Now()
-	refused, ok := p.Read(targets, spec, session(5), nil, now)
+	refused, ok := p.Read(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
 	refused.Ticket.End(place.Neutral, now)
-	first, ok := p.Read(targets, spec, session(5), nil, now)
+	first, ok := p.Read(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
-	is.Equal(first.Cached, 0) // one that was refused at the door was read nowhere
-	p.Commit(first, session(5), now)
+	is.Equal(first.Cached, 0) // a request that was not committed left nothing in a cache
+	p.Commit(first, sessionPrompt(5), now)
 	first.Ticket.End(place.Good, now)
-	again, ok := p.Read(targets, spec, session(5), nil, now)
+	again, ok := p.Read(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
 	is.Equal(again.Target.ID, first.Target.ID)
-	is.Equal(again.Cached, 6000) // the own part is new each time
+	is.Equal(again.Cached, 6000) // the last part of the prompt is never shared
 }
 
-func TestOthersUsesAreReckonedWith(t *testing.T) {
+func TestUsesOfOtherVMsCount(t *testing.T) {
 	is := is.New(t)
-	a, b := newPlacer(others{}), newPlacer(others{})
+	a, b := newPlacer(peerWork{}), newPlacer(peerWork{})
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("p2", fleet.Prefill), engine("d", fleet.Decode)}
 	now := time.Now()
-	first, _ := a.Read(targets, spec, session(5), nil, now)
-	a.Commit(first, session(5), now)
+	first, _ := a.Read(targets, spec, sessionPrompt(5), nil, now)
+	a.Commit(first, sessionPrompt(5), now)
 	b.Observe(a.TakeUses(), now)
 	is.Equal(len(a.TakeUses()), 0)
-	again, _ := b.Read(targets, spec, session(5), nil, now)
+	again, _ := b.Read(targets, spec, sessionPrompt(5), nil, now)
 	is.Equal(again.Target.ID, first.Target.ID)
 	is.Equal(again.Cached, 6000)
 }
 
-func TestPartsYieldToLaterTokens(t *testing.T) {
+func TestPartsAreEvictedByLaterTokens(t *testing.T) {
 	is := is.New(t)
-	p := newPlacer(others{"d": busy})
+	p := newPlacer(peerWork{"d": busy})
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}
 	now := time.Now()
 	for s := uint64(2); s < 60; s++ {
-		c, ok := p.Read(targets, spec, session(s), nil, now)
+		c, ok := p.Read(targets, spec, sessionPrompt(s), nil, now)
 		is.True(ok)
-		p.Commit(c, session(s), now)
+		p.Commit(c, sessionPrompt(s), now)
 		c.Ticket.End(place.Good, now)
 	}
-	c, _ := p.Read(targets, spec, session(2), nil, now)
-	is.Equal(c.Cached, 2500) // the common part is used all the time
+	c, _ := p.Read(targets, spec, sessionPrompt(2), nil, now)
+	is.Equal(c.Cached, 2500) // the common part is used by every prompt
 }
 
 func TestLoadOfOtherVMsCounts(t *testing.T) {
 	is := is.New(t)
-	p := newPlacer(others{"p1": {Prefill: 200 * time.Millisecond, Prefills: 10}, "d": busy})
+	p := newPlacer(peerWork{"p1": {Prefill: 200 * time.Millisecond, Prefills: 10}, "d": busy})
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("p2", fleet.Prefill), engine("d", fleet.Decode)}
-	c, ok := p.Read(targets, spec, session(5), nil, time.Now())
+	c, ok := p.Read(targets, spec, sessionPrompt(5), nil, time.Now())
 	is.True(ok)
 	is.Equal(c.Target.ID, "p2")
 }
 
-func TestShortPromptNeverTakesASecondHop(t *testing.T) {
+func TestShortPromptIsNotHandedOff(t *testing.T) {
 	is := is.New(t)
-	p := taught(t, place.DefaultConfig("a"), others{"d": {Running: 40, Streams: 40}})
-	c, ok := p.Read([]*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}, spec, hint(), nil, time.Now())
+	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{"d": {Running: 40, Streams: 40}})
+	c, ok := p.Read([]*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}, spec, longAnswerPrompt(), nil, time.Now())
 	is.True(ok)
 	is.True(c.InPlace)
 }
 
-func TestStreamsGatherAndPromptsKeepAway(t *testing.T) {
+// Streams gather at a few decode targets, and long prompts are prefilled at the others.
+func TestStreamsAndPromptsUseDifferentTargets(t *testing.T) {
 	is := is.New(t)
-	p := taught(t, place.DefaultConfig("a"), others{"d1": {Running: 10, Streams: 10}})
+	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{"d1": {Running: 10, Streams: 10}})
 	targets := []*fleet.Target{engine("d1", fleet.Decode), engine("d2", fleet.Decode)}
 	now := time.Now()
-	c, _ := p.Read(targets, spec, hint(), nil, now)
+	c, _ := p.Read(targets, spec, longAnswerPrompt(), nil, now)
 	is.Equal(c.Target.ID, "d1")
-	c, _ = p.Read(targets, spec, session(5), nil, now)
+	c, _ = p.Read(targets, spec, sessionPrompt(5), nil, now)
 	is.Equal(c.Target.ID, "d2")
 }
 
-func TestFullBatchMakesTheAnswerWait(t *testing.T) {
+func TestFullBatchDelaysTheAnswer(t *testing.T) {
 	is := is.New(t)
-	p := taught(t, place.DefaultConfig("a"), others{"d1": {Running: 48, Streams: 48}})
-	c, ok := p.Read([]*fleet.Target{engine("d1", fleet.Decode)}, spec, hint(), nil, time.Now())
+	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{"d1": {Running: 48, Streams: 48}})
+	c, ok := p.Read([]*fleet.Target{engine("d1", fleet.Decode)}, spec, longAnswerPrompt(), nil, time.Now())
 	is.True(ok)
 	is.True(c.Expected > 250*time.Millisecond) // the gateway refuses it
 }
 
-func TestWhatLeavesOrChangesOrWasTriedIsNotChosen(t *testing.T) {
+func TestUnusableTargetsAreNotChosen(t *testing.T) {
 	is := is.New(t)
 	leaving := engine("d1", fleet.Decode)
 	leaving.Leaving = true
-	p := place.New(place.DefaultConfig("a"), others{}, func(t *fleet.Target) bool { return t.ID == "d2" })
+	p := place.New(place.DefaultConfig("a"), peerWork{}, func(t *fleet.Target) bool { return t.ID == "d2" })
 	targets := []*fleet.Target{leaving, engine("d2", fleet.Decode), engine("d3", fleet.Decode), engine("d4", fleet.Decode)}
 	for range 10 {
-		c, ok := p.Read(targets, spec, hint(), place.Tried{"d3": true}, time.Now())
+		c, ok := p.Read(targets, spec, longAnswerPrompt(), place.Tried{"d3": true}, time.Now())
 		is.True(ok)
 		is.Equal(c.Target.ID, "d4")
 	}
-	_, ok := p.Read(targets, spec, hint(), place.Tried{"d3": true, "d4": true}, time.Now())
+	_, ok := p.Read(targets, spec, longAnswerPrompt(), place.Tried{"d3": true, "d4": true}, time.Now())
 	is.True(!ok)
-	_, ok = p.Decode(targets, spec, hint(), "a", place.Tried{"d3": true, "d4": true}, time.Now())
+	_, ok = p.Decode(targets, spec, longAnswerPrompt(), "a", place.Tried{"d3": true, "d4": true}, time.Now())
 	is.True(!ok)
 }
 
 func TestUnreachableTargetIsTriedAgainLater(t *testing.T) {
 	is := is.New(t)
-	p := newPlacer(others{})
+	p := newPlacer(peerWork{})
 	targets := []*fleet.Target{{ID: "a", Slots: 6, DataCentre: "a"}, {ID: "b", Slots: 6, DataCentre: "b"}}
 	now := time.Now()
 	c, _ := p.Plain(targets, nil, 0, now)
-	is.Equal(c.Target.ID, "a") // the own data centre's first
+	is.Equal(c.Target.ID, "a") // the target in this VM's data centre comes first
 	c.Ticket.End(place.Unreachable, now)
 	c, _ = p.Plain(targets, nil, 0, now)
 	is.Equal(c.Target.ID, "b")
@@ -209,7 +216,7 @@
 
 func TestFailingTargetIsAvoidedAndRecovers(t *testing.T) {
 	is := is.New(t)
-	p := newPlacer(others{})
+	p := newPlacer(peerWork{})
 	targets := []*fleet.Target{{ID: "a", Slots: 6, DataCentre: "a"}, {ID: "b", Slots: 6, DataCentre: "a"}}
 	now := time.Now()
 	for range 5 {
@@ -226,60 +233,61 @@
 	is.True(c.Expected < 30*time.Millisecond)
 }
 
-// A slow engine's reckoning follows its answers, and a ticket counts once.
+// The estimate for a slow engine follows its answers, and a ticket counts only once.
 func TestSlowdownIsLearned(t *testing.T) {
 	is := is.New(t)
-	p := newPlacer(others{})
+	p := newPlacer(peerWork{})
 	targets := []*fleet.Target{engine("d", fleet.Decode)}
 	now := time.Now()
-	before, _ := p.Read(targets, spec, session(3), nil, now)
+	before, _ := p.Read(targets, spec, sessionPrompt(3), nil, now)
 	before.Ticket.End(place.Neutral, now)
 	for s := uint64(100); s < 140; s++ {
-		c, _ := p.Read(targets, spec, session(s), nil, now)
+		c, _ := p.Read(targets, spec, sessionPrompt(s), nil, now)
 		c.Ticket.First(now.Add(4 * c.Own))
 		c.Ticket.End(place.Good, now.Add(5*c.Own))
 		c.Ticket.End(place.Bad, now)
 	}
 	is.Equal(len(p.Own()), 0)
-	after, _ := p.Read(targets, spec, session(4), nil, now)
+	after, _ := p.Read(targets, spec, sessionPrompt(4), nil, now)
 	is.True(after.Own > 2*before.Own)
 }
 
-func TestForgetKeepsWhatIsInHand(t *testing.T) {
+func TestForgetKeepsWorkInProgress(t *testing.T) {
 	is := is.New(t)
-	p := newPlacer(others{})
+	p := newPlacer(peerWork{})
 	c, _ := p.Plain([]*fleet.Target{{ID: "a", Slots: 6}}, nil, 0, time.Now())
-	gone := func(string) bool { return false }
-	p.Forget(gone)
+	notListed := func(string) bool { return false }
+	p.Forget(notListed)
 	is.Equal(p.Own()["a"].Running, 1)
 	c.Ticket.End(place.Good, time.Now())
-	p.Forget(gone)
+	p.Forget(notListed)
 	is.Equal(len(p.Own()), 0)
 }
 
+// A hand-off sends the request twice over the VM's link.
 func TestSlowLinkPrefersOneSend(t *testing.T) {
 	is := is.New(t)
 	cfg := place.DefaultConfig("a")
 	cfg.LinkMbps = 10
-	q := session(5)
+	q := sessionPrompt(5)
 	q.BodyBytes = 80000
-	p := taught(t, cfg, others{})
+	p := trainedPlacer(t, cfg, peerWork{})
 	c, _ := p.Read([]*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}, spec, q, nil, time.Now())
 	is.True(c.InPlace)
 	cfg.LinkMbps = 1000
-	p = taught(t, cfg, others{})
+	p = trainedPlacer(t, cfg, peerWork{})
 	c, _ = p.Read([]*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}, spec, q, nil, time.Now())
 	is.True(!c.InPlace)
 }
 
-// What a narrow link has to send keeps the next request waiting.
-func TestBusyLinkIsReckonedWith(t *testing.T) {
+// A send that occupies a slow link delays the next request.
+func TestBusyLinkDelaysRequests(t *testing.T) {
 	is := is.New(t)
 	cfg := place.DefaultConfig("a")
 	cfg.LinkMbps = 10
-	p := place.New(cfg, others{}, unchanging)
+	p := place.New(cfg, peerWork{}, noStageChange)
 	targets := []*fleet.Target{engine("d", fleet.Decode)}
-	q := session(5)
+	q := sessionPrompt(5)
 	q.BodyBytes = 20000
 	now := time.Now()
 	before, _ := p.Read(targets, spec, q, nil, now)
@@ -292,12 +300,12 @@
 	is.True(later.Expected-later.Own < 35*time.Millisecond)
 }
 
-// A target that refuses at once looks idle: it must not draw all requests, and
-// is tried again a little later.
-func TestRefusingTargetDoesNotDrawAll(t *testing.T) {
+// A target that refuses at once looks idle. It must not attract all requests, and is tried again
+// later.
+func TestRefusingTargetDoesNotAttractAllRequests(t *testing.T) {
 	for _, stage := range []fleet.Stage{fleet.Decode, fleet.NoStage} {
 		is := is.New(t)
-		p := newPlacer(others{"busy": {Running: 4, Prefill: 30 * time.Millisecond}})
+		p := newPlacer(peerWork{"busy": {Running: 4, Prefill: 30 * time.Millisecond}})
 		targets := []*fleet.Target{engine("refusing", stage), engine("busy", stage)}
 		now := time.Now()
 		choose := func() place.Choice {
@@ -306,7 +314,7 @@
 				is.True(ok)
 				return c
 			}
-			c, ok := p.Read(targets, spec, session(5), nil, now)
+			c, ok := p.Read(targets, spec, sessionPrompt(5), nil, now)
 			is.True(ok)
 			return c
 		}
@@ -318,7 +326,7 @@
 				c.Ticket.End(place.Refused, now)
 				continue
 			}
-			c.Ticket.End(place.Neutral, now) // teaches nothing of its speed
+			c.Ticket.End(place.Neutral, now) // leaves the estimates unchanged
 		}
 		is.True(refusals >= 1 && refusals <= 4)
 		now = now.Add(15 * time.Second)
@@ -326,23 +334,23 @@
 	}
 }
 
-// The target whose handle could not be taken is avoided for a while too.
-func TestBlamedTargetIsAvoided(t *testing.T) {
+// A target whose handles could not be fetched is avoided for a while too.
+func TestTargetWithLostHandlesIsAvoided(t *testing.T) {
 	is := is.New(t)
-	p := newPlacer(others{"p2": {Prefill: 30 * time.Millisecond}})
+	p := newPlacer(peerWork{"p2": {Prefill: 30 * time.Millisecond}})
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("p2", fleet.Prefill), engine("d", fleet.Decode)}
 	now := time.Now()
 	for range 4 {
 		p.Blame("p1", now)
 	}
-	c, ok := p.Read(targets, spec, session(5), nil, now)
+	c, ok := p.Read(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
 	is.True(c.Target.ID != "p1")
 }
 
-// In a large fleet few targets are weighed: all VMs know the same homes of a
-// session, and what can be served is served.
-func TestLargeFleetIsThinned(t *testing.T) {
+// In a large fleet only some targets are evaluated. All VMs include the same ones for a session,
+// and a request is served if any target can serve it.
+func TestLargeFleetIsSampled(t *testing.T) {
 	is := is.New(t)
 	var targets []*fleet.Target
 	for i := range 1000 {
@@ -350,41 +358,41 @@
 	}
 	targets = append(targets, engine("d", fleet.Decode))
 	now := time.Now()
-	a, b := newPlacer(others{}), newPlacer(others{})
-	first, ok := a.Read(targets, spec, session(5), nil, now)
+	a, b := newPlacer(peerWork{}), newPlacer(peerWork{})
+	first, ok := a.Read(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
-	a.Commit(first, session(5), now)
+	a.Commit(first, sessionPrompt(5), now)
 	b.Observe(a.TakeUses(), now)
 	again := 0
 	for range 20 {
-		c, ok := b.Read(targets, spec, session(5), nil, now)
+		c, ok := b.Read(targets, spec, sessionPrompt(5), nil, now)
 		is.True(ok)
 		if c.Target.ID == first.Target.ID {
 			again++
 		}
 		c.Ticket.End(place.Neutral, now)
 	}
-	is.Equal(again, 20) // a home is always among those weighed
+	is.Equal(again, 20) // the targets that a session hashes to are always evaluated
 	for _, t := range targets[:999] {
 		t.Leaving = true
 	}
-	c, ok := a.Read(targets, spec, session(6), nil, now)
+	c, ok := a.Read(targets, spec, sessionPrompt(6), nil, now)
 	is.True(ok)
 	is.True(c.Target.ID == "p999" || c.Target.ID == "d")
-	c, ok = a.Decode(targets, spec, session(6), "", nil, now)
+	c, ok = a.Decode(targets, spec, sessionPrompt(6), "", nil, now)
 	is.True(ok)
 	is.Equal(c.Target.ID, "d")
 }
 
-// What one VM finds of a failing target, all avoid; a target that fails one
-// request in many stays in use, and one that recovers is tried again.
+// What one VM learns of a failing target makes all VMs avoid it. A target that fails one request in
+// many stays in use, and one that recovers is tried again.
 func TestFailuresOfOtherVMsCount(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	a, b := newPlacer(others{}), newPlacer(others{"busy": {Running: 4, Prefill: 40 * time.Millisecond}})
+	a, b := newPlacer(peerWork{}), newPlacer(peerWork{"busy": {Running: 4, Prefill: 40 * time.Millisecond}})
 	targets := []*fleet.Target{engine("failing", fleet.Decode), engine("busy", fleet.Decode)}
 	choose := func(p *place.Placer, now time.Time) place.Choice {
-		c, ok := p.Read(targets, spec, session(5), nil, now)
+		c, ok := p.Read(targets, spec, sessionPrompt(5), nil, now)
 		is.True(ok)
 		return c
 	}
@@ -396,7 +404,7 @@
 		if c.Target.ID != "failing" {
 			break
 		}
-		a.Commit(c, session(uint64(100)), now)
+		a.Commit(c, sessionPrompt(uint64(100)), now)
 		c.Ticket.End(place.Bad, now)
 	}
 	b.Observe(a.TakeUses(), now)
@@ -412,18 +420,18 @@
 	is.Equal(choose(b, later).Target.ID, "failing")
 }
 
-// One long time, a stall or a queue that was not known, does not make a target slow.
-func TestOneLongTimeDoesNotSlowATarget(t *testing.T) {
+// A single long time, as from a stall or an unknown queue, does not make a target count as slow.
+func TestOneSlowRequestDoesNotMakeATargetSlow(t *testing.T) {
 	is := is.New(t)
-	p := taught(t, place.DefaultConfig("a"), others{})
+	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{})
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}
 	now := time.Now()
-	before, _ := p.Read(targets, spec, session(3), nil, now)
+	before, _ := p.Read(targets, spec, sessionPrompt(3), nil, now)
 	before.Ticket.End(place.Neutral, now)
 	for s := uint64(100); s < 102; s++ {
-		c, _ := p.Read(targets, spec, session(s), nil, now)
+		c, _ := p.Read(targets, spec, sessionPrompt(s), nil, now)
 		c.Ticket.End(place.Good, now.Add(20*c.Own))
 	}
-	after, _ := p.Read(targets, spec, session(4), nil, now)
+	after, _ := p.Read(targets, spec, sessionPrompt(4), nil, now)
 	is.True(float64(after.Own) < 1.2*float64(before.Own))
 }
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -6,15 +6,15 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// queuePrefix marks the pseudo target under which VMs report the deferred requests of a
-// service, so that reports and summaries add them up like other work.
+// queuePrefix starts the id of the pseudo target under which VMs report the deferred requests of a
+// service. Reports and summaries can then add them up like other work.
 const queuePrefix = "queue/"
 
-// Wait counts a request of a service that was deferred with a choice until its ticket ends: the
-// reading of its prompt, and a run where it waits for a seat.
+// Wait counts a deferred request of a service until the returned ticket ends: the prefill of its
+// prompt, and a running request if it waits for a seat. c is the choice with which it was deferred.
 func (p *Placer) Wait(service string, c Choice) *Ticket {
 	work := Work{Prefill: c.Own, Prefills: 1}
-	if c.obstacle() == NoSeat {
+	if c.waitReason() == NoSeat {
 		work.Running = 1
 	}
 	p.mu.Lock()
@@ -22,20 +22,20 @@
 	return p.begin(&fleet.Target{ID: queuePrefix + service, Service: service}, work, time.Time{})
 }
 
-// seatQueue is how many requests wait at each of the targets that run the longest answers for
-// a seat there; the caller holds p.mu.
+// queuedPerTarget returns how many requests wait for a seat at each of the targets that are fast
+// enough for the longest answers. The caller holds p.mu.
 //
-// Load pattern: a burst of long answers, more than there are seats for at the targets at which
-// these end in time. A deferred request is sent once a seat is free, a newcomer already while
-// one is about to be; so newcomers count those that wait as if they ran.
-func (p *Placer) seatQueue(e engines, service string, targets []*fleet.Target) float64 {
-	waiting := p.total(queuePrefix + service).Running
+// Load pattern: a burst of long answers, more than the targets that can finish them in time have
+// seats for. A deferred request is sent once a seat is free, but a new one already while a seat is
+// about to become free. New requests therefore count the waiting ones as if they were running.
+func (p *Placer) queuedPerTarget(model engineModel, service string, targets []*fleet.Target) float64 {
+	waiting := p.totalWork(queuePrefix + service).Running
 	if waiting <= 0 {
 		return 0
 	}
 	serving := 0
 	for _, t := range targets {
-		if t.Stage != fleet.Prefill && !t.Leaving && e.servesLongest(p.at(t)) {
+		if t.Stage != fleet.Prefill && !t.Leaving && model.fastEnough(p.stateOf(t)) {
 			serving++
 		}
 	}
@@ -46,34 +46,34 @@
 func (p *Placer) Waiting(service string) Work {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.total(queuePrefix + service)
+	return p.totalWork(queuePrefix + service)
 }
 
-// Pressed reports whether prompts wait so long for the engines that prefill, there and at the
-// VMs, that one which is late anyway would not be sent (see Judge).
+// Pressed reports whether prompts queue so long at the prefill engines and at the VMs that a
+// request which is late already would not be sent (see Judge).
 func (p *Placer) Pressed(targets []*fleet.Target, objective time.Duration) bool {
 	if len(targets) == 0 {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	queued := p.total(queuePrefix + targets[0].Service).Prefill
+	queued := p.totalWork(queuePrefix + targets[0].Service).Prefill
 	engines := 0
 	for _, t := range targets {
 		if t.Stage == fleet.Prefill && !t.Leaving {
-			queued += p.total(t.RunID()).ahead()
+			queued += p.totalWork(t.RunID()).prefillWait()
 			engines++
 		}
 	}
 	return queued > idleWait(objective)*time.Duration(max(engines, 1))
 }
 
-// room returns the reading time that can be added to the targets before each reaches the
-// given wait, minus the work placed by others that is not reported yet.
-func room(ways []weighed, wait, unseen time.Duration) time.Duration {
+// freeCapacity returns the prefill time that can be added to the targets before each of them
+// reaches the given wait, less the work that other VMs have placed without it being reported yet.
+func freeCapacity(candidates []candidate, wait, unreported time.Duration) time.Duration {
 	var sum time.Duration
-	for _, w := range ways {
-		sum += max(wait-(w.expected-w.own), 0)
+	for _, c := range candidates {
+		sum += max(wait-(c.expected-c.ownPrefill), 0)
 	}
-	return max(sum-unseen, 0)
+	return max(sum-unreported, 0)
 }
--- a/internal/place/reborn_test.go
+++ b/internal/place/reborn_test.go
@@ -10,28 +10,28 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// bornAt is a target as it is after a start.
-func bornAt(t *fleet.Target, born int64) *fleet.Target {
+// startedAt returns the target as it is after a start at this time.
+func startedAt(t *fleet.Target, born int64) *fleet.Target {
 	next := *t
 	next.Born, next.Run = born, fleet.RunID(t.ID, born)
 	return &next
 }
 
-// A target that starts again under its id holds nothing, has nothing in hand and has not
-// failed; what ends late, or is told late, of the run before changes nothing.
-func TestTargetBornAgainBeginsAnew(t *testing.T) {
+// A target that restarts under its id has nothing cached, no work in progress and no failures.
+// Results and reports of its previous run that arrive late change nothing.
+func TestRestartedTargetHasNoState(t *testing.T) {
 	is := is.New(t)
-	before := bornAt(engine("d", fleet.Decode), 1000)
-	after := bornAt(before, 2000)
+	before := startedAt(engine("d", fleet.Decode), 1000)
+	after := startedAt(before, 2000)
 	now := time.Now()
-	p := taught(t, place.DefaultConfig("a"), others{before.RunID(): {Running: 9, Prefill: time.Second, Prefills: 9}})
+	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{before.RunID(): {Running: 9, Prefill: time.Second, Prefills: 9}})
 	read := func(target *fleet.Target) place.Choice {
-		c, ok := p.Read([]*fleet.Target{target}, spec, session(7), nil, now)
+		c, ok := p.Read([]*fleet.Target{target}, spec, sessionPrompt(7), nil, now)
 		is.True(ok)
 		return c
 	}
 	first := read(before)
-	p.Commit(first, session(7), now)
+	p.Commit(first, sessionPrompt(7), now)
 	first.Ticket.First(now)
 	is.True(read(before).Cached > 0)
 	for range 20 {
@@ -40,7 +40,7 @@
 
 	again := read(after)
 	is.Equal(again.Cached, 0)
-	is.True(again.Expected < 200*time.Millisecond) // 9,000 tokens, nothing ahead
+	is.True(again.Expected < 200*time.Millisecond) // 9,000 tokens with no prefills pending
 	again.Ticket.End(place.Neutral, now)
 
 	first.Ticket.End(place.Bad, now)
--- a/internal/place/record.go
+++ b/internal/place/record.go
@@ -6,81 +6,84 @@
 )
 
 const (
-	// recordMemory is how fast sends and failures of all VMs are forgotten: a
-	// target that recovers is tried again within some seconds.
-	recordMemory = 4 * time.Second
-	// recordPrior is the sends that a target is taken to have passed before any
-	// is known, so that one failure alone says little.
-	recordPrior = 4
+	// sendCountsDecay is the time constant with which the sends and failures of all VMs are
+	// forgotten. A target that recovers is tried again within a few seconds.
+	sendCountsDecay = 4 * time.Second
+	// priorSends is the number of successful sends assumed for a target in advance, so that a
+	// single failure has little weight.
+	priorSends = 4
 )
 
-// fading is what is left after dt of something that is forgotten over a memory.
-func fading(dt, memory time.Duration) float64 {
-	return math.Exp(-float64(dt) / float64(memory))
+// decayFactor returns the part of an exponentially decaying value that remains after dt.
+func decayFactor(dt, timeConstant time.Duration) float64 {
+	return math.Exp(-float64(dt) / float64(timeConstant))
 }
 
-// record counts the sends to a target and its failures, of all VMs, of late.
-type record struct {
+// sendCounts counts the recent sends of all VMs to a target and the failed ones, with exponential
+// decay.
+type sendCounts struct {
 	sent   float64
 	failed float64
 	at     time.Time
 }
 
-// fade brings the counts to now.
-func (r *record) fade(now time.Time) {
-	if dt := now.Sub(r.at); dt > 0 {
-		keep := fading(dt, recordMemory)
-		r.sent *= keep
-		r.failed *= keep
-		r.at = now
+// decay brings the counts up to now.
+func (c *sendCounts) decay(now time.Time) {
+	if dt := now.Sub(c.at); dt > 0 {
+		factor := decayFactor(dt, sendCountsDecay)
+		c.sent *= factor
+		c.failed *= factor
+		c.at = now
 	}
 }
 
-func (r *record) send(now time.Time) {
-	r.fade(now)
-	r.sent++
+// addSend counts a send to the target.
+func (c *sendCounts) addSend(now time.Time) {
+	c.decay(now)
+	c.sent++
 }
 
-func (r *record) fail(now time.Time) {
-	r.fade(now)
-	r.failed++
+// addFailure counts a failed request.
+func (c *sendCounts) addFailure(now time.Time) {
+	c.decay(now)
+	c.failed++
 }
 
-// succeed takes in that a request to the target has succeeded: older failures
-// count less.
-func (r *record) succeed() { r.failed -= failureWeight * r.failed }
+// addSuccess records that a request to the target succeeded, which reduces the weight of earlier
+// failures.
+func (c *sendCounts) addSuccess() { c.failed -= failureWeight * c.failed }
 
-// share is the part of the sends that failed.
-func (r *record) share(now time.Time) float64 {
-	r.fade(now)
-	return min(r.failed/(r.sent+recordPrior), 1)
+// failureRate returns the share of the sends that failed, from 0 to 1.
+func (c *sendCounts) failureRate(now time.Time) float64 {
+	c.decay(now)
+	return min(c.failed/(c.sent+priorSends), 1)
 }
 
 const (
-	// failurePrice is the price of a target all of whose answers fail.
-	failurePrice = time.Second
-	// refusalPrice is the price of a target that refuses all requests: less than
-	// that of one that fails, as a refused request has lost little.
-	refusalPrice = 300 * time.Millisecond
+	// failurePenalty is the cost of a target at which every request fails.
+	failurePenalty = time.Second
+	// refusalPenalty is the cost of a target that refuses every request. It is lower than
+	// failurePenalty, as a refused request loses little time.
+	refusalPenalty = 300 * time.Millisecond
 )
 
-// maxUnsound bounds the share of failed and refused requests that is reckoned with, so
-// that a target is tried again.
-const maxUnsound = 0.9
+// maxFailureRate bounds the share of failed and refused requests that is considered, so that a
+// failing target is tried again.
+const maxFailureRate = 0.9
 
-// tries is how many requests it takes for one to be served: what a target has cached is
-// worth nothing where it fails.
-func (s *state) tries(now time.Time) float64 {
-	share := max(s.failures, s.record.share(now), s.refusing(now))
-	return 1 / (1 - min(share, maxUnsound))
+// expectedTries returns how many sends it takes on average for a request to be served. A cached
+// prompt is worth nothing at a target that fails.
+func (s *state) expectedTries(now time.Time) float64 {
+	share := max(s.failureRate, s.sends.failureRate(now), s.currentRefusalRate(now))
+	return 1 / (1 - min(share, maxFailureRate))
 }
 
-// unsound is the price of a target that fails, refuses or cannot be reached.
-func (p *Placer) unsound(s *state, now time.Time) time.Duration {
-	failing := max(s.failures, s.record.share(now))
-	price := time.Duration(failing*float64(failurePrice) + s.refusing(now)*float64(refusalPrice))
+// healthPenalty returns the cost of a target that fails, refuses requests or cannot be reached.
+func (p *Placer) healthPenalty(s *state, now time.Time) time.Duration {
+	failing := max(s.failureRate, s.sends.failureRate(now))
+	penalty := time.Duration(failing*float64(failurePenalty) + s.currentRefusalRate(now)*float64(refusalPenalty))
 	if !s.reachable(now) {
-		price += failurePrice
+		penalty += failurePenalty
 	}
-	return price
+	return penalty
 }
--- a/internal/place/seats.go
+++ b/internal/place/seats.go
@@ -6,207 +6,214 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// need is the longest step at which the longest answers of a service, as far as they can end
-// in time at all, still do.
-type need struct {
+// stepLimit is the longest decode step at which the longest answers of a service still end in time.
+// Answers that no target is fast enough for do not count.
+type stepLimit struct {
+	// step is the limit, and at when it was last observed.
 	step time.Duration
 	at   time.Time
 }
 
 const (
-	// streamShare is the part of its time limit that the longest answer may take by
-	// reckoning; the rest is for what the reckoning misses: steps are known to some in 100, and
-	// later requests join the batch.
-	streamShare = 0.9
-	// batchShare is the price of joining a batch whose slots are all taken, as a
-	// part of the time that a run keeps its slot.
-	batchShare = 0.04
-	// leaveShare is the price of the last seat at a target that is fast enough for the longest
-	// answers, to answers that end in time elsewhere too, as a part of the time that a run keeps
-	// its seat.
-	leaveShare = 0.3
-	// seatsShare is the part of the slots that are filled whatever is reckoned for the longest
-	// answers: few are that long, all others would be turned away for them, and what a VM has
-	// learned since its start may be wrong.
-	seatsShare = 0.4
+	// answerTimeShare is the part of its time limit that the longest answer may take by estimate.
+	// The rest allows for errors: step times are known to within a few percent, and later requests
+	// join the batch.
+	answerTimeShare = 0.9
+	// fullBatchCost is the cost of joining a batch whose slots are all taken, as a part of the time
+	// that a request keeps its slot.
+	fullBatchCost = 0.04
+	// lastSeatCost is the cost of the last seat at a target that is fast enough for the longest
+	// answers, for an answer that would end in time elsewhere too. It is a part of the time that a
+	// request keeps its seat.
+	lastSeatCost = 0.3
+	// minSeatsShare is the part of the slots that may be filled whatever the estimate for the
+	// longest answers is. Only few answers are that long and all others would be turned away for
+	// them, and what a VM has learned since its start may be wrong.
+	minSeatsShare = 0.4
 )
 
-// readingMemory is the time over which reading beside streams is levelled: about as long as
-// the longest answers take, so that a burst of prompts need not be turned away.
-const readingMemory = 10 * time.Second
+// inPlaceDecay is the time constant of the rate of prompts that are prefilled beside running
+// streams. It is about as long as the longest answers take, so that a burst of prompts need not be
+// turned away.
+const inPlaceDecay = 10 * time.Second
 
-// needMemory is how long a need counts: about as long as the longest answers take.
-const needMemory = 15 * time.Second
+// stepLimitTTL is how long an observed step limit counts: about as long as the longest answers
+// take.
+const stepLimitTTL = 15 * time.Second
 
-// take takes in the step that an answer needs.
-func (n *need) take(step time.Duration, now time.Time) {
-	if have := n.current(now); have == 0 || step <= have {
-		n.step, n.at = step, now
+// observe records the decode step that an answer needs. A shorter step replaces a longer one.
+func (l *stepLimit) observe(step time.Duration, now time.Time) {
+	if have := l.current(now); have == 0 || step <= have {
+		l.step, l.at = step, now
 	}
 }
 
-// current returns the step needed as of now, or 0 where no long answer came of late.
-func (n *need) current(now time.Time) time.Duration {
-	if now.Sub(n.at) > needMemory {
+// current returns the step limit as of now, or 0 if no long answer was seen recently.
+func (l *stepLimit) current(now time.Time) time.Duration {
+	if now.Sub(l.at) > stepLimitTTL {
 		return 0
 	}
-	return n.step
+	return l.step
 }
 
-// need is that of a service; the caller holds p.mu.
-func (p *Placer) need(service string) *need {
-	n := p.needs[service]
-	if n == nil {
-		n = &need{}
-		p.needs[service] = n
+// stepLimit returns the step limit of a service. The caller holds p.mu.
+func (p *Placer) stepLimit(service string) *stepLimit {
+	l := p.stepLimits[service]
+	if l == nil {
+		l = &stepLimit{}
+		p.stepLimits[service] = l
 	}
-	return n
+	return l
 }
 
-// batch is what a request asks of the batch that it joins.
-type batch struct {
-	// stream says that the answer is a stream, whose steps others make longer.
+// batchNeeds is what a request needs from the batch that it joins.
+type batchNeeds struct {
+	// stream is set if the answer is a long stream, whose steps become longer with the batch.
 	stream bool
-	// step is the longest step at which its longest answer ends within limit; 0 where no
-	// target is fast enough for it.
-	step  time.Duration
-	limit time.Duration
-	// queue is how many requests have waited longer for a seat at each target that runs the
-	// longest answers.
-	queue float64
-}
-
-// setBatch sets what q asks of its batch at the targets; the caller holds p.mu.
-func (p *Placer) setBatch(e *engines, targets []*fleet.Target, q *Prompt, now time.Time) {
-	if e.streams(q) == 0 || q.Limit <= 0 || len(targets) == 0 {
+	// maxStep is the longest step at which the longest answer that the request may have ends within
+	// timeLimit, or 0 if no target is fast enough for that.
+	maxStep   time.Duration
+	timeLimit time.Duration
+	// queuedAhead is how many requests wait longer for a seat at each target that is fast enough
+	// for the longest answers.
+	queuedAhead float64
+}
+
+// setBatchNeeds sets in model what q needs from its batch. The caller holds p.mu.
+func (p *Placer) setBatchNeeds(model *engineModel, targets []*fleet.Target, q *Prompt, now time.Time) {
+	if model.longStreams(q) == 0 || q.Limit <= 0 || len(targets) == 0 {
 		return
 	}
-	e.batch = batch{stream: true, limit: time.Duration(streamShare * float64(q.Limit))}
-	longest := max(e.longest(q), 1)
-	step := e.batch.limit / time.Duration(longest)
-	if !p.anyWithin(*e, targets, step) {
+	model.batch = batchNeeds{stream: true, timeLimit: time.Duration(answerTimeShare * float64(q.Limit))}
+	longest := max(model.longestAnswer(q), 1)
+	step := model.batch.timeLimit / time.Duration(longest)
+	if !p.anyFastEnough(*model, targets, step) {
 		return
 	}
-	e.batch.step = step
-	// Those that come back have less time left; engines are kept free for first tries.
-	n := p.need(targets[0].Service)
-	n.take(time.Duration(streamShare*float64(max(q.FullLimit, q.Limit)))/time.Duration(longest), now)
-	e.long = n.current(now)
+	model.batch.maxStep = step
+	// Callers that come back have less time left. Seats are reserved for the time limit of first
+	// tries.
+	limit := p.stepLimit(targets[0].Service)
+	limit.observe(time.Duration(answerTimeShare*float64(max(q.FullLimit, q.Limit)))/time.Duration(longest), now)
+	model.maxStep = limit.current(now)
 	if !q.Deferred {
-		e.batch.queue = p.seatQueue(*e, targets[0].Service, targets)
+		model.batch.queuedAhead = p.queuedPerTarget(*model, targets[0].Service, targets)
 	}
 }
 
-// anyWithin reports whether a decode target makes steps no longer than step for a request
-// that runs alone; the caller holds p.mu.
-func (p *Placer) anyWithin(e engines, targets []*fleet.Target, step time.Duration) bool {
+// anyFastEnough reports whether any decode target takes at most step for a decode step of a request
+// that runs alone. The caller holds p.mu.
+func (p *Placer) anyFastEnough(model engineModel, targets []*fleet.Target, step time.Duration) bool {
 	for _, t := range targets {
-		if t.Stage != fleet.Prefill && !t.Leaving && e.within(p.at(t), step) >= 1 {
+		if t.Stage != fleet.Prefill && !t.Leaving && model.maxBatch(p.stateOf(t), step) >= 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// longest is the tokens that q's answer may well have.
-func (e engines) longest(q *Prompt) int {
+// longestAnswer returns the number of tokens that the answer to q may well reach.
+func (e engineModel) longestAnswer(q *Prompt) int {
 	return min(int(e.Stretch()*float64(q.Output)), q.MaxOutput)
 }
 
-// within is how many requests may run at a target for its steps to take no longer than step.
-// It is below 1 where the target is too slow.
-func (e engines) within(s *state, step time.Duration) float64 {
-	return e.MaxBeside(time.Duration(float64(step)/s.pace)) + 1
+// maxBatch returns how many requests may run at a target for its steps to take no longer than step.
+// The result is below 1 if the target is too slow.
+func (e engineModel) maxBatch(s *state, step time.Duration) float64 {
+	return e.MaxBeside(time.Duration(float64(step)/s.stepSlowdown)) + 1
 }
 
-// openSlots is how many requests may run at t.
-func openSlots(t *fleet.Target) int { return max(t.Slots-spareSlots, 1) }
+// usableSlots returns how many requests may run at t, less the spare slots.
+func usableSlots(t *fleet.Target) int { return max(t.Slots-spareSlots, 1) }
 
-// seats is how many requests may run at t beside the one that is placed.
-func (e engines) seats(t *fleet.Target, s *state) int {
+// seats returns how many requests may run at t before the request waits for a seat.
+func (e engineModel) seats(t *fleet.Target, s *state) int {
 	if !e.batch.stream {
-		return openSlots(t)
+		return usableSlots(t)
 	}
-	return e.longSeats(t, s)
+	return e.seatsForLongest(t, s)
 }
 
-// longSeats is how many requests may run at t for the longest answers of the service to end in
-// time there, where any do.
-func (e engines) longSeats(t *fleet.Target, s *state) int {
-	open := float64(openSlots(t))
-	if !e.servesLongest(s) {
+// seatsForLongest returns how many requests may run at t for the service's longest answers to end
+// in time there. A target that is too slow for them can use all its slots.
+func (e engineModel) seatsForLongest(t *fleet.Target, s *state) int {
+	open := float64(usableSlots(t))
+	if !e.fastEnough(s) {
 		return int(open)
 	}
-	return int(min(max(e.within(s, e.long), seatsShare*open, 1), open))
+	return int(min(max(e.maxBatch(s, e.maxStep), minSeatsShare*open, 1), open))
 }
 
-// servesLongest reports whether a target is fast enough for the longest answers to be placed
-// there. One that is not is not kept free for them.
-func (e engines) servesLongest(s *state) bool { return e.long > 0 && e.within(s, e.long) >= 1 }
+// fastEnough reports whether a target is fast enough for the longest answers of the service. Seats
+// are reserved for them only at such targets.
+func (e engineModel) fastEnough(s *state) bool { return e.maxStep > 0 && e.maxBatch(s, e.maxStep) >= 1 }
 
-// leavesTime reports whether a prompt may be read beside the streams of a decode target: in
-// the part of its time that the steps of the longest answers leave. Where only single pauses
-// were bounded, a burst of prompts made all steps longer for as long as it lasted.
-func (e engines) leavesTime(s *state, load Work, prefill time.Duration, now time.Time) bool {
-	if load.Streams == 0 || !e.servesLongest(s) || prefill <= time.Duration(trifle*float64(e.pauseBudget())) {
+// leavesStepTime reports whether a decode target may prefill a prompt beside its streams: within
+// the part of its time that the steps of the longest answers leave. When only the single gaps were
+// limited, a burst of prompts made all steps longer for as long as it lasted.
+func (e engineModel) leavesStepTime(s *state, load Work, prefill time.Duration, now time.Time) bool {
+	if load.Streams == 0 || !e.fastEnough(s) || prefill <= time.Duration(smallPromptShare*float64(e.gapBudget())) {
 		return true
 	}
-	steps := float64(e.StepTime(load.Running)) * s.pace / float64(e.long)
-	return s.reading.share(now)+float64(prefill)/float64(readingMemory) <= 1-steps
+	stepShare := float64(e.StepTime(load.Running)) * s.stepSlowdown / float64(e.maxStep)
+	return s.inPlacePrefills.share(now)+float64(prefill)/float64(inPlaceDecay) <= 1-stepShare
 }
 
-// seat is what joining a decode target's batch costs.
+// seat is a place in a decode target's batch: the wait for it and the cost of taking it. A target has
+// as many seats as slots that can be used, or fewer where its steps would become too long for the
+// longest answers.
 type seat struct {
-	wait  time.Duration
-	price time.Duration
+	wait time.Duration
+	cost time.Duration
 }
 
-// seat reckons the seat of the request at t.
-func (e engines) seat(t *fleet.Target, s *state, load Work, now time.Time) seat {
+// seat estimates the seat of the request at t, whose work in progress is load.
+func (e engineModel) seat(t *fleet.Target, s *state, load Work, now time.Time) seat {
 	seats := e.seats(t, s)
 	run := float64(e.RunTime())
-	used := float64(load.Running) / float64(seats)
-	st := seat{price: time.Duration(used*used*batchShare*run) + e.overrun(s, load, now)}
-	if e.batch.step > e.long && seats < openSlots(t) {
-		spare := 1 - float64(e.long)/float64(e.batch.step)
-		st.price += time.Duration(spare * used * used * leaveShare * run)
+	usedShare := float64(load.Running) / float64(seats)
+	st := seat{cost: time.Duration(usedShare*usedShare*fullBatchCost*run) + e.overrun(s, load, now)}
+	if e.batch.maxStep > e.maxStep && seats < usableSlots(t) {
+		spareShare := 1 - float64(e.maxStep)/float64(e.batch.maxStep)
+		st.cost += time.Duration(spareShare * usedShare * usedShare * lastSeatCost * run)
 	}
-	taken := float64(load.Running)
-	if e.servesLongest(s) {
-		taken += e.batch.queue
+	occupied := float64(load.Running)
+	if e.fastEnough(s) {
+		occupied += e.batch.queuedAhead
 	}
-	if over := taken - float64(seats); over >= 0 {
+	if over := occupied - float64(seats); over >= 0 {
 		st.wait = time.Duration((over + 1) * run / float64(seats))
-		st.price += st.wait
+		st.cost += st.wait
 	}
 	return st
 }
 
-// overrun is the time by which the longest answer that has to end at a target would miss its
-// limit: the request's own, so that long answers go where they end in time, and at targets
-// that are fast enough for the longest ones theirs, so that shorter ones leave them the seats
-// and fill the slower targets first.
+// overrun returns by how much the longest answer that matters at a target would miss its time
+// limit. That is the longest answer of the request itself, so that long answers go where they end
+// in time. At targets that are fast enough for the service's longest answers it is one of those, so
+// that shorter answers leave them the seats and fill the slower targets first.
 //
-// Load pattern: streams of all lengths on engines that differ in speed, in a burst. Dealt alike
-// to all, long answers are lost at the slower engines, and at the faster ones too, as short
-// answers fill their batches.
-func (e engines) overrun(s *state, load Work, now time.Time) time.Duration {
-	allowed := e.batch.step
-	if e.servesLongest(s) && (allowed == 0 || e.long < allowed) {
-		allowed = e.long
+// Load pattern: a burst of streams of all lengths on engines that differ in speed. If they are
+// dealt equally to all, long answers are lost at the slower engines, and at the faster ones too,
+// because short answers fill their batches.
+func (e engineModel) overrun(s *state, load Work, now time.Time) time.Duration {
+	maxStep := e.batch.maxStep
+	if e.fastEnough(s) && (maxStep == 0 || e.maxStep < maxStep) {
+		maxStep = e.maxStep
 	}
-	if allowed == 0 {
+	if maxStep == 0 {
 		return 0
 	}
-	step := float64(e.StepTime(load.Running)) * s.pace / (1 - min(s.reading.share(now), mostReading))
-	return time.Duration(max(step/float64(allowed)-1, 0) * float64(e.batch.limit))
+	step := float64(e.StepTime(load.Running)) * s.stepSlowdown / (1 - min(s.inPlacePrefills.share(now), maxInPlaceShare))
+	return time.Duration(max(step/float64(maxStep)-1, 0) * float64(e.batch.timeLimit))
 }
 
-// mostReading bounds the part of its time that a target is taken to read prompts for.
-const mostReading = 0.8
+// maxInPlaceShare bounds the part of its time that a target is assumed to spend on prefills in
+// place.
+const maxInPlaceShare = 0.8
 
-// seatOf states what a run beside others is reckoned with.
-func (e engines) seatOf(s *state, beside int, q *Prompt) Seat {
-	step := float64(e.StepTime(beside)) * s.pace
-	return Seat{Beside: beside, Longest: time.Duration(step * float64(e.longest(q)))}
+// seatEstimate returns the estimate for a request that runs beside so many others.
+func (e engineModel) seatEstimate(s *state, beside int, q *Prompt) Seat {
+	step := float64(e.StepTime(beside)) * s.stepSlowdown
+	return Seat{Beside: beside, Longest: time.Duration(step * float64(e.longestAnswer(q)))}
 }
--- a/internal/place/seats_test.go
+++ b/internal/place/seats_test.go
@@ -11,96 +11,97 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// wide returns a decode engine with many slots.
-func wide(id string) *fleet.Target {
+// wideEngine returns a decode engine with many slots.
+func wideEngine(id string) *fleet.Target {
 	t := engine(id, fleet.Decode)
 	t.Slots = 96
 	return t
 }
 
-// newTaught returns a taught placer; o may be changed later.
-func newTaught(o others) *place.Placer {
-	p := place.New(place.DefaultConfig("a"), o, unchanging)
-	teach(p)
+// newTrainedPlacer returns a trained placer. The work in o may be changed later.
+func newTrainedPlacer(o peerWork) *place.Placer {
+	p := place.New(place.DefaultConfig("a"), o, noStageChange)
+	train(p)
 	return p
 }
 
-// writes has an engine write answers beside so many others, each event of 59 tokens in
-// pause; each third one has stretch times the tokens that its caller expected.
-func writes(p *place.Placer, o others, t *fleet.Target, beside int, pause time.Duration, stretch float64) {
+// observeAnswers has a placer observe answers of an engine beside so many running requests, with an
+// event of 59 tokens each eventGap. Every third answer has outputFactor times the tokens that its
+// caller expected.
+func observeAnswers(p *place.Placer, o peerWork, t *fleet.Target, running int, eventGap time.Duration, outputFactor float64) {
 	now := time.Now()
 	before := o[t.ID]
-	o[t.ID] = place.Work{Running: beside}
+	o[t.ID] = place.Work{Running: running}
 	for i := range 60 {
-		q := hint()
+		q := longAnswerPrompt()
 		q.Limit = time.Hour
 		c, _ := p.Decode([]*fleet.Target{t}, spec, q, "a", nil, now)
-		events := hint().Output / 59
+		events := longAnswerPrompt().Output / 59
 		if i%3 == 0 {
-			events = int(stretch * float64(events))
+			events = int(outputFactor * float64(events))
 		}
 		c.Ticket.First(now)
-		c.Ticket.Stream(events, pause*time.Duration(events-1))
+		c.Ticket.Stream(events, eventGap*time.Duration(events-1))
 		c.Ticket.End(place.Good, now)
 	}
 	o[t.ID] = before
 }
 
-// An engine whose steps grow by 1.7 in 100 with each request beside takes 15.5 s for the 12,000
-// tokens that an answer may have beside 70 others, of the 15 s that it may take.
+// The steps of this engine grow by 1.7% with each request in its batch. Beside 70 others it takes
+// 15.5 s for the 12,000 tokens that an answer may have, longer than the limit of 15 s.
 func TestLongAnswersLimitTheBatch(t *testing.T) {
 	is := is.New(t)
-	o := others{"d1": {Running: 70, Streams: 70}}
-	p := newTaught(o)
-	d1 := wide("d1")
-	writes(p, o, d1, 60, 70*time.Millisecond, 2.4)
-	c, _ := p.Read([]*fleet.Target{d1}, spec, hint(), nil, time.Now())
+	o := peerWork{"d1": {Running: 70, Streams: 70}}
+	p := newTrainedPlacer(o)
+	d1 := wideEngine("d1")
+	observeAnswers(p, o, d1, 60, 70*time.Millisecond, 2.4)
+	c, _ := p.Read([]*fleet.Target{d1}, spec, longAnswerPrompt(), nil, time.Now())
 	is.True(c.Expected > 250*time.Millisecond)
-	p = newTaught(o)
-	writes(p, o, d1, 60, 70*time.Millisecond, 2.4)
-	patient := hint()
-	patient.Limit = time.Minute
-	c, _ = p.Read([]*fleet.Target{d1}, spec, patient, nil, time.Now())
+	p = newTrainedPlacer(o)
+	observeAnswers(p, o, d1, 60, 70*time.Millisecond, 2.4)
+	relaxed := longAnswerPrompt()
+	relaxed.Limit = time.Minute
+	c, _ = p.Read([]*fleet.Target{d1}, spec, relaxed, nil, time.Now())
 	is.True(c.Expected < 100*time.Millisecond)
 }
 
-// Where steps hardly grow, or answers are no longer than expected, the same batch is open.
+// If steps hardly grow, or answers are no longer than expected, the same batch has free seats.
 func TestBatchIsLimitedByWhatIsLearned(t *testing.T) {
 	for name, c := range map[string]struct {
 		pause   time.Duration
 		stretch float64
-	}{"steps that hardly grow": {38 * time.Millisecond, 2.4}, "answers as expected": {77 * time.Millisecond, 1}} {
+	}{"steps hardly grow": {38 * time.Millisecond, 2.4}, "answers as long as expected": {77 * time.Millisecond, 1}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			o := others{"d1": {Running: 70, Streams: 70}}
-			p := newTaught(o)
-			d1 := wide("d1")
-			writes(p, o, d1, 60, c.pause, c.stretch)
-			// What was needed before answers were known counts no more.
+			o := peerWork{"d1": {Running: 70, Streams: 70}}
+			p := newTrainedPlacer(o)
+			d1 := wideEngine("d1")
+			observeAnswers(p, o, d1, 60, c.pause, c.stretch)
+			// The step limit that was observed before answers were known has expired by then.
 			later := time.Now().Add(time.Minute)
-			choice, _ := p.Read([]*fleet.Target{d1}, spec, hint(), nil, later)
+			choice, _ := p.Read([]*fleet.Target{d1}, spec, longAnswerPrompt(), nil, later)
 			is.True(choice.Expected < 100*time.Millisecond)
 		})
 	}
 }
 
-// Two engines of a service, one of which writes 1.5 times slower: answers that may be long go
-// to the faster one, though it runs more, and short ones to the emptier one.
+// Of two engines of a service, one is 1.5 times slower. Long answers go to the faster one although
+// it runs more requests, and short ones to the emptier one.
 func TestLongAnswersGoWhereTheyEndInTime(t *testing.T) {
 	is := is.New(t)
-	o := others{}
-	p := newTaught(o)
-	fast, slow := wide("fast"), wide("slow")
-	writes(p, o, fast, 0, 55*time.Millisecond, 2.4)
-	writes(p, o, slow, 0, 83*time.Millisecond, 2.4)
-	writes(p, o, fast, 0, 55*time.Millisecond, 2.4)
+	o := peerWork{}
+	p := newTrainedPlacer(o)
+	fast, slow := wideEngine("fast"), wideEngine("slow")
+	observeAnswers(p, o, fast, 0, 55*time.Millisecond, 2.4)
+	observeAnswers(p, o, slow, 0, 83*time.Millisecond, 2.4)
+	observeAnswers(p, o, fast, 0, 55*time.Millisecond, 2.4)
 	o["fast"], o["slow"] = place.Work{Running: 12, Streams: 12}, place.Work{Running: 6, Streams: 6}
 	both := []*fleet.Target{slow, fast}
 	for range 20 {
-		c, _ := p.Decode(both, spec, hint(), "a", nil, time.Now())
+		c, _ := p.Decode(both, spec, longAnswerPrompt(), "a", nil, time.Now())
 		is.Equal(c.Target.ID, "fast")
 		c.Ticket.End(place.Neutral, time.Now())
-		short := hint()
+		short := longAnswerPrompt()
 		short.Output, short.MaxOutput = 500, 500
 		c, _ = p.Decode(both, spec, short, "a", nil, time.Now())
 		is.Equal(c.Target.ID, "slow")
@@ -108,24 +109,24 @@
 	}
 }
 
-// A decode engine whose streams may be long reads other prompts only in the part of its time
-// that the longest answers do not need; without streams it reads all.
-func TestReadingLeavesLongAnswersTheirTime(t *testing.T) {
-	// read returns how many of 500 prompts, one each 40 ms, the decode engine reads.
-	read := func(streams int) (n int) {
-		o := others{}
-		p := newTaught(o)
-		d1, p1 := wide("d1"), engine("p1", fleet.Prefill)
-		writes(p, o, d1, 0, 55*time.Millisecond, 2.4)
+// A decode engine with streams that may be long prefills other prompts only in the part of its time
+// that the longest answers do not need. Without streams it prefills all.
+func TestPrefillLeavesTimeForLongAnswers(t *testing.T) {
+	// countInPlace returns how many of 500 prompts, one every 40 ms, the decode engine prefills.
+	countInPlace := func(streams int) (n int) {
+		o := peerWork{}
+		p := newTrainedPlacer(o)
+		d1, p1 := wideEngine("d1"), engine("p1", fleet.Prefill)
+		observeAnswers(p, o, d1, 0, 55*time.Millisecond, 2.4)
 		o["d1"] = place.Work{Running: streams, Streams: streams}
-		// The prefill engine is busy, so that prompts would rather be read beside streams.
+		// The prefill engine is busy, so that a prefill beside the streams would be cheaper.
 		o["p1"] = place.Work{Prefill: 200 * time.Millisecond, Prefills: 4}
 		now := time.Now()
-		hinted, _ := p.Decode([]*fleet.Target{d1}, spec, hint(), "a", nil, now)
+		hinted, _ := p.Decode([]*fleet.Target{d1}, spec, longAnswerPrompt(), "a", nil, now)
 		hinted.Ticket.End(place.Neutral, now)
 		for i := range 500 {
 			now = now.Add(40 * time.Millisecond)
-			q := session(uint64(5000 + i))
+			q := sessionPrompt(uint64(5000 + i))
 			c, _ := p.Read([]*fleet.Target{d1, p1}, spec, q, nil, now)
 			p.Commit(c, q, now)
 			if c.InPlace {
@@ -136,33 +137,33 @@
 		return n
 	}
 	is := is.New(t)
-	is.Equal(read(0), 500)
-	beside := read(3)
-	t.Logf("%d of 500 prompts are read beside 3 streams", beside)
+	is.Equal(countInPlace(0), 500)
+	beside := countInPlace(3)
+	t.Logf("%d of 500 prompts are prefilled beside 3 streams", beside)
 	is.True(beside > 0)
 	is.True(beside < 200)
 }
 
-// An answer of 200 events takes a quarter of a minute. What had ended told of short answers
-// and of the smaller batches of seconds ago, so that after a crash that gathered 90 streams
-// at each engine left, and for seconds after a start, long answers were reckoned wrongly:
+// An answer of 200 events takes 15 s. Answers that had ended showed only short answers and the
+// smaller batches of seconds ago. After a crash that moved 90 streams to each remaining engine, and
+// for seconds after a start, the times of long answers were therefore estimated wrongly:
 //
 //	event=request_failed beside=36 longest_ms=16633 event_us=72313 last_event=195
 //	event=request_failed beside=6 longest_ms=38350 event_us=64440 last_event=208
 //
-// The answers that are being made tell the pace of their batch within a second or two.
-func TestPaceIsLearnedWhileAnswersAreMade(t *testing.T) {
-	for _, pause := range []time.Duration{70 * time.Millisecond, 300 * time.Millisecond} {
-		t.Run(pause.String(), func(t *testing.T) {
+// The answers in progress show the step time of their batch within a second or two.
+func TestStepTimeIsLearnedDuringAnswers(t *testing.T) {
+	for _, eventGap := range []time.Duration{70 * time.Millisecond, 300 * time.Millisecond} {
+		t.Run(eventGap.String(), func(t *testing.T) {
 			is := is.New(t)
-			o := others{"d1": {Running: 5, Streams: 5}}
-			p := newTaught(o)
-			d1 := wide("d1")
-			writes(p, o, d1, 5, 55*time.Millisecond, 2.4)
+			o := peerWork{"d1": {Running: 5, Streams: 5}}
+			p := newTrainedPlacer(o)
+			d1 := wideEngine("d1")
+			observeAnswers(p, o, d1, 5, 55*time.Millisecond, 2.4)
 			now := time.Now()
 			running := make([]*place.Ticket, 20)
 			for i := range running {
-				c, ok := p.Decode([]*fleet.Target{d1}, spec, hint(), "a", nil, now)
+				c, ok := p.Decode([]*fleet.Target{d1}, spec, longAnswerPrompt(), "a", nil, now)
 				is.True(ok)
 				c.Ticket.First(now)
 				c.Ticket.Events(1, now)
@@ -170,34 +171,34 @@
 			}
 			o["d1"] = place.Work{Running: 60, Streams: 60}
 			for range 48 {
-				now = now.Add(pause)
+				now = now.Add(eventGap)
 				for _, t := range running {
 					t.Events(1, now)
 				}
 			}
-			q := hint()
+			q := longAnswerPrompt()
 			c, _ := p.Decode([]*fleet.Target{d1}, spec, q, "a", nil, now)
-			most := time.Duration(q.MaxOutput/59) * pause
-			t.Logf("the longest answer takes %s, and is reckoned to take %s", most, c.Seat.Longest)
-			is.True(c.Seat.Longest > most*8/10)
-			is.True(c.Seat.Longest < most*12/10)
+			want := time.Duration(q.MaxOutput/59) * eventGap
+			t.Logf("the longest answer takes %s, estimated %s", want, c.Seat.Longest)
+			is.True(c.Seat.Longest > want*8/10)
+			is.True(c.Seat.Longest < want*12/10)
 		})
 	}
 }
 
-// Two engines of a service, one 1.3 times slower. The slower one runs fewer answers, which take
-// longer all the same; taken for one engine, steps seemed not to grow with what runs beside. So
-// the faster one was given 50 to 60 answers at once, each reckoned to end in 13.6 s, and made an
-// event each 72 ms, of which the longest answer may take 70:
+// Of two engines of a service, one is 1.3 times slower. It runs smaller batches, but their steps
+// take longer all the same. Without a speed of its own for each engine, steps seemed not to grow
+// with the batch size. The faster engine was therefore given 50 to 60 answers at once, each
+// estimated to end in 13.6 s, and took 72 ms per event, where the longest answer may take 70 ms:
 //
 //	event=request_failed kind=client_gone ms=14999 beside=52 longest_ms=13765 last_event=210
-func TestGrowthIsLearnedOfEnginesThatDifferInSpeed(t *testing.T) {
+func TestStepGrowthIsLearnedOfEnginesThatDifferInSpeed(t *testing.T) {
 	is := is.New(t)
-	o := others{}
-	p := newTaught(o)
-	fast, slow := wide("fast"), wide("slow")
-	pause := func(t *fleet.Target, beside int) time.Duration {
-		ms := 53 + 0.35*float64(beside)
+	o := peerWork{}
+	p := newTrainedPlacer(o)
+	fast, slow := wideEngine("fast"), wideEngine("slow")
+	eventGap := func(t *fleet.Target, running int) time.Duration {
+		ms := 53 + 0.35*float64(running)
 		if t == slow {
 			ms *= 1.3
 		}
@@ -205,56 +206,56 @@
 	}
 	r := rand.New(rand.NewPCG(3, 3))
 	for range 20 {
-		for t, most := range map[*fleet.Target]int{fast: 60, slow: 25} {
-			beside := most - r.IntN(15)
-			writes(p, o, t, beside, pause(t, beside), 2.4)
+		for t, maxRunning := range map[*fleet.Target]int{fast: 60, slow: 25} {
+			running := maxRunning - r.IntN(15)
+			observeAnswers(p, o, t, running, eventGap(t, running), 2.4)
 		}
 	}
 	for _, target := range []*fleet.Target{fast, slow} {
-		for _, beside := range []int{5, 30, 70} {
-			o[target.ID] = place.Work{Running: beside}
-			q := hint()
+		for _, running := range []int{5, 30, 70} {
+			o[target.ID] = place.Work{Running: running}
+			q := longAnswerPrompt()
 			c, _ := p.Decode([]*fleet.Target{target}, spec, q, "a", nil, time.Now())
 			c.Ticket.End(place.Neutral, time.Now())
-			want := time.Duration(q.MaxOutput/59) * pause(target, beside)
-			t.Logf("%s beside %d: %s reckoned, %s it is", target.ID, beside, c.Seat.Longest, want)
+			want := time.Duration(q.MaxOutput/59) * eventGap(target, running)
+			t.Logf("%s beside %d: estimated %s, actual %s", target.ID, running, c.Seat.Longest, want)
 			is.True(c.Seat.Longest > want*9/10)
 			is.True(c.Seat.Longest < want*11/10)
 		}
 	}
 }
 
-// Two engines, one 1.3 times slower, too slow for the longest answers. In a burst of prompts
-// the reading that other VMs place unseen is worth more than a seat was, so that short answers
-// were dealt to both alike until the faster one's seats were taken, and long ones found none:
-// of 377 answers 85 were refused, most of the largest among them.
-func TestShorterAnswersLeaveTheFasterTarget(t *testing.T) {
+// Of two engines, one is 1.3 times slower and too slow for the longest answers. In a burst of
+// prompts, the unreported prefills of other VMs outweighed the cost of a seat. Short answers were
+// therefore spread equally over both engines until the seats of the faster one were taken, and long
+// answers found none: of 377 answers 85 were refused, among them most of the largest.
+func TestShortAnswersLeaveFasterTargetToLongOnes(t *testing.T) {
 	is := is.New(t)
-	o := others{}
-	p := place.New(place.DefaultConfig("a"), late{o}, unchanging)
-	teach(p)
-	fast, slow := wide("fast"), wide("slow")
+	o := peerWork{}
+	p := place.New(place.DefaultConfig("a"), delayedWork{o}, noStageChange)
+	train(p)
+	fast, slow := wideEngine("fast"), wideEngine("slow")
 	for range 3 {
-		writes(p, o, fast, 0, 55*time.Millisecond, 2.4)
-		writes(p, o, fast, 60, 78*time.Millisecond, 2.4)
-		writes(p, o, slow, 0, 74*time.Millisecond, 2.4)
-		writes(p, o, slow, 60, 105*time.Millisecond, 2.4)
+		observeAnswers(p, o, fast, 0, 55*time.Millisecond, 2.4)
+		observeAnswers(p, o, fast, 60, 78*time.Millisecond, 2.4)
+		observeAnswers(p, o, slow, 0, 74*time.Millisecond, 2.4)
+		observeAnswers(p, o, slow, 60, 105*time.Millisecond, 2.4)
 	}
 	o["fast"], o["slow"] = place.Work{Running: 16, Streams: 16}, place.Work{Running: 46, Streams: 46}
 	both := []*fleet.Target{fast, slow}
 	now := time.Now()
 	for range 100 {
-		run, _ := p.Decode(both, spec, hint(), "a", nil, now)
+		run, _ := p.Decode(both, spec, longAnswerPrompt(), "a", nil, now)
 		run.Ticket.End(place.Good, now.Add(5*time.Second))
 	}
 	elsewhere := engine("p1", fleet.Prefill)
-	c, _ := p.Read([]*fleet.Target{elsewhere, slow}, spec, session(1), nil, now)
+	c, _ := p.Read([]*fleet.Target{elsewhere, slow}, spec, sessionPrompt(1), nil, now)
 	c.Ticket.End(place.Neutral, now)
-	toFast := func(q *place.Prompt) (n int) {
+	countFast := func(q *place.Prompt) (n int) {
 		for i := range 200 {
 			q.Parts = []place.Part{{Hash: uint64(1000 + i), Tokens: q.Tokens}}
 			now = now.Add(10 * time.Millisecond)
-			// Other VMs have prompts read elsewhere for 40 ms in each 10 ms.
+			// Other VMs place 40 ms of prefill work on another engine every 10 ms.
 			p.Observe([]place.Use{{Target: elsewhere.ID, Missing: 10000, Reads: true}}, now)
 			c, _ := p.Read(both, spec, q, nil, now)
 			if c.Target == fast {
@@ -264,63 +265,63 @@
 		}
 		return n
 	}
-	long := toFast(hint())
-	short := hint()
+	longToFast := countFast(longAnswerPrompt())
+	short := longAnswerPrompt()
 	short.Output, short.MaxOutput = 500, 500
-	few := toFast(short)
-	t.Logf("of 200 long answers %d go to the faster engine, of 200 short ones %d", long, few)
-	is.True(long > 150)
-	is.True(few < 50)
+	shortToFast := countFast(short)
+	t.Logf("of 200 long answers %d go to the faster engine, of 200 short ones %d", longToFast, shortToFast)
+	is.True(longToFast > 150)
+	is.True(shortToFast < 50)
 }
 
-// late knows of others' work 30 ms late.
-type late struct{ others }
+// delayedWork is the work of other VMs, known with a delay of 30 ms.
+type delayedWork struct{ peerWork }
 
-func (late) Age() time.Duration { return 30 * time.Millisecond }
+func (delayedWork) Age() time.Duration { return 30 * time.Millisecond }
 
-// How many engines decode follows from what their runs fill. Counted by slots, 37 runs filled
-// 0.4 of an engine whose steps were already too long for the longest answers, so that while
-// these were lost another decode engine was ordered to prefill. Here the longest answers end in
-// time beside 38 others:
+// The number of engines that decode follows from how far their running requests fill them. Counted
+// by slots, 37 requests filled 0.4 of an engine whose steps were already too long for the longest
+// answers. These were lost, and at the same time another decode engine was ordered to prefill. In
+// this test the longest answers end in time beside 38 others:
 //
 //	event=order_sent engine=i-3783467ec3 stage=prefill
 //	event=request_failed kind=stream_lost beside=33 event_us=70644 last_event=194
-func TestDecodingIsFilledBySeats(t *testing.T) {
+func TestDecodingCountsSeats(t *testing.T) {
 	is := is.New(t)
-	o := others{}
-	p := newTaught(o)
-	d1 := wide("d1")
-	writes(p, o, d1, 0, 55*time.Millisecond, 2.4)
-	writes(p, o, d1, 60, 78*time.Millisecond, 2.4)
+	o := peerWork{}
+	p := newTrainedPlacer(o)
+	d1 := wideEngine("d1")
+	observeAnswers(p, o, d1, 0, 55*time.Millisecond, 2.4)
+	observeAnswers(p, o, d1, 60, 78*time.Millisecond, 2.4)
 	o["d1"] = place.Work{Running: 40, Streams: 40}
 	targets := []*fleet.Target{d1}
 	now := time.Now()
-	c, _ := p.Decode(targets, spec, hint(), "a", nil, now)
+	c, _ := p.Decode(targets, spec, longAnswerPrompt(), "a", nil, now)
 	c.Ticket.End(place.Neutral, now)
-	long := p.Decoding(targets, spec, now)
-	t.Logf("40 runs fill %.2f of an engine", long)
-	is.True(long > 0.9)
-	// Where no answer is long, slots count.
+	filled := p.Decoding(targets, spec, now)
+	t.Logf("40 running requests fill %.2f of an engine", filled)
+	is.True(filled > 0.9)
+	// Without long answers, the slots count.
 	is.True(p.Decoding(targets, spec, now.Add(time.Minute)) < 0.5)
 }
 
-// A long answer that waited for a seat at the only target fast enough for it was passed over by
-// newcomers until it was refused.
-func TestNewcomersLeaveSeatsToThoseThatWait(t *testing.T) {
+// A long answer that waited for a seat at the only target fast enough for it was overtaken by new
+// requests until it was refused.
+func TestNewRequestsLeaveSeatsToDeferredOnes(t *testing.T) {
 	is := is.New(t)
-	o := others{}
-	p := newTaught(o)
-	fast, slow := wide("fast"), wide("slow")
+	o := peerWork{}
+	p := newTrainedPlacer(o)
+	fast, slow := wideEngine("fast"), wideEngine("slow")
 	for range 3 {
-		writes(p, o, fast, 0, 55*time.Millisecond, 2.4)
-		writes(p, o, fast, 60, 78*time.Millisecond, 2.4)
-		writes(p, o, slow, 0, 83*time.Millisecond, 2.4)
-		writes(p, o, slow, 60, 117*time.Millisecond, 2.4)
+		observeAnswers(p, o, fast, 0, 55*time.Millisecond, 2.4)
+		observeAnswers(p, o, fast, 60, 78*time.Millisecond, 2.4)
+		observeAnswers(p, o, slow, 0, 83*time.Millisecond, 2.4)
+		observeAnswers(p, o, slow, 60, 117*time.Millisecond, 2.4)
 	}
 	both := []*fleet.Target{fast, slow}
 	now := time.Now()
 	for range 100 {
-		run, _ := p.Decode(both, spec, hint(), "a", nil, now)
+		run, _ := p.Decode(both, spec, longAnswerPrompt(), "a", nil, now)
 		run.Ticket.End(place.Good, now.Add(5*time.Second))
 	}
 	read := func(q *place.Prompt) place.Choice {
@@ -329,32 +330,32 @@
 		c.Ticket.End(place.Neutral, now)
 		return c
 	}
-	asked := place.Asked{Objective: 200 * time.Millisecond, Left: 15 * time.Second, Patience: 2 * time.Second}
+	admission := place.Asked{Objective: 200 * time.Millisecond, Left: 15 * time.Second, Patience: 2 * time.Second}
 
 	running := 50
 	o["fast"], o["slow"] = place.Work{Running: running, Streams: running}, place.Work{Running: 80, Streams: 80}
-	first := read(hint())
-	t.Logf("beside %d the wait for a seat is %s", running, first.SeatWait)
-	is.Equal(place.Judge(first, asked).Reason, place.NoSeat)
+	first := read(longAnswerPrompt())
+	t.Logf("beside %d others the wait for a seat is %s", running, first.SeatWait)
+	is.Equal(place.Judge(first, admission).Reason, place.NoSeat)
 	waiting := p.Wait("m", first)
 
-	// Seats become free, one after the other.
+	// Seats become free one by one.
 	for first.SeatWait > 0 {
 		running--
 		o["fast"] = place.Work{Running: running, Streams: running}
-		again := hint()
+		again := longAnswerPrompt()
 		again.Deferred = true
 		first = read(again)
 	}
-	is.Equal(place.Judge(first, asked).Verdict, place.Send)
-	newcomer := read(hint())
+	is.Equal(place.Judge(first, admission).Verdict, place.Send)
+	newcomer := read(longAnswerPrompt())
 	is.Equal(newcomer.Target.ID, "fast")
 	is.True(newcomer.SeatWait > 0)
-	// One that is short enough for the slower target does not wait.
-	short := hint()
+	// A request that is short enough for the slower target does not wait.
+	short := longAnswerPrompt()
 	short.Output, short.MaxOutput = 500, 500
 	is.Equal(read(short).SeatWait, time.Duration(0))
 
 	waiting.End(place.Neutral, now)
-	is.Equal(read(hint()).SeatWait, time.Duration(0))
+	is.Equal(read(longAnswerPrompt()).SeatWait, time.Duration(0))
 }
--- a/internal/place/stale_test.go
+++ b/internal/place/stale_test.go
@@ -13,139 +13,141 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// crowd replays a burst on many VMs that hear of each other's work late.
-type crowd struct {
+// fleetSim simulates many VMs that place prompts while they learn of each other's work late.
+type fleetSim struct {
 	t       testing.TB
 	random  *rand.Rand
 	engines []*fleet.Target
-	// sessions is how many sessions ask in turn at random.
+	// sessions is the number of sessions, of which prompts arrive in random order.
 	sessions int
-	// age is how late VMs hear of each other, and told what the placers take it for: none
-	// has them choose the cheapest.
-	age  time.Duration
-	told time.Duration
-	// among returns the engines that a prompt is weighed at; nil is all.
-	among   candidates
-	placers []*place.Placer
-	// past holds what each VM had in hand at each step, and uses what it told then.
-	past [][]map[string]place.Work
-	uses [][][]place.Use
-	// sums is the work of all at each step.
-	sums []map[string]place.Work
-	// free is when each engine has read what it was given.
-	free map[string]time.Time
-	now  time.Time
-	step int
-	// reading is what was sent and has not been read.
-	reading []sent
-	waits   []time.Duration
-	cached  int
-	// defers says that prompts are admitted, and turns that those deferred take turns.
-	defers  bool
-	turns   bool
-	waiting []*asking
-	refused int
+	// reportAge is the age of the reports that VMs get of each other's work, and assumedAge the age
+	// that the placers assume. With an assumedAge of 0 they choose the cheapest engine.
+	reportAge  time.Duration
+	assumedAge time.Duration
+	// selectEngines returns the engines at which a prompt is evaluated; nil selects all.
+	selectEngines engineSelector
+	placers       []*place.Placer
+	// ownWork holds the work of each VM at each step, and uses the uses that it reported then.
+	ownWork [][]map[string]place.Work
+	uses    [][][]place.Use
+	// totalWork is the work of all VMs at each step.
+	totalWork []map[string]place.Work
+	// freeAt is when each engine has prefilled everything that it was sent.
+	freeAt map[string]time.Time
+	now    time.Time
+	step   int
+	// prefilling holds the prompts that were sent and are not prefilled yet.
+	prefilling   []prefillJob
+	waits        []time.Duration
+	cachedTokens int
+	// admits enables admission, and takeTurns makes deferred prompts take turns.
+	admits    bool
+	takeTurns bool
+	deferred  []*pendingPrompt
+	refused   int
 }
 
-// candidates chooses the engines that a session's prompt is weighed at.
-type candidates func(c *crowd, session uint64) []*fleet.Target
+// engineSelector returns the engines at which a session's prompt is evaluated.
+type engineSelector func(f *fleetSim, session uint64) []*fleet.Target
 
-type sent struct {
+// prefillJob is a prompt that an engine will have prefilled at a known time.
+type prefillJob struct {
 	ticket *place.Ticket
 	at     time.Time
 }
 
 const (
-	crowdVMs     = 60
-	crowdEngines = 30
-	crowdStep    = 10 * time.Millisecond
-	// crowdPerStep prompts come in a step: 0.84 of what the engines read while they hold
-	// none of them, 0.26 where they hold all shared parts.
-	crowdPerStep      = 7
+	simVMs     = 60
+	simEngines = 30
+	simStep    = 10 * time.Millisecond
+	// In each step promptsPerStep prompts arrive. They take 0.84 of what the engines can prefill if
+	// they have none of them cached, and 0.26 if they have all shared parts cached.
+	promptsPerStep    = 7
 	sessionsPerEngine = 10
-	readPerToken      = 4 * time.Microsecond
-	// crowdOverload prompts come in a step of a burst: 1.5 times what the engines read where
-	// they hold all shared parts.
-	crowdOverload  = 40
-	crowdObjective = 250 * time.Millisecond
-	crowdPatience  = 2 * time.Second
-	crowdLook      = 60 * time.Millisecond
+	prefillPerToken   = 4 * time.Microsecond
+	// In each step of a burst burstPromptsPerStep prompts arrive: 1.5 times what the engines can
+	// prefill if they have all shared parts cached.
+	burstPromptsPerStep = 40
+	simObjective        = 250 * time.Millisecond
+	simPatience         = 2 * time.Second
+	checkInterval       = 60 * time.Millisecond
 )
 
-// heard is what one VM knows of the others.
-type heard struct {
-	c  *crowd
-	vm int
+// delayedReports is what one VM knows of the work of the others.
+type delayedReports struct {
+	sim *fleetSim
+	vm  int
 }
 
-func (h heard) Age() time.Duration { return h.c.told }
+func (r delayedReports) Age() time.Duration { return r.sim.assumedAge }
 
-func (h heard) Work(id string) place.Work {
+func (r delayedReports) Work(id string) place.Work {
 	if id == "d" {
 		return busy
 	}
-	at := h.c.step - int(h.c.age/crowdStep)
+	at := r.sim.step - int(r.sim.reportAge/simStep)
 	if at < 0 {
 		return place.Work{}
 	}
-	return h.c.sums[at][id].Minus(h.c.past[at][h.vm][id])
+	return r.sim.totalWork[at][id].Minus(r.sim.ownWork[at][r.vm][id])
 }
 
-func newCrowd(t testing.TB, age, told time.Duration) *crowd {
-	return newCrowdOf(t, crowdVMs, crowdEngines, age, told)
+// newFleetSim returns a simulation of the default size.
+func newFleetSim(t testing.TB, age, assumedAge time.Duration) *fleetSim {
+	return newFleetSimOf(t, simVMs, simEngines, age, assumedAge)
 }
 
-// newCrowdOf returns a crowd of as many VMs before as many engines that read.
-func newCrowdOf(t testing.TB, vms, engines int, age, told time.Duration) *crowd {
-	c := &crowd{
-		t: t, random: rand.New(rand.NewPCG(1, 2)), age: age, told: told, sessions: sessionsPerEngine * engines,
-		free: make(map[string]time.Time), now: time.Unix(1000, 0),
+// newFleetSimOf returns a simulation of this many VMs and prefill engines, with one decode engine.
+func newFleetSimOf(t testing.TB, vms, engines int, age, assumedAge time.Duration) *fleetSim {
+	f := &fleetSim{
+		t: t, random: rand.New(rand.NewPCG(1, 2)), reportAge: age, assumedAge: assumedAge, sessions: sessionsPerEngine * engines,
+		freeAt: make(map[string]time.Time), now: time.Unix(1000, 0),
 	}
 	for i := range engines {
-		c.engines = append(c.engines, engine(fmt.Sprintf("p%03d", i), fleet.Prefill))
+		f.engines = append(f.engines, engine(fmt.Sprintf("p%03d", i), fleet.Prefill))
 	}
 	decode := engine("d", fleet.Decode)
 	decode.Slots = 100000
-	c.engines = append(c.engines, decode)
+	f.engines = append(f.engines, decode)
 	for vm := range vms {
 		cfg := place.DefaultConfig("a")
 		cfg.Seed = uint64(vm + 1)
-		c.placers = append(c.placers, place.New(cfg, heard{c, vm}, unchanging))
+		f.placers = append(f.placers, place.New(cfg, delayedReports{f, vm}, noStageChange))
 	}
-	return c
+	return f
 }
 
-// run plays steps in each of which as many prompts come.
-func (c *crowd) run(steps, perStep int) {
+// run simulates steps in each of which perStep prompts arrive.
+func (f *fleetSim) run(steps, perStep int) {
 	for range steps {
-		c.finish()
-		c.exchange()
-		c.lookAgain()
+		f.finish()
+		f.exchange()
+		f.recheckDeferred()
 		for range perStep {
-			c.ask()
+			f.addPrompt()
 		}
-		c.step++
-		c.now = c.now.Add(crowdStep)
+		f.step++
+		f.now = f.now.Add(simStep)
 	}
 }
 
-// finish ends what the engines have read.
-func (c *crowd) finish() {
-	c.reading = slices.DeleteFunc(c.reading, func(s sent) bool {
-		if s.at.After(c.now) {
+// finish ends the prompts that the engines have prefilled.
+func (f *fleetSim) finish() {
+	f.prefilling = slices.DeleteFunc(f.prefilling, func(job prefillJob) bool {
+		if job.at.After(f.now) {
 			return false
 		}
-		s.ticket.End(place.Good, s.at)
+		job.ticket.End(place.Good, job.at)
 		return true
 	})
 }
 
-// exchange notes what each VM has in hand, and passes on what was told long enough ago.
-func (c *crowd) exchange() {
+// exchange records the work of each VM and delivers the reports that have reached their age.
+func (f *fleetSim) exchange() {
 	sum := make(map[string]place.Work)
 	var own []map[string]place.Work
 	var uses [][]place.Use
-	for _, p := range c.placers {
+	for _, p := range f.placers {
 		o := p.Own()
 		for id, w := range o {
 			sum[id] = sum[id].Plus(w)
@@ -153,153 +155,154 @@
 		own = append(own, o)
 		uses = append(uses, p.TakeUses())
 	}
-	c.past, c.sums, c.uses = append(c.past, own), append(c.sums, sum), append(c.uses, uses)
-	if at := c.step - int(c.age/crowdStep); at >= 0 {
-		for vm, told := range c.uses[at] {
-			c.tell(vm, told)
+	f.ownWork, f.totalWork, f.uses = append(f.ownWork, own), append(f.totalWork, sum), append(f.uses, uses)
+	if at := f.step - int(f.reportAge/simStep); at >= 0 {
+		for vm, reported := range f.uses[at] {
+			f.deliver(vm, reported)
 		}
 	}
 }
 
-// tell passes what one VM has told on to the others.
-func (c *crowd) tell(from int, told []place.Use) {
-	for vm, p := range c.placers {
+// deliver passes the uses reported by one VM to the others.
+func (f *fleetSim) deliver(from int, reported []place.Use) {
+	for vm, p := range f.placers {
 		if vm != from {
-			p.Observe(told, c.now)
+			p.Observe(reported, f.now)
 		}
 	}
 }
 
-// ask has one prompt of some session come to some VM.
-func (c *crowd) ask() {
-	session := uint64(100 + c.random.IntN(c.sessions))
-	c.look(&asking{vm: c.random.IntN(len(c.placers)), at: c.now, prompt: &place.Prompt{
+// addPrompt adds a prompt of a random session at a random VM.
+func (f *fleetSim) addPrompt() {
+	session := uint64(100 + f.random.IntN(f.sessions))
+	f.place(&pendingPrompt{vm: f.random.IntN(len(f.placers)), arrivedAt: f.now, prompt: &place.Prompt{
 		Tokens: 9000, Output: 10, MaxOutput: 20,
-		Parts: []place.Part{{Hash: 1, Tokens: 2500}, {Hash: session, Tokens: 3700}, {Hash: c.random.Uint64(), Tokens: 2800}},
+		Parts: []place.Part{{Hash: 1, Tokens: 2500}, {Hash: session, Tokens: 3700}, {Hash: f.random.Uint64(), Tokens: 2800}},
 	}})
 }
 
-// asking is a prompt that has come, and may wait at its VM.
-type asking struct {
-	vm     int
-	at     time.Time
-	prompt *place.Prompt
-	queued *place.Ticket
-	next   time.Time
+// pendingPrompt is a prompt that has arrived and may be deferred at its VM.
+type pendingPrompt struct {
+	vm        int
+	arrivedAt time.Time
+	prompt    *place.Prompt
+	queued    *place.Ticket
+	nextCheck time.Time
 }
 
-// look has a prompt weighed and, where the crowd defers, admitted.
-func (c *crowd) look(a *asking) {
-	p := c.placers[a.vm]
-	asked := place.Asked{Objective: crowdObjective, Waited: c.now.Sub(a.at), Held: c.now.Sub(a.at), Left: crowdPatience - c.now.Sub(a.at), Random: c.random.Float64()}
-	a.prompt.MaxWait = asked.MaxWait()
-	engines := c.engines
-	if c.among != nil {
-		engines = c.among(c, a.prompt.Parts[1].Hash)
+// place evaluates a prompt, runs its admission if enabled, and sends it.
+func (f *fleetSim) place(pending *pendingPrompt) {
+	p := f.placers[pending.vm]
+	admission := place.Asked{Objective: simObjective, Waited: f.now.Sub(pending.arrivedAt), Held: f.now.Sub(pending.arrivedAt), Left: simPatience - f.now.Sub(pending.arrivedAt), Random: f.random.Float64()}
+	pending.prompt.MaxWait = admission.MaxWait()
+	engines := f.engines
+	if f.selectEngines != nil {
+		engines = f.selectEngines(f, pending.prompt.Parts[1].Hash)
 	}
-	choice, ok := p.Read(engines, spec, a.prompt, nil, c.now)
+	choice, ok := p.Read(engines, spec, pending.prompt, nil, f.now)
 	if !ok {
-		c.t.Fatal("no way")
+		f.t.Fatal("no target can be used")
 	}
-	if c.defers {
-		if a.queued != nil && c.turns {
-			asked.Queue, asked.Look = p.Waiting("m").Prefill, crowdLook
+	if f.admits {
+		if pending.queued != nil && f.takeTurns {
+			admission.Queue, admission.Look = p.Waiting("m").Prefill, checkInterval
 		}
-		switch place.Judge(choice, asked).Verdict {
+		switch place.Judge(choice, admission).Verdict {
 		case place.Defer:
-			choice.Ticket.End(place.Neutral, c.now)
-			if a.queued == nil {
-				a.queued = p.Wait("m", choice)
+			choice.Ticket.End(place.Neutral, f.now)
+			if pending.queued == nil {
+				pending.queued = p.Wait("m", choice)
 			}
-			a.next = c.now.Add(time.Duration((0.5 + c.random.Float64()) * float64(crowdLook)))
-			c.waiting = append(c.waiting, a)
+			pending.nextCheck = f.now.Add(time.Duration((0.5 + f.random.Float64()) * float64(checkInterval)))
+			f.deferred = append(f.deferred, pending)
 			return
 		case place.Refuse:
-			choice.Ticket.End(place.Neutral, c.now)
-			a.queued.End(place.Neutral, c.now)
-			c.refused++
+			choice.Ticket.End(place.Neutral, f.now)
+			pending.queued.End(place.Neutral, f.now)
+			f.refused++
 			return
 		}
 	}
-	a.queued.End(place.Neutral, c.now)
-	c.send(a, choice)
+	pending.queued.End(place.Neutral, f.now)
+	f.send(pending, choice)
 }
 
-// send has the chosen engine read the prompt behind those that it was sent before.
-func (c *crowd) send(a *asking, choice place.Choice) {
-	c.placers[a.vm].Commit(choice, a.prompt, c.now)
-	begin := c.now
-	if free := c.free[choice.Target.ID]; free.After(begin) {
+// send has the chosen engine prefill the prompt after those that it was sent before.
+func (f *fleetSim) send(pending *pendingPrompt, choice place.Choice) {
+	f.placers[pending.vm].Commit(choice, pending.prompt, f.now)
+	begin := f.now
+	if free := f.freeAt[choice.Target.ID]; free.After(begin) {
 		begin = free
 	}
-	end := begin.Add(time.Duration(a.prompt.Tokens-choice.Cached) * readPerToken)
-	c.free[choice.Target.ID] = end
-	c.reading = append(c.reading, sent{choice.Ticket, end})
-	c.waits = append(c.waits, end.Sub(a.at))
-	c.cached += choice.Cached
+	end := begin.Add(time.Duration(pending.prompt.Tokens-choice.Cached) * prefillPerToken)
+	f.freeAt[choice.Target.ID] = end
+	f.prefilling = append(f.prefilling, prefillJob{choice.Ticket, end})
+	f.waits = append(f.waits, end.Sub(pending.arrivedAt))
+	f.cachedTokens += choice.Cached
 }
 
-// lookAgain has the prompts that wait looked at whose time has come.
-func (c *crowd) lookAgain() {
-	waiting := c.waiting
-	c.waiting = nil
-	for _, a := range waiting {
-		if a.next.After(c.now) {
-			c.waiting = append(c.waiting, a)
+// recheckDeferred places the deferred prompts whose next check is due.
+func (f *fleetSim) recheckDeferred() {
+	deferred := f.deferred
+	f.deferred = nil
+	for _, pending := range deferred {
+		if pending.nextCheck.After(f.now) {
+			f.deferred = append(f.deferred, pending)
 			continue
 		}
-		c.look(a)
+		f.place(pending)
 	}
 }
 
-// late is the part of the prompts since the start of the burst that were read after limit.
-func (c *crowd) late(limit time.Duration) float64 {
+// lateShare returns the share of the prompts since the start of the burst that were prefilled after
+// limit.
+func (f *fleetSim) lateShare(limit time.Duration) float64 {
 	n := 0
-	for _, w := range c.waits {
+	for _, w := range f.waits {
 		if w > limit {
 			n++
 		}
 	}
-	return float64(n) / float64(len(c.waits))
+	return float64(n) / float64(len(f.waits))
 }
 
-// Many VMs that hear of each other's work a tenth of a second late do not all choose the
-// same engine on the same report, and sessions still go back to their caches.
-func TestManyChoosersWithOldReports(t *testing.T) {
-	const steps, objective = 300, crowdObjective
+// Many VMs that learn of each other's work 100 ms late do not all choose the same engine on the
+// same report, and sessions still go back to the engines that have them cached.
+func TestManyPlacersWithStaleReports(t *testing.T) {
+	const steps, objective = 300, simObjective
 	for _, age := range []time.Duration{0, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond} {
-		herd, level := newCrowd(t, age, 0), newCrowd(t, age, age)
-		herd.run(steps, crowdPerStep)
-		level.run(steps, crowdPerStep)
-		perPrompt := func(c *crowd) int { return c.cached / len(c.waits) }
-		t.Logf("reports %v old: late %.3f where the cheapest is chosen, %.3f levelled; cached tokens a prompt %d, %d", age,
-			herd.late(objective), level.late(objective), perPrompt(herd), perPrompt(level))
+		cheapest, spread := newFleetSim(t, age, 0), newFleetSim(t, age, age)
+		cheapest.run(steps, promptsPerStep)
+		spread.run(steps, promptsPerStep)
+		perPrompt := func(f *fleetSim) int { return f.cachedTokens / len(f.waits) }
+		t.Logf("reports %v old: late %.3f if the cheapest is chosen, %.3f if spread; cached tokens per prompt %d, %d", age,
+			cheapest.lateShare(objective), spread.lateShare(objective), perPrompt(cheapest), perPrompt(spread))
 		is := is.New(t)
-		is.True(level.late(objective) <= 0.1)
-		is.True(perPrompt(level) >= 4500) // of 6,200 shared
+		is.True(spread.lateShare(objective) <= 0.1)
+		is.True(perPrompt(spread) >= 4500) // of 6,200 shared
 	}
 }
 
-// A burst leaves requests waiting on all VMs. As they take turns, no engine that becomes
-// idle is given what all of them have, and more are on time.
+// A burst leaves requests deferred on all VMs. Because they take turns, an engine that becomes idle
+// is not sent all of them at once, and more of them are on time.
 func TestDeferredRequestsTakeTurns(t *testing.T) {
 	is := is.New(t)
-	play := func(turns bool) *crowd {
+	simulate := func(turns bool) *fleetSim {
 		const age = 50 * time.Millisecond
-		c := newCrowd(t, age, age)
-		c.defers, c.turns = true, turns
-		c.run(100, crowdPerStep)
-		c.waits, c.refused = nil, 0
-		c.run(200, crowdOverload)
-		c.run(200, 0)
-		return c
+		f := newFleetSim(t, age, age)
+		f.admits, f.takeTurns = true, turns
+		f.run(100, promptsPerStep)
+		f.waits, f.refused = nil, 0
+		f.run(200, burstPromptsPerStep)
+		f.run(200, 0)
+		return f
 	}
-	onTime := func(c *crowd) float64 {
-		return (1 - c.late(crowdObjective)) * float64(len(c.waits)) / float64(len(c.waits)+c.refused)
+	onTime := func(f *fleetSim) float64 {
+		return (1 - f.lateShare(simObjective)) * float64(len(f.waits)) / float64(len(f.waits)+f.refused)
 	}
-	all, turns := play(false), play(true)
-	t.Logf("on time of all asked in a burst: %.3f where all that see room send, %.3f with turns; refused %d, %d",
-		onTime(all), onTime(turns), all.refused, turns.refused)
-	is.True(onTime(turns) >= onTime(all)+0.05)
-	is.Equal(len(turns.waiting), 0)
+	withoutTurns, withTurns := simulate(false), simulate(true)
+	t.Logf("on time of all prompts in a burst: %.3f if every VM that sees capacity sends, %.3f with turns; refused %d, %d",
+		onTime(withoutTurns), onTime(withTurns), withoutTurns.refused, withTurns.refused)
+	is.True(onTime(withTurns) >= onTime(withoutTurns)+0.05)
+	is.Equal(len(withTurns.deferred), 0)
 }
--- a/internal/place/thin.go
+++ b/internal/place/thin.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// weighAll is the number of targets up to which all are weighed for a
-	// request. One takes about a microsecond.
-	weighAll = 128
-	// homes and chances are how many targets of a larger fleet are weighed: those
-	// that the prompt's session hashes to, the same on every VM, and random ones.
-	homes   = 48
-	chances = 48
+	// evaluateAllLimit is the number of targets up to which all are evaluated for a request.
+	// Evaluating one takes about a microsecond.
+	evaluateAllLimit = 128
+	// In a larger fleet about sessionTargets targets are evaluated that the prompt's session hashes
+	// to, the same on every VM, and randomTargets random ones.
+	sessionTargets = 48
+	randomTargets  = 48
 )
 
-// thin returns the targets to weigh for a prompt; the caller holds p.mu.
-func (p *Placer) thin(targets []*fleet.Target, q *Prompt) []*fleet.Target {
+// sampleTargets returns the targets to evaluate for a prompt. The caller holds p.mu.
+func (p *Placer) sampleTargets(targets []*fleet.Target, q *Prompt) []*fleet.Target {
 	n := len(targets)
-	if n <= weighAll {
+	if n <= evaluateAllLimit {
 		return targets
 	}
-	out := make([]*fleet.Target, 0, homes+chances)
+	out := make([]*fleet.Target, 0, sessionTargets+randomTargets)
 	if session, ok := q.session(); ok {
 		for _, t := range targets {
-			if mix(hashID(t.ID)^session)%uint64(n) < homes {
+			if mix(hashID(t.ID)^session)%uint64(n) < sessionTargets {
 				out = append(out, t)
 			}
 		}
 	}
-	return p.draw(out, targets)
+	return p.appendRandom(out, targets)
 }
 
-// decoders returns the decode targets to weigh; the caller holds p.mu.
-func (p *Placer) decoders(targets []*fleet.Target) []*fleet.Target {
-	if len(targets) <= weighAll {
+// sampleDecodeTargets returns the decode targets to evaluate. The caller holds p.mu.
+func (p *Placer) sampleDecodeTargets(targets []*fleet.Target) []*fleet.Target {
+	if len(targets) <= evaluateAllLimit {
 		return targets
 	}
 	var all []*fleet.Target
@@ -44,21 +44,22 @@
 			all = append(all, t)
 		}
 	}
-	if len(all) <= weighAll {
+	if len(all) <= evaluateAllLimit {
 		return all
 	}
-	return p.draw(nil, all)
+	return p.appendRandom(nil, all)
 }
 
-// draw appends random targets to out.
-func (p *Placer) draw(out, targets []*fleet.Target) []*fleet.Target {
-	for range chances {
+// appendRandom appends randomTargets random targets to out. The caller holds p.mu.
+func (p *Placer) appendRandom(out, targets []*fleet.Target) []*fleet.Target {
+	for range randomTargets {
 		out = append(out, targets[p.random.IntN(len(targets))])
 	}
 	return out
 }
 
-// session returns the hash of the last part that other prompts may share.
+// session returns the hash of the last part that other prompts may share, which identifies the
+// prompt's session. It returns false if the prompt has no parts.
 func (q *Prompt) session() (uint64, bool) {
 	parts := q.sharedParts()
 	if len(parts) == 0 {
@@ -67,9 +68,10 @@
 	return parts[len(parts)-1].Hash, true
 }
 
+// hashID returns a hash of a target's id that is the same on every VM.
 func hashID(id string) uint64 {
 	h := fnv.New64a()
-	// A hash's Write returns no error.
+	// Write of a hash never returns an error.
 	_, _ = h.Write([]byte(id))
 	return h.Sum64()
 }
--- a/internal/place/ticket.go
+++ b/internal/place/ticket.go
@@ -8,100 +8,101 @@
 	"garnethoist.org/garnethoist/internal/profile"
 )
 
-// way is how a request is served by a target.
-type way int
+// task is what a target does for a request.
+type task int
 
 const (
-	// readApart: the target reads the prompt for another one.
-	readApart way = iota + 1
-	// readInPlace: the target reads the prompt and runs the request.
-	readInPlace
-	// goOn: the target runs a request whose prompt was read elsewhere.
-	goOn
-	// plainCall: the target is no model engine.
-	plainCall
+	// taskPrefill: the target prefills the prompt for another target.
+	taskPrefill task = iota + 1
+	// taskPrefillInPlace: the target prefills the prompt and runs the request.
+	taskPrefillInPlace
+	// taskDecode: the target runs a request whose prompt was prefilled elsewhere.
+	taskDecode
+	// taskPlain: the target is not a model engine and serves a plain call.
+	taskPlain
 )
 
-// Ticket is a request in hand at a target, until End.
+// Ticket counts a request as work in progress at a target until End is called. Its methods may be
+// called on a nil Ticket.
 type Ticket struct {
 	placer  *Placer
 	id      string
 	service string
 	work    Work
-	way     way
+	task    task
 	prompt  *Prompt
 	cached  int
-	// ahead is the prompts that were in hand before it, and rest what the target
-	// takes besides reading.
-	ahead time.Duration
-	rest  time.Duration
-	// waits says that the target's batch was full when it was chosen.
-	waits bool
-	// span is the part of the answer whose pace is being measured, and paced is set once one
-	// was.
-	span  span
-	paced bool
-	began time.Time
-	// measured is set once the time to the first event, or to the handle, was taken
-	// in.
-	measured bool
-	ended    bool
+	// prefillWait is the time of the prefills that were pending before this one, and overhead what
+	// the target takes besides prefilling.
+	prefillWait time.Duration
+	overhead    time.Duration
+	// waitedForSeat is set if the target's batch was full when the target was chosen.
+	waitedForSeat bool
+	// span is the part of the answer whose step time is being measured. stepsObserved is set once
+	// one such part was recorded.
+	span          span
+	stepsObserved bool
+	began         time.Time
+	// firstObserved is set once the time to the first event, or to the handle of the prefilled
+	// prompt, was recorded.
+	firstObserved bool
+	ended         bool
 }
 
-// expect notes what the choice rests on.
-func (t *Ticket) expect(w weighed, q *Prompt) {
-	t.way, t.prompt, t.cached, t.ahead, t.rest, t.span.beside = readApart, q, w.cached, w.ahead, w.rest, w.beside
-	if w.work.Running > 0 {
-		t.way = readInPlace
+// setExpected records the estimate by which the target was chosen.
+func (t *Ticket) setExpected(c candidate, q *Prompt) {
+	t.task, t.prompt, t.cached, t.prefillWait, t.overhead, t.span.running = taskPrefill, q, c.cached, c.prefillWait, c.overhead, c.running
+	if c.work.Running > 0 {
+		t.task = taskPrefillInPlace
 	}
 }
 
-// Result is how a request at a target ended, as far as the target's health is
-// concerned.
+// Result is how a request at a target ended, as far as the target's health is concerned.
 type Result int
 
-// The results.
+// The possible results.
 const (
-	// Good: the target did its work.
+	// Good: the target served the request.
 	Good Result = iota + 1
-	// Neutral tells nothing: the caller left.
+	// Neutral: nothing is learned of the target, as when the caller left.
 	Neutral
-	// Refused: the target did not run the request. It is full, or says so.
+	// Refused: the target did not run the request, because it is full or says so.
 	Refused
 	// Bad: the target failed.
 	Bad
-	// Unreachable: no connection could be opened.
+	// Unreachable: no connection to the target could be opened.
 	Unreachable
 )
 
-// Weights of the newest request in the moving shares.
+// Weights of the newest request in the moving averages.
 const (
 	failureWeight  = 0.1
 	slowdownWeight = 0.1
 	refusalWeight  = 0.3
-	// Bounds of the slowdown, and of what one answer changes of its logarithm: a single
-	// long time tells as much of a stall, or of a queue that was not known, as of the
-	// target. One that is five times slower is known after some 25 answers.
+	// These bound a slowdown, and the change of its logarithm by one answer: a single long time may
+	// as well come from a stall, or from a queue that was not known, as from a slow target. A
+	// target that is five times slower is recognized after about 25 answers.
 	minSlowdown  = 0.5
 	maxSlowdown  = 20.0
 	slowdownStep = 0.07
 )
 
-// Waits before an unreachable target is tried again; they double.
+// The delay before an unreachable target is tried again doubles with each failure.
 const (
-	firstMiss  = 300 * time.Millisecond
-	maxMiss    = 3 * time.Second
-	maxDoubles = 4
+	firstRetryDelay   = 300 * time.Millisecond
+	maxRetryDelay     = 3 * time.Second
+	maxRetryDoublings = 4
 )
 
-// begin counts work at a target; the caller holds p.mu.
+// begin counts work at a target and returns its ticket. The caller holds p.mu.
 func (p *Placer) begin(t *fleet.Target, w Work, now time.Time) *Ticket {
-	s := p.state(t.RunID())
-	s.own = s.own.Plus(w)
+	s := p.stateByID(t.RunID())
+	s.ownWork = s.ownWork.Plus(w)
 	return &Ticket{placer: p, id: t.RunID(), service: t.Service, work: w, began: now}
 }
 
-// End takes the request off the target's account and notes how it went.
+// End removes the request from the target's work in progress and records its result. Calls after
+// the first one have no effect.
 func (t *Ticket) End(r Result, now time.Time) {
 	if t == nil || t.ended {
 		return
@@ -110,49 +111,49 @@
 	p := t.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.state(t.id)
-	s.own = s.own.Minus(t.work)
+	s := p.stateByID(t.id)
+	s.ownWork = s.ownWork.Minus(t.work)
 	switch r {
 	case Good:
-		s.misses = 0
-		s.failures -= failureWeight * s.failures
-		s.record.succeed()
-		t.measureEnd(s, now)
+		s.connErrors = 0
+		s.failureRate -= failureWeight * s.failureRate
+		s.sends.addSuccess()
+		t.observeEnd(s, now)
 	case Refused:
 		s.noteRefusal(now)
 	case Bad:
-		s.failures += failureWeight * (1 - s.failures)
-		p.tell(Use{Target: t.id, Failed: true}, now)
+		s.failureRate += failureWeight * (1 - s.failureRate)
+		p.recordUse(Use{Target: t.id, Failed: true}, now)
 	case Unreachable:
-		s.miss(now)
+		s.noteConnectFailure(now)
 	}
 }
 
-// miss notes that the target could not be reached.
-func (s *state) miss(now time.Time) {
-	wait := firstMiss << min(s.misses, maxDoubles)
-	s.misses++
-	s.retryAt = now.Add(min(wait, maxMiss))
+// noteConnectFailure records that the target could not be reached.
+func (s *state) noteConnectFailure(now time.Time) {
+	wait := firstRetryDelay << min(s.connErrors, maxRetryDoublings)
+	s.connErrors++
+	s.retryAt = now.Add(min(wait, maxRetryDelay))
 }
 
-// Unreachable notes that a target is known to be down, so that no request finds it out.
+// Unreachable records that a target is known to be down, so that no request has to find out.
 func (p *Placer) Unreachable(target string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s := p.state(target); s.reachable(now) {
-		s.miss(now)
+	if s := p.stateByID(target); s.reachable(now) {
+		s.noteConnectFailure(now)
 	}
 }
 
-// Blame notes that a prompt which a target had read could not be gone on with:
-// its handle was gone, or could not be fetched.
+// Blame records that a prompt which a target had prefilled could not be decoded, because its handle
+// was gone or could not be fetched.
 func (p *Placer) Blame(target string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state(target).noteRefusal(now)
+	p.stateByID(target).noteRefusal(now)
 }
 
-// First notes that the target has begun to answer: the prefill is over.
+// First records that the target has begun to answer, so that its prefill is done.
 func (t *Ticket) First(now time.Time) {
 	if t == nil || t.ended {
 		return
@@ -160,53 +161,53 @@
 	p := t.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.state(t.id)
-	over := Work{Prefill: t.work.Prefill, Prefills: t.work.Prefills}
-	s.own = s.own.Minus(over)
-	t.work = t.work.Minus(over)
-	t.measureFirst(s, now)
+	s := p.stateByID(t.id)
+	finished := Work{Prefill: t.work.Prefill, Prefills: t.work.Prefills}
+	s.ownWork = s.ownWork.Minus(finished)
+	t.work = t.work.Minus(finished)
+	t.observeFirst(s, now)
 }
 
-// span is some events of an answer in a row.
+// span is a run of consecutive events of an answer.
 type span struct {
-	// began is when the event before them came; it is zero before the first event.
+	// began is when the event before the span came. It is zero before the first event.
 	began  time.Time
 	events int
-	// beside is the requests that ran beside when it began, and read the prompt tokens that the
-	// target had been given to read by then.
-	beside int
-	read   int
+	// running is how many other requests ran when the span began, and inPlaceTokens the number of
+	// prompt tokens that the target had been given to prefill in place by then.
+	running       int
+	inPlaceTokens int
 }
 
-// pacedSpan is the number of events after which the pace of an answer that is being made is
-// taken in: enough that a single late event tells little, and soon enough to know a batch that
-// has just grown, of which whole answers tell only when they end.
-const pacedSpan = 16
+// observedSpan is the number of events after which the step time of an answer in progress is
+// recorded. A single late event has little weight in so many, and they come soon enough to notice a
+// batch that has just grown, which whole answers show only when they end.
+const observedSpan = 16
 
-// pacedEvents is the number of events from which a whole answer tells of its target's pace.
-const pacedEvents = 4
+// minObservedEvents is the number of events from which a whole answer is used to measure steps.
+const minObservedEvents = 4
 
-// Events notes that n more events of the answer have come.
+// Events records that n more events of the answer have come.
 func (t *Ticket) Events(n int, now time.Time) {
 	if t == nil || t.ended || t.prompt == nil {
 		return
 	}
 	t.span.events += n
 	first := t.span.began.IsZero()
-	if !first && t.span.events < pacedSpan {
+	if !first && t.span.events < observedSpan {
 		return
 	}
 	p := t.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.state(t.id)
+	s := p.stateByID(t.id)
 	if !first {
-		t.measurePace(s, t.span.events, now.Sub(t.span.began))
+		t.observeSteps(s, t.span.events, now.Sub(t.span.began))
 	}
-	t.span = span{began: now, beside: p.total(t.id).Running - 1, read: s.read}
+	t.span = span{began: now, running: p.totalWork(t.id).Running - 1, inPlaceTokens: s.inPlaceTokens}
 }
 
-// Stream notes a whole answer: its events, and the time from its first to its last.
+// Stream records a whole answer: the number of its events, and the time from the first to the last.
 func (t *Ticket) Stream(events int, took time.Duration) {
 	if t == nil || t.ended || t.prompt == nil || t.placer.cfg.Off.Profile {
 		return
@@ -214,35 +215,36 @@
 	p := t.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !t.paced && events >= pacedEvents {
-		t.measurePace(p.state(t.id), events-1, took)
+	if !t.stepsObserved && events >= minObservedEvents {
+		t.observeSteps(p.stateByID(t.id), events-1, took)
 	}
 	p.profile(t.service).ObserveAnswer(events, t.prompt.Output)
 }
 
-// measurePace takes in that so many events came in took; the caller holds p.mu.
-func (t *Ticket) measurePace(s *state, events int, took time.Duration) {
+// observeSteps records that so many events took this long. The caller holds p.mu.
+func (t *Ticket) observeSteps(s *state, events int, took time.Duration) {
 	p := t.placer
 	if p.cfg.Off.Profile {
 		return
 	}
-	t.paced = true
+	t.stepsObserved = true
 	f := p.profile(t.service)
-	b := profile.Beside{Running: (t.span.beside + p.total(t.id).Running - 1) / 2, Read: float64(s.read-t.span.read) / float64(events)}
+	b := profile.Beside{Running: (t.span.running + p.totalWork(t.id).Running - 1) / 2, Read: float64(s.inPlaceTokens-t.span.inPlaceTokens) / float64(events)}
 	if !p.cfg.Off.Slowdown {
-		s.pace = follow(s.pace, float64(took)/max(float64(events)*float64(f.PauseBeside(b)), 1))
-		s.pace = math.Pow(s.pace, 1-paceLeak)
+		s.stepSlowdown = adjustSlowdown(s.stepSlowdown, float64(took)/max(float64(events)*float64(f.PauseBeside(b)), 1))
+		s.stepSlowdown = math.Pow(s.stepSlowdown, 1-stepSlowdownDecay)
 	}
-	// The slower targets of a service run fewer answers: with their times as they are, steps
-	// would seem to grow less, or not at all, with what runs beside.
-	f.ObservePace(events, time.Duration(float64(took)/s.pace), b)
+	// The slower targets of a service run smaller batches. Without the correction for their speed,
+	// steps would seem to grow less with the batch size, or not at all.
+	f.ObservePace(events, time.Duration(float64(took)/s.stepSlowdown), b)
 }
 
-// paceLeak is the part of its logarithm that a pace loses with each sample. The profile is
-// learned by the paces and they by the profile: without it both could drift apart.
-const paceLeak = 0.003
+// stepSlowdownDecay is the part of its logarithm that a step slowdown loses with each sample. The
+// profile is learned with the slowdowns and they with the profile; without the decay both could
+// drift in opposite directions.
+const stepSlowdownDecay = 0.003
 
-// Length notes how many events an answer has had, whether it is whole or not.
+// Length records how many events an answer had, whether it is complete or not.
 func (t *Ticket) Length(events int) {
 	if t == nil || t.prompt == nil || t.placer.cfg.Off.Profile {
 		return
@@ -253,69 +255,68 @@
 	p.profile(t.service).ObserveLength(events, t.prompt.MaxOutput)
 }
 
-// follow moves a factor that is learned of a target towards what one answer says.
-func follow(factor, ratio float64) float64 {
-	step := slowdownWeight * math.Log(max(ratio, minSlowdown/2)/factor)
+// adjustSlowdown moves a slowdown factor towards the ratio observed for one answer.
+func adjustSlowdown(factor, observed float64) float64 {
+	step := slowdownWeight * math.Log(max(observed, minSlowdown/2)/factor)
 	factor *= math.Exp(min(max(step, -slowdownStep), slowdownStep))
 	return min(max(factor, minSlowdown), maxSlowdown)
 }
 
-// measureEnd takes in the time of a request that has ended well; the caller holds
-// p.mu.
-func (t *Ticket) measureEnd(s *state, now time.Time) {
+// observeEnd records the time of a request that ended well. The caller holds p.mu.
+func (t *Ticket) observeEnd(s *state, now time.Time) {
 	if t.placer.cfg.Off.Profile {
 		return
 	}
 	took := now.Sub(t.began)
-	switch t.way {
-	case readApart:
-		t.measureFirst(s, now)
-	case plainCall:
+	switch t.task {
+	case taskPrefill:
+		t.observeFirst(s, now)
+	case taskPlain:
 		t.placer.profile(t.service).ObservePlain(took)
-	case readInPlace, goOn:
+	case taskPrefillInPlace, taskDecode:
 		t.placer.profile(t.service).ObserveRun(took)
 	}
 }
 
-// measureFirst takes in the time that reading a prompt, or going on with it, took,
-// once; the caller holds p.mu.
-func (t *Ticket) measureFirst(s *state, now time.Time) {
-	if t.measured || t.prompt == nil {
+// observeFirst records the time that the prefill, or the first event after a hand-off, took. It
+// does so once per ticket. The caller holds p.mu.
+func (t *Ticket) observeFirst(s *state, now time.Time) {
+	if t.firstObserved || t.prompt == nil {
 		return
 	}
-	t.measured = true
+	t.firstObserved = true
 	f, took := t.placer.profile(t.service), now.Sub(t.began)
-	t.measureSlowdown(f, s, took)
-	if t.placer.cfg.Off.Profile || t.waits {
+	t.observePrefillSlowdown(f, s, took)
+	if t.placer.cfg.Off.Profile || t.waitedForSeat {
 		return
 	}
-	switch t.way {
-	case readApart:
-		f.ObserveRead(t.prompt.Tokens, t.cached, t.ahead, took)
-	case readInPlace:
-		f.ObserveInPlace(t.prompt.Tokens, t.cached, t.ahead, took-f.HopTime(0))
-	case goOn:
+	switch t.task {
+	case taskPrefill:
+		f.ObserveRead(t.prompt.Tokens, t.cached, t.prefillWait, took)
+	case taskPrefillInPlace:
+		f.ObserveInPlace(t.prompt.Tokens, t.cached, t.prefillWait, took-f.HopTime(0))
+	case taskDecode:
 		f.ObserveHop(t.prompt.Tokens, took)
 	}
 }
 
-// measureSlowdown compares the time that reading took with the reckoned one, where
-// the profile is known; the caller holds p.mu.
-func (t *Ticket) measureSlowdown(f *profile.Profile, s *state, took time.Duration) {
-	reckoned := f.ReadTime(t.prompt.Tokens, t.cached)
-	if t.way == readInPlace {
-		reckoned = f.InPlaceTime(t.prompt.Tokens, t.cached)
+// observePrefillSlowdown compares the time that a prefill took with the estimate of the profile,
+// once the profile rests on enough samples. The caller holds p.mu.
+func (t *Ticket) observePrefillSlowdown(f *profile.Profile, s *state, took time.Duration) {
+	expected := f.ReadTime(t.prompt.Tokens, t.cached)
+	if t.task == taskPrefillInPlace {
+		expected = f.InPlaceTime(t.prompt.Tokens, t.cached)
 	}
-	reckoned += t.ahead
-	if t.way == goOn || reckoned < minReckoned || !f.KnowsReading() || t.placer.cfg.Off.Slowdown {
+	expected += t.prefillWait
+	if t.task == taskDecode || expected < minPrefillSample || !f.KnowsReading() || t.placer.cfg.Off.Slowdown {
 		return
 	}
-	s.slowdown = follow(s.slowdown, float64(took-t.rest)/float64(reckoned))
+	s.prefillSlowdown = adjustSlowdown(s.prefillSlowdown, float64(took-t.overhead)/float64(expected))
 }
 
-// refusalDecay is how fast refusals are forgotten: a full engine has a free slot
-// again as soon as one of its runs ends. The time is not learned.
+// refusalDecay is the time constant with which refusals are forgotten: a full engine has a free
+// slot again as soon as one of its requests ends. The value is fixed and not learned.
 const refusalDecay = time.Second
 
-// minReckoned is the shortest prefill that tells something of the speed.
-const minReckoned = 5 * time.Millisecond
+// minPrefillSample is the shortest estimated prefill that is used to measure the speed of a target.
+const minPrefillSample = 5 * time.Millisecond
--- a/internal/place/ways_test.go
+++ b/internal/place/ways_test.go
@@ -12,81 +12,83 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// way chooses an engine on old knowledge.
-type way struct {
+// policy is a rule for choosing an engine on stale reports.
+type policy struct {
 	name string
-	// levels has the product's rule, with the age of what is known; else the cheapest of
-	// the candidates is chosen.
-	levels bool
-	among  candidates
+	// spreads uses the rule of this package with the true age of the reports. Otherwise the
+	// cheapest of the selected engines is chosen.
+	spreads       bool
+	selectEngines engineSelector
 }
 
-// ways are compared; homes are worked out for each crowd anew.
-func ways() []way {
-	return []way{
+// policies returns the policies to compare. Each call returns policies that work out the session
+// engines anew.
+func policies() []policy {
+	return []policy{
 		{name: "cheapest"},
-		{name: "cheapest_of_two", among: twoAtRandom},
-		{name: "cheapest_of_two_homes", among: homesOf(2)},
-		{name: "cheapest_of_four_homes", among: homesOf(4)},
-		{name: "levels", levels: true},
+		{name: "cheapest_of_two", selectEngines: twoAtRandom},
+		{name: "cheapest_of_two_homes", selectEngines: sessionEngines(2)},
+		{name: "cheapest_of_four_homes", selectEngines: sessionEngines(4)},
+		{name: "levels", spreads: true},
 	}
 }
 
-// twoAtRandom returns two engines that read, and the one that goes on.
-func twoAtRandom(c *crowd, _ uint64) []*fleet.Target {
-	readers := len(c.engines) - 1
-	return []*fleet.Target{c.engines[c.random.IntN(readers)], c.engines[c.random.IntN(readers)], c.engines[readers]}
+// twoAtRandom selects two random prefill engines and the decode engine.
+func twoAtRandom(f *fleetSim, _ uint64) []*fleet.Target {
+	last := len(f.engines) - 1
+	return []*fleet.Target{f.engines[f.random.IntN(last)], f.engines[f.random.IntN(last)], f.engines[last]}
 }
 
-// homesOf returns the engines that come first for a session by rendezvous hashing, the same
-// on all VMs, and the one that goes on.
-func homesOf(n int) candidates {
-	homes := make(map[uint64][]*fleet.Target)
-	return func(c *crowd, session uint64) []*fleet.Target {
-		if homes[session] == nil {
-			last := len(c.engines) - 1
-			readers := slices.Clone(c.engines[:last])
-			slices.SortFunc(readers, func(a, b *fleet.Target) int { return cmp.Compare(weight(a, session), weight(b, session)) })
-			homes[session] = append(readers[:n:n], c.engines[last])
+// sessionEngines selects the first n prefill engines for a session by rendezvous hashing, the same
+// on all VMs, and the decode engine.
+func sessionEngines(n int) engineSelector {
+	bySession := make(map[uint64][]*fleet.Target)
+	return func(f *fleetSim, session uint64) []*fleet.Target {
+		if bySession[session] == nil {
+			last := len(f.engines) - 1
+			engines := slices.Clone(f.engines[:last])
+			slices.SortFunc(engines, func(a, b *fleet.Target) int { return cmp.Compare(sessionRank(a, session), sessionRank(b, session)) })
+			bySession[session] = append(engines[:n:n], f.engines[last])
 		}
-		return homes[session]
+		return bySession[session]
 	}
 }
 
-// weight is a target's place among a session's homes. A generator spreads it: plain sums of
-// ids that differ in their last digit would favour the same targets for all sessions.
-func weight(t *fleet.Target, session uint64) uint64 {
+// sessionRank is the rank of a target among the engines of a session. It comes from a random
+// generator: plain sums of ids that differ in their last digit would prefer the same targets for
+// all sessions.
+func sessionRank(t *fleet.Target, session uint64) uint64 {
 	h := fnv.New64a()
-	// A hash's Write returns no error.
+	// Write of a hash never returns an error.
 	_, _ = h.Write([]byte(t.ID))
 	return rand.NewPCG(session, h.Sum64()).Uint64()
 }
 
-// sizes are groups of VMs, with the age of what they know of each other, worked out from the
-// intervals of reports, summaries and digests.
-var sizes = []struct {
+// fleetSizes are numbers of VMs, with the age of what they know of each other. The ages follow from
+// the intervals of reports, summaries and digests.
+var fleetSizes = []struct {
 	vms int
 	age time.Duration
 }{{24, 10 * time.Millisecond}, {100, 40 * time.Millisecond}, {295, 60 * time.Millisecond}, {410, 80 * time.Millisecond}}
 
-// BenchmarkFigures prints, for each way and size, the part of the prompts that were read
-// after 250 ms, and the tokens found cached of each prompt's 6,200 shared ones. There is an
-// engine for three VMs; prompts come 45 a second and engine, 0.5 of what it reads where it
-// holds all shared parts.
+// BenchmarkFigures prints for each policy and size the share of the prompts that were prefilled
+// after 250 ms, and the cached tokens of each prompt, of 6,200 shared ones. There is one engine for
+// every three VMs. Each engine is sent 45 prompts per second, 0.5 of what it can prefill if it has
+// all shared parts cached.
 func BenchmarkFigures(b *testing.B) {
 	const steps, perSecond = 300, 45
-	for _, size := range sizes {
-		for _, w := range ways() {
+	for _, size := range fleetSizes {
+		for _, p := range policies() {
 			engines := size.vms / 3
-			told := time.Duration(0)
-			if w.levels {
-				told = size.age
+			assumedAge := time.Duration(0)
+			if p.spreads {
+				assumedAge = size.age
 			}
-			c := newCrowdOf(b, size.vms, engines, size.age, told)
-			c.among = w.among
-			c.run(steps, int(perSecond*float64(engines)*crowdStep.Seconds()))
-			fmt.Printf("figure placement_%d_vms_%s_late %.3f share\n", size.vms, w.name, c.late(crowdObjective))
-			fmt.Printf("figure placement_%d_vms_%s_cached %d tokens\n", size.vms, w.name, c.cached/len(c.waits))
+			f := newFleetSimOf(b, size.vms, engines, size.age, assumedAge)
+			f.selectEngines = p.selectEngines
+			f.run(steps, int(perSecond*float64(engines)*simStep.Seconds()))
+			fmt.Printf("figure placement_%d_vms_%s_late %.3f share\n", size.vms, p.name, f.lateShare(simObjective))
+			fmt.Printf("figure placement_%d_vms_%s_cached %d tokens\n", size.vms, p.name, f.cachedTokens/len(f.waits))
 		}
 	}
 }
--- a/internal/place/weigh.go
+++ b/internal/place/weigh.go
@@ -9,183 +9,185 @@
 )
 
 const (
-	// workPrice weighs the time that a prefill takes the target against the time that
-	// the request waits: while prompts queue it delays several that come next, so that
-	// a session goes back to its cache though others wait there.
-	workPrice = 4.0
-	// cacheShare is the part of a target's free KV cache that parts are
-	// reckoned to be held in.
+	// prefillWorkCost weighs the time that a prefill occupies the target against the time that the
+	// request waits. While prompts queue, a prefill delays several later ones, so that a session
+	// goes back to the target that has it cached even if others wait there.
+	prefillWorkCost = 4.0
+	// cacheShare is the part of a target's free KV cache that is assumed to hold prompt parts.
 	cacheShare = 0.9
-	// spareSlots of each decode target are kept for the short runs of prompts
-	// prefilled elsewhere.
+	// spareSlots is the number of slots of each decode target that are kept for the short decode
+	// phases of prompts prefilled elsewhere.
 	spareSlots = 4
-	// trifle is the part of the pause budget up to which a prompt is read anywhere.
-	trifle = 1.0 / 8
-	// secondSend is the part of the time of a second send that reading a prompt must
-	// take to be worth one: read in place it takes as long again.
-	secondSend = 0.5
-	// streamPrice weighs what a prompt read beside streams does to each of them, as
-	// a part of its reading time.
-	streamPrice = 0.05
-	// openShare is the price of the first stream at a target, as a part of the
-	// pause budget: other prompts can be read there less freely from then on.
-	openShare = 0.35
+	// smallPromptShare is the part of the gap budget up to which a prompt may be prefilled
+	// anywhere.
+	smallPromptShare = 1.0 / 8
+	// minHandOffShare is the part of the hand-off time that a prefill must take for the hand-off to
+	// be worthwhile. In place the prefill takes twice as long, which is what the hand-off saves.
+	minHandOffShare = 0.5
+	// streamDelayCost is the cost of delaying one stream by a prefill beside it, as a part of the
+	// prefill time.
+	streamDelayCost = 0.05
+	// firstStreamCost is the cost of the first stream at a target, as a part of the gap budget:
+	// from then on the target can prefill other prompts less freely.
+	firstStreamCost = 0.35
 )
 
-// engines is what the engines of one service are reckoned with.
-type engines struct {
+// engineModel estimates the timing of the engines of one service for the placement of a request.
+type engineModel struct {
 	*profile.Profile
 	spec *fleet.EngineSpec
 	off  Off
-	// long is the longest step at which the longest answers of the service end in time, or 0
-	// before any are known.
-	long time.Duration
-	// batch is what the request that is placed asks of the batch that it joins.
-	batch batch
+	// maxStep is the longest decode step at which the service's longest answers end in time, or 0
+	// if none are known yet.
+	maxStep time.Duration
+	// batch is what the request being placed needs from the batch that it joins.
+	batch batchNeeds
 }
 
-// engines returns the engines that targets are; the caller holds p.mu.
-func (p *Placer) engines(targets []*fleet.Target, spec *fleet.EngineSpec) engines {
+// engineModel returns the model for the service of the targets. The caller holds p.mu.
+func (p *Placer) engineModel(targets []*fleet.Target, spec *fleet.EngineSpec) engineModel {
 	service := ""
 	if len(targets) > 0 {
 		service = targets[0].Service
 	}
-	return engines{Profile: p.profile(service), spec: spec, off: p.cfg.Off, long: p.need(service).step}
+	return engineModel{Profile: p.profile(service), spec: spec, off: p.cfg.Off, maxStep: p.stepLimit(service).step}
 }
 
-// pauseBudget is the time that prompts may be read between two events of a stream: all
-// that the shortest pause allowed leaves beside a stream's own steps.
-func (e engines) pauseBudget() time.Duration {
+// gapBudget returns the time that prompts may be prefilled between two events of a stream: what the
+// shortest maximum gap of any route leaves beside the stream's own steps.
+func (e engineModel) gapBudget() time.Duration {
 	if e.spec.MaxGap <= 0 {
 		return math.MaxInt64
 	}
 	return max(e.spec.MaxGap-e.EventPause(), 0)
 }
 
-// streams counts an answer that lasts longer than the longest pause allowed: a
-// shorter one can hardly be cut in two by a prompt that is read beside it.
-func (e engines) streams(q *Prompt) int {
+// longStreams returns 1 if the answer to q lasts longer than the maximum gap between events, and
+// else 0. A shorter answer is unlikely to be interrupted by a prefill beside it.
+func (e engineModel) longStreams(q *Prompt) int {
 	if e.spec.MaxGap > 0 && time.Duration(q.Output)*e.TokenTime() > e.spec.MaxGap {
 		return 1
 	}
 	return 0
 }
 
-// weighed is one way to prefill a prompt.
-type weighed struct {
+// candidate is one way to prefill a prompt, with its estimated times and cost.
+type candidate struct {
 	target *fleet.Target
 	work   Work
-	// cached is the prompt's tokens that the target holds.
+	// cached is the number of the prompt's tokens that the target has cached.
 	cached int
-	// ahead is the prompts that the target has in hand before this one.
-	ahead time.Duration
-	// beside is the requests that the target runs.
-	beside int
-	// expected is the time to the answer's begin, own the part of it that reading
-	// this prompt takes, seatWait the wait for a seat, and rest what the target takes besides
-	// reading.
-	expected time.Duration
-	own      time.Duration
-	seatWait time.Duration
-	rest     time.Duration
-	price    time.Duration
+	// prefillWait is the time of the prefills that the target has pending before this one.
+	prefillWait time.Duration
+	// running is the number of requests that the target runs.
+	running int
+	// expected is the time until the answer begins. It includes ownPrefill, the prefill of this
+	// prompt, seatWait, the wait for a seat, and overhead, what the target takes besides
+	// prefilling.
+	expected   time.Duration
+	ownPrefill time.Duration
+	seatWait   time.Duration
+	overhead   time.Duration
+	cost       time.Duration
 }
 
-// weigh reckons what prefilling r's prompt at t takes. It returns false where t must
-// not read it; the caller holds p.mu.
-func (p *Placer) weigh(t *fleet.Target, r reading) (weighed, bool) {
-	s, load, e, q := p.at(t), p.total(t.RunID()), r.engines, r.prompt
-	w := weighed{target: t, work: Work{Prefills: 1, Tokens: q.Tokens}, ahead: load.ahead(), beside: load.Running, rest: e.WayTime()}
-	if !e.off.Cache {
-		w.cached = s.cache.held(q, cacheShare*float64(e.spec.KVTokens-load.Tokens))
+// evaluate estimates the times and the cost of prefilling the prompt of req at t. It returns false
+// if t must not prefill it. The caller holds p.mu.
+func (p *Placer) evaluate(t *fleet.Target, req prefillRequest) (candidate, bool) {
+	s, load, model, q := p.stateOf(t), p.totalWork(t.RunID()), req.model, req.prompt
+	c := candidate{target: t, work: Work{Prefills: 1, Tokens: q.Tokens}, prefillWait: load.prefillWait(), running: load.Running, overhead: model.WayTime()}
+	if !model.off.Cache {
+		c.cached = s.cache.cachedTokens(q, cacheShare*float64(model.spec.KVTokens-load.Tokens))
 	}
 	var extra seat
 	var ok bool
 	if t.Stage == fleet.Prefill {
-		extra, ok = p.weighApart(&w, r)
+		extra, ok = p.evaluatePrefill(&c, req)
 	} else {
-		extra, ok = w.inPlace(t, s, load, r)
+		extra, ok = c.evaluateInPlace(t, s, load, req)
 	}
 	if !ok {
-		return weighed{}, false
+		return candidate{}, false
 	}
-	w.own = time.Duration(float64(w.work.Prefill) * s.slowdown)
-	reading := time.Duration(float64(w.ahead+w.work.Prefill) * s.slowdown)
-	w.seatWait = extra.wait
+	c.ownPrefill = time.Duration(float64(c.work.Prefill) * s.prefillSlowdown)
+	prefill := time.Duration(float64(c.prefillWait+c.work.Prefill) * s.prefillSlowdown)
+	c.seatWait = extra.wait
 	if t.Stage == fleet.Prefill {
-		w.seatWait = r.next.wait
+		c.seatWait = req.decodeSeat.wait
 	}
-	w.expected = reading + w.rest + extra.wait + p.remote(t)
-	price := reading + time.Duration(e.workPrice()*float64(w.work.Prefill)) + extra.price + p.remote(t)
-	w.price = time.Duration(float64(price)*s.tries(r.now)) + p.unsound(s, r.now)
-	return w, true
+	c.expected = prefill + c.overhead + extra.wait + p.remotePenalty(t)
+	cost := prefill + time.Duration(model.workCost()*float64(c.work.Prefill)) + extra.cost + p.remotePenalty(t)
+	c.cost = time.Duration(float64(cost)*s.expectedTries(req.now)) + p.healthPenalty(s, req.now)
+	return c, true
 }
 
-// weighApart reckons reading a prompt at a prefill engine, and what going on elsewhere
-// costs. It returns false where a second send takes more than it brings.
-func (p *Placer) weighApart(w *weighed, r reading) (seat, bool) {
-	e, q := r.engines, r.prompt
-	w.work.Prefill = e.ReadTime(q.Tokens, w.cached)
-	move := e.WayTime() + e.HopTime(q.Tokens) + p.linkTime(q)
-	if w.work.Prefill < time.Duration(secondSend*float64(move)) {
+// evaluatePrefill estimates a prefill at a prefill engine and the hand-off to a decode engine. It
+// returns false if the hand-off takes more time than it saves. The caller holds p.mu.
+func (p *Placer) evaluatePrefill(c *candidate, req prefillRequest) (seat, bool) {
+	model, q := req.model, req.prompt
+	c.work.Prefill = model.ReadTime(q.Tokens, c.cached)
+	handOff := model.WayTime() + model.HopTime(q.Tokens) + p.linkTime(q)
+	if c.work.Prefill < time.Duration(minHandOffShare*float64(handOff)) {
 		return seat{}, false
 	}
-	return seat{wait: r.next.wait + move, price: r.next.price + move}, true
+	return seat{wait: req.decodeSeat.wait + handOff, cost: req.decodeSeat.cost + handOff}, true
 }
 
-// inPlace reckons reading a prompt at the decode engine that then runs it. It returns
-// false where streams there would wait too long.
-func (w *weighed) inPlace(t *fleet.Target, s *state, load Work, r reading) (seat, bool) {
-	e, q := r.engines, r.prompt
-	w.work.Prefill = e.InPlaceTime(q.Tokens, w.cached)
-	w.work.Running, w.work.Streams = 1, e.streams(q)
-	w.work.Tokens += q.Output / 2
-	if r.keepPauses && !(e.fits(load, w.work.Prefill) && e.leavesTime(s, load, w.work.Prefill, r.now)) {
+// evaluateInPlace estimates a prefill at the decode engine that then runs the request. It returns
+// false if streams there would be delayed too long.
+func (c *candidate) evaluateInPlace(t *fleet.Target, s *state, load Work, req prefillRequest) (seat, bool) {
+	model, q := req.model, req.prompt
+	c.work.Prefill = model.InPlaceTime(q.Tokens, c.cached)
+	c.work.Running, c.work.Streams = 1, model.longStreams(q)
+	c.work.Tokens += q.Output / 2
+	if req.keepMaxGap && !(model.keepsMaxGap(load, c.work.Prefill) && model.leavesStepTime(s, load, c.work.Prefill, req.now)) {
 		return seat{}, false
 	}
-	w.rest += e.HopTime(0)
-	extra := e.seat(t, s, load, r.now)
-	extra.price += e.HopTime(0) + e.beside(load, w.work)
+	c.overhead += model.HopTime(0)
+	extra := model.seat(t, s, load, req.now)
+	extra.cost += model.HopTime(0) + model.interferenceCost(load, c.work)
 	return extra, true
 }
 
-// workPrice is the weight of a prefill's work.
-func (e engines) workPrice() float64 {
+// workCost returns the weight of a prefill's work.
+func (e engineModel) workCost() float64 {
 	if e.off.Stay {
 		return 1
 	}
-	return workPrice
+	return prefillWorkCost
 }
 
-// fits reports whether a prompt that takes so long may be read beside the streams of
-// a decode target: each chunk of it comes between two of their tokens.
-func (e engines) fits(load Work, prefill time.Duration) bool {
-	budget := e.pauseBudget()
-	return load.Streams == 0 || load.Prefill+prefill <= budget || prefill <= time.Duration(trifle*float64(budget))
+// keepsMaxGap reports whether a decode target can prefill a prompt that takes this long beside its
+// streams without exceeding their maximum gap. Each chunk of a prompt is processed between two of
+// their tokens.
+func (e engineModel) keepsMaxGap(load Work, prefill time.Duration) bool {
+	budget := e.gapBudget()
+	return load.Streams == 0 || load.Prefill+prefill <= budget || prefill <= time.Duration(smallPromptShare*float64(budget))
 }
 
-// beside is the price that keeps streams and prompts read in place apart: streams
-// gather at few targets and prompts go to the others.
-func (e engines) beside(load, added Work) time.Duration {
-	budget := e.pauseBudget()
-	small := added.Prefill <= time.Duration(trifle*float64(budget))
-	var price time.Duration
+// interferenceCost returns the cost that keeps streams and prefills in place apart: streams gather
+// at a few targets, and prompts go to the others.
+func (e engineModel) interferenceCost(load, added Work) time.Duration {
+	budget := e.gapBudget()
+	small := added.Prefill <= time.Duration(smallPromptShare*float64(budget))
+	var cost time.Duration
 	if !small {
-		price += time.Duration(streamPrice * float64(load.Streams) * float64(added.Prefill))
+		cost += time.Duration(streamDelayCost * float64(load.Streams) * float64(added.Prefill))
 	}
 	if added.Streams == 0 && !small {
-		return price
+		return cost
 	}
-	price += load.Prefill
+	cost += load.Prefill
 	if load.Streams == 0 && e.spec.MaxGap > 0 {
-		price += time.Duration(openShare * float64(budget))
+		cost += time.Duration(firstStreamCost * float64(budget))
 	}
-	return price
+	return cost
 }
 
-// filled is the part of a decode target that its runs fill, by seats and by memory.
-func (e engines) filled(t *fleet.Target, s *state, load Work) float64 {
-	seats := float64(load.Running) / float64(e.longSeats(t, s))
+// fillShare returns how far the running requests fill a decode target, by seats or by memory. It
+// exceeds 1 if the target is overloaded.
+func (e engineModel) fillShare(t *fleet.Target, s *state, load Work) float64 {
+	seats := float64(load.Running) / float64(e.seatsForLongest(t, s))
 	memory := float64(load.Tokens) / float64(max(e.spec.KVTokens, 1))
 	return max(seats, memory)
 }
