--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -22,7 +22,7 @@
 	is.Equal(s.Place("short", 99, 20), fair.Size{Prompt: fair.LargestTenth, Answer: fair.LargestTenth})
 }
 
-func TestFirstRequestsOfARouteAreNotAllTakenForLarge(t *testing.T) {
+func TestFirstRequestsOfARouteAreNotAllClassifiedAsLarge(t *testing.T) {
 	is := is.New(t)
 	s := &fair.Sizes{}
 	count := map[fair.Band]int{}
@@ -33,17 +33,17 @@
 	is.True(count[fair.Rest] > 128)
 }
 
-// crowd counts requests of which the largest tenth by prompt is admitted with its own chance,
-// and the others with theirs.
-func crowd(s *fair.Sizes, requests int, largest, others float64) {
+// countRequests counts requests of which the largest tenth by prompt is admitted with one
+// probability and the others with another.
+func countRequests(s *fair.Sizes, requests int, largest, others float64) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for range requests {
 		size := s.Place("r", r.IntN(1000), r.IntN(1000))
-		chance := others
+		probability := others
 		if size.Prompt == fair.LargestTenth {
-			chance = largest
+			probability = largest
 		}
-		s.Count("r", size, true, r.Float64() < chance)
+		s.Count("r", size, true, r.Float64() < probability)
 	}
 }
 
@@ -55,15 +55,15 @@
 	}{
 		{"all are admitted", 1, 1, 0, 0},
 		{"alike", 0.5, 0.5, 0.2, 0},
-		{"the largest half as often", 0.2, 0.5, 1, 0.7},
-		{"the largest never", 0, 0.5, 1, 1},
-		{"the largest more often", 0.9, 0.5, 0, 0},
-		{"nobody is", 0, 0, 0, 0},
+		{"the largest are admitted half as often", 0.2, 0.5, 1, 0.7},
+		{"the largest are never admitted", 0, 0.5, 1, 1},
+		{"the largest are admitted more often", 0.9, 0.5, 0, 0},
+		{"none are admitted", 0, 0, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			s := &fair.Sizes{}
-			crowd(s, 4000, c.largest, c.others)
+			countRequests(s, 4000, c.largest, c.others)
 			favor := s.Favor("r", fair.Size{Prompt: fair.LargestTenth})
 			is.True(favor <= c.most && favor >= c.least)
 			is.Equal(s.Favor("other", fair.Size{Prompt: fair.LargestTenth}), 0.0)
@@ -71,7 +71,8 @@
 	}
 }
 
-// A caller that is refused and comes back is admitted once of one, not of two.
+// A caller that is refused and comes back counts as one request that was admitted, not as two
+// requests of which one was.
 func TestCallersThatComeBackCountOnce(t *testing.T) {
 	is := is.New(t)
 	s := &fair.Sizes{}
