--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,39 +1,38 @@
-// Package retry holds the budget that bounds retries to a share of the
-// requests, so that a failing fleet is not hit harder.
+// Package retry bounds retries to a share of the requests, so that they do not add much load to
+// targets that fail.
 package retry
 
 import "sync"
 
-// Budget lets at most a share of the requests be tried again. It is safe for
+// Budget is a token bucket that allows retries for at most a share of the requests. It is safe for
 // concurrent use.
 type Budget struct {
 	mu sync.Mutex
-	// tokens grows by ratio with each request, up to limit; a retry takes one.
-	tokens float64
-	ratio  float64
-	limit  float64
+	// tokens grows by ratio with each request, up to maxTokens. A retry takes one.
+	tokens    float64
+	ratio     float64
+	maxTokens float64
 }
 
-// The default budget: one retry for ten requests, and ten in a burst.
+// The default budget allows one retry per ten requests, and ten in a burst.
 const (
 	DefaultRatio = 0.1
 	DefaultBurst = 10
 )
 
-// NewBudget returns a full budget of ratio retries per request and at most
-// burst at once.
+// NewBudget returns a full budget that allows ratio retries per request and at most burst at once.
 func NewBudget(ratio, burst float64) *Budget {
-	return &Budget{tokens: burst, ratio: ratio, limit: burst}
+	return &Budget{tokens: burst, ratio: ratio, maxTokens: burst}
 }
 
-// Request counts a first try.
+// Request counts the first try of a request.
 func (b *Budget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+b.ratio, b.limit)
+	b.tokens = min(b.tokens+b.ratio, b.maxTokens)
 }
 
-// Retry takes one retry from the budget, or returns false when it is spent.
+// Retry takes one retry from the budget. It returns false if the budget is used up.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,7 +43,7 @@
 	return true
 }
 
-// Empty takes all retries from the budget.
+// Empty removes all retries from the budget.
 func (b *Budget) Empty() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retry/count.go
+++ b/internal/retry/count.go
@@ -2,41 +2,43 @@
 
 import "time"
 
-// parts is how many parts of a span events are counted by. At most one part too little of
-// the span is counted, and never more than the span.
-const parts = 32
+// buckets is the number of time buckets by which the events of a span are counted. The counted time
+// is at most one bucket shorter than the span and never longer.
+const buckets = 32
 
-// spanCount counts the events of the last span in a fixed number of bytes, at any rate.
+// spanCount counts the events of the most recent span in constant memory, at any rate.
 type spanCount struct {
-	part time.Duration
-	// counts is a ring of the events of each part. Parts are numbered from time 0, and newest
-	// is the one that is being filled.
-	counts [parts]int
+	// bucket is the length of one bucket.
+	bucket time.Duration
+	// counts is a ring with the number of events in each bucket. Buckets are numbered from time 0,
+	// and newest is the one being filled.
+	counts [buckets]int
 	newest int64
 	sum    int
 }
 
-func newSpanCount(span time.Duration) spanCount { return spanCount{part: max(span/parts, 1)} }
+// newSpanCount returns a counter for the given span.
+func newSpanCount(span time.Duration) spanCount { return spanCount{bucket: max(span/buckets, 1)} }
 
 // add counts an event at now.
 func (c *spanCount) add(now time.Duration) {
 	c.expire(now)
-	c.counts[c.newest%parts]++
+	c.counts[c.newest%buckets]++
 	c.sum++
 }
 
-// total returns the events of the span that ends at now.
+// total returns the number of events in the span that ends at now.
 func (c *spanCount) total(now time.Duration) int {
 	c.expire(now)
 	return c.sum
 }
 
-// expire drops the parts that have left the span.
+// expire drops the buckets that have left the span.
 func (c *spanCount) expire(now time.Duration) {
-	newest := max(int64(now/c.part), c.newest)
-	for n := max(c.newest+1, newest-parts+1); n <= newest; n++ {
-		c.sum -= c.counts[n%parts]
-		c.counts[n%parts] = 0
+	newest := max(int64(now/c.bucket), c.newest)
+	for n := max(c.newest+1, newest-buckets+1); n <= newest; n++ {
+		c.sum -= c.counts[n%buckets]
+		c.counts[n%buckets] = 0
 	}
 	c.newest = newest
 }
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -11,9 +11,10 @@
 	"garnethoist.org/garnethoist/internal/retry"
 )
 
+// bound is the bound that these tests check.
 var bound = retry.WindowConfig{Ratio: 0.2, Slack: 5, Span: 10 * time.Second}
 
-func TestSlackIsThereFromTheStart(t *testing.T) {
+func TestSlackIsAvailableFromTheStart(t *testing.T) {
 	is := is.New(t)
 	w := retry.NewWindow(bound)
 	n := 0
@@ -25,8 +26,8 @@
 	is.True(!w.Retry(0))
 }
 
-// After steady traffic a burst of failures finds more than the slack.
-func TestTrafficSavesUpForABurst(t *testing.T) {
+// After steady traffic, more retries than the slack are available for a burst of failures.
+func TestTrafficSavesRetriesForABurst(t *testing.T) {
 	is := is.New(t)
 	w := retry.NewWindow(bound)
 	now := time.Duration(0)
@@ -41,45 +42,45 @@
 	is.True(n > 20 && n <= 30)
 }
 
-// Whatever comes when, no span holds more retries than the bound allows; the
-// requests counted are those of the span or of the one before it.
+// Whatever the pattern of requests, no span has more retries than the bound allows. The requests of
+// the span, of the span before it, or of the halves of both count.
 func TestNoSpanIsOverTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var phases []phase
 		for range rapid.IntRange(1, 12).Draw(t, "phases") {
 			gap := time.Duration(rapid.IntRange(1, 400).Draw(t, "gap")) * time.Millisecond
-			greed := rapid.IntRange(0, 3).Draw(t, "greed")
-			phases = append(phases, phase{gap: gap, greed: greed, requests: rapid.IntRange(1, 200).Draw(t, "requests")})
+			retriesPerRequest := rapid.IntRange(0, 3).Draw(t, "greed")
+			phases = append(phases, phase{gap: gap, retriesPerRequest: retriesPerRequest, requests: rapid.IntRange(1, 200).Draw(t, "requests")})
 		}
-		if broken := play(phases); broken != "" {
-			t.Fatal(broken)
+		if excess := simulate(phases); excess != "" {
+			t.Fatal(excess)
 		}
 	})
 }
 
-// A burst of requests was counted for longer than the span after it, as the count faded
-// instead of ending: 17 retries came in a span of 54 requests, where 15.8 are allowed and the
-// check adds 1. Drawn in a run of the test above (rapid seed 6034037910942258090).
+// A decaying count of requests kept a burst for longer than the span after it: 17 retries came in a
+// span of 54 requests, where 15.8 are allowed and the check adds 1. These phases were found by the
+// test above (rapid seed 6034037910942258090).
 func TestBurstIsForgottenAfterTheSpan(t *testing.T) {
-	broken := play([]phase{
+	excess := simulate([]phase{
 		{gap: time.Millisecond, requests: 47},
 		{gap: 8 * time.Millisecond, requests: 135},
 		{gap: 384 * time.Millisecond, requests: 25},
-		{gap: 169 * time.Millisecond, greed: 1, requests: 54},
+		{gap: 169 * time.Millisecond, retriesPerRequest: 1, requests: 54},
 	})
-	if broken != "" {
-		t.Fatal(broken)
+	if excess != "" {
+		t.Fatal(excess)
 	}
 }
 
-// A window that begins empty and is filled later keeps the bound as well.
+// The bound also holds for a window that starts empty and is filled later.
 func TestWindowThatIsFilledLaterKeepsTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := retry.NewWindow(bound)
 		w.Empty()
 		fillAt := rapid.IntRange(0, 300).Draw(t, "fill")
 		gap := time.Duration(rapid.IntRange(1, 400).Draw(t, "gap")) * time.Millisecond
-		greed := rapid.IntRange(1, 3).Draw(t, "greed")
+		retriesPerRequest := rapid.IntRange(1, 3).Draw(t, "greed")
 		var requests, retries []time.Duration
 		now := time.Duration(0)
 		for i := range 400 {
@@ -89,27 +90,27 @@
 			}
 			w.Request(now)
 			requests = append(requests, now)
-			for range greed {
+			for range retriesPerRequest {
 				if w.Retry(now) {
 					retries = append(retries, now)
 				}
 			}
 		}
-		if broken := over(requests, retries); broken != "" {
-			t.Fatal(broken)
+		if excess := findExcess(requests, retries); excess != "" {
+			t.Fatal(excess)
 		}
 	})
 }
 
-// phase is requests at a fixed gap, each of which asks for so many retries.
+// phase is a series of requests at a fixed gap, each of which asks for retriesPerRequest retries.
 type phase struct {
-	gap      time.Duration
-	greed    int
-	requests int
+	gap               time.Duration
+	retriesPerRequest int
+	requests          int
 }
 
-// play runs the phases and returns what breaks the bound, or nothing.
-func play(phases []phase) string {
+// simulate runs the phases and describes a span that exceeds the bound, or returns "".
+func simulate(phases []phase) string {
 	w := retry.NewWindow(bound)
 	var requests, retries []time.Duration
 	now := time.Duration(0)
@@ -118,28 +119,29 @@
 			now += p.gap
 			w.Request(now)
 			requests = append(requests, now)
-			for range p.greed {
+			for range p.retriesPerRequest {
 				if w.Retry(now) {
 					retries = append(retries, now)
 				}
 			}
 		}
 	}
-	return over(requests, retries)
+	return findExcess(requests, retries)
 }
 
-// over returns which span is over the bound, or nothing.
-func over(requests, retries []time.Duration) string {
+// findExcess describes a span in which the retries exceed the bound, or returns "".
+func findExcess(requests, retries []time.Duration) string {
 	for _, from := range retries {
 		extra := count(retries, from, from+bound.Span)
-		most := max(count(requests, from, from+bound.Span), count(requests, from-bound.Span, from), count(requests, from-bound.Span/2, from+bound.Span/2))
-		if float64(extra) > bound.Slack+bound.Ratio*float64(most)+1 {
-			return fmt.Sprintf("%d retries in a span of %d requests from %s", extra, most, from)
+		maxRequests := max(count(requests, from, from+bound.Span), count(requests, from-bound.Span, from), count(requests, from-bound.Span/2, from+bound.Span/2))
+		if float64(extra) > bound.Slack+bound.Ratio*float64(maxRequests)+1 {
+			return fmt.Sprintf("%d retries in a span of %d requests from %s", extra, maxRequests, from)
 		}
 	}
 	return ""
 }
 
+// count returns how many of the times are in [from, to).
 func count(at []time.Duration, from, to time.Duration) int {
 	n := 0
 	for _, t := range at {
