--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -1,9 +1,9 @@
-// Package silence sets the times after which a TCP connection whose other end
-// does not answer any more is taken for lost. Without them the kernel waits for
-// minutes, and so does what reads from the connection.
+// Package silence sets the timeouts after which a TCP connection to an unresponsive peer counts as
+// lost. Without them the kernel waits for minutes, and a program that reads from the connection
+// does too.
 //
-// Both concern the other end's kernel, not its program: a program that takes its
-// time to answer loses nothing.
+// The timeouts apply to the kernel of the peer and not to its program: a program that takes long to
+// answer does not lose its connections.
 package silence
 
 import (
@@ -16,30 +16,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Probes are sent on a connection on which nothing has come or gone for a second,
-// the shortest time that the kernel knows. With a bound on unacknowledged bytes
-// the second probe ends a silent connection: two seconds after it fell silent,
-// before callers of the users' pages give up a stream (two seconds at least).
+// Probes configures keep-alive probes on a connection that has been idle for a second, the shortest
+// time that the kernel supports. Together with a limit on unacknowledged data, the second probe
+// ends the connection two seconds after the peer became silent. This is before interactive callers
+// give up a stream, which they do after two seconds at the earliest.
 var Probes = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 1}
 
-// listenProbes is how many probes of an accepted connection may be lost.
-const listenProbes = 3
+// acceptedProbeCount is the number of unanswered probes after which an accepted connection ends.
+const acceptedProbeCount = 3
 
-// Listen listens on a TCP address. A connection to it is ended once it has been
-// silent for the time after, with probes in between, or once what is written to it
-// has stayed unacknowledged for as long.
-func Listen(ctx context.Context, address string, after time.Duration) (net.Listener, error) {
+// Listen listens on a TCP address. An accepted connection ends once its peer has not answered for
+// timeout, during which it is probed, or once data written to it has been unacknowledged for that
+// long.
+func Listen(ctx context.Context, address string, timeout time.Duration) (net.Listener, error) {
 	lc := net.ListenConfig{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: after / listenProbes, Interval: after / listenProbes, Count: listenProbes},
-		// Linux hands the bound on to the connections that are accepted.
-		Control: func(_, _ string, raw syscall.RawConn) error { return control(raw, after) },
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: timeout / acceptedProbeCount, Interval: timeout / acceptedProbeCount, Count: acceptedProbeCount},
+		// Linux passes this option on to accepted connections.
+		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, timeout) },
 	}
 	return lc.Listen(ctx, "tcp", address)
 }
 
-// SetUnacked bounds how long bytes written to c may stay unacknowledged, and how
-// long the other end may leave no room for more. Connections of other kinds than
-// TCP have no such bound.
+// SetUnacked limits how long data written to c may remain unacknowledged, and how long the peer may
+// keep its receive window closed. It has no effect on connections other than TCP.
 func SetUnacked(c net.Conn, d time.Duration) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -47,27 +46,28 @@
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return errors.Wrap(err, "silence: connection")
+		return errors.Wrap(err, "silence: access the socket")
 	}
-	return control(raw, d)
+	return setUserTimeout(raw, d)
 }
 
-// Dialer returns a dialer whose connections are probed and have a bound on
-// unacknowledged bytes. timeout bounds the opening of a connection.
+// Dialer returns a dialer whose connections are probed and have a limit on the time that data stays
+// unacknowledged. timeout limits the time to connect.
 func Dialer(timeout, unacked time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout, KeepAliveConfig: Probes,
-		Control: func(_, _ string, raw syscall.RawConn) error { return control(raw, unacked) },
+		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, unacked) },
 	}
 }
 
-func control(raw syscall.RawConn, d time.Duration) error {
-	var set error
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket, in milliseconds.
+func setUserTimeout(raw syscall.RawConn, d time.Duration) error {
+	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 	})
 	if err == nil {
-		err = set
+		err = setErr
 	}
-	return errors.Wrap(err, "silence: bound on unacknowledged bytes")
+	return errors.Wrap(err, "silence: set TCP_USER_TIMEOUT")
 }
--- a/internal/silence/silence_test.go
+++ b/internal/silence/silence_test.go
@@ -15,39 +15,40 @@
 )
 
 const (
-	after = time.Second
-	// noticed is by when a silent connection must have ended: a probe each second.
-	noticed = after + 2500*time.Millisecond
+	timeout = time.Second
+	// maxDetection is the time within which a silent connection must have ended, with a probe each
+	// second.
+	maxDetection = timeout + 2500*time.Millisecond
 )
 
-// accepted returns the listening end of a connection through a relay, and what
-// holds the relay's other end open.
-func accepted(t *testing.T) (net.Conn, net.Conn, *proc.Relay) {
+// acceptThroughRelay returns the accepted end of a connection through a relay, the dialing end, and
+// the relay.
+func acceptThroughRelay(t *testing.T) (net.Conn, net.Conn, *proc.Relay) {
 	t.Helper()
 	is := is.New(t)
-	l, err := silence.Listen(context.Background(), "127.0.0.1:0", after)
+	l, err := silence.Listen(context.Background(), "127.0.0.1:0", timeout)
 	is.NoErr(err)
 	t.Cleanup(func() { l.Close() })
 	r, err := proc.NewRelay(l.Addr().String())
 	is.NoErr(err)
 	t.Cleanup(r.Close)
-	far, err := net.Dial("tcp", r.Addr())
+	peer, err := net.Dial("tcp", r.Addr())
 	is.NoErr(err)
-	t.Cleanup(func() { far.Close() })
+	t.Cleanup(func() { peer.Close() })
 	c, err := l.Accept()
 	is.NoErr(err)
 	t.Cleanup(func() { c.Close() })
-	// A byte through the relay shows that it holds both of its connections, which
-	// it may not yet when the second one is accepted.
-	_, err = far.Write([]byte("x"))
+	// A byte through the relay shows that it has both of its connections. It may not have the
+	// second one yet when that is accepted.
+	_, err = peer.Write([]byte("x"))
 	is.NoErr(err)
 	_, err = c.Read(make([]byte, 1))
 	is.NoErr(err)
-	return c, far, r
+	return c, peer, r
 }
 
-// ended returns the error of the first call of f that fails, and how long it took.
-func ended(t *testing.T, f func() error) (time.Duration, error) {
+// waitForError calls f until it fails and returns the time that this took and the error.
+func waitForError(t *testing.T, f func() error) (time.Duration, error) {
 	t.Helper()
 	began := time.Now()
 	for time.Since(began) < 20*time.Second {
@@ -55,7 +56,7 @@
 			return time.Since(began), err
 		}
 	}
-	t.Fatal("no end within 20 s")
+	t.Fatal("no error within 20 s")
 	return 0, nil
 }
 
@@ -66,21 +67,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c, _, r := accepted(t)
+			c, _, r := acceptThroughRelay(t)
 			r.Disturb(proc.Lost)
-			took, err := ended(t, func() error { return use(c) })
+			took, err := waitForError(t, func() error { return use(c) })
 			is.True(errors.Is(err, syscall.ETIMEDOUT))
-			is.True(took < noticed)
+			is.True(took < maxDetection)
 		})
 	}
 }
 
-// An idle connection whose other end is there stays.
+// An idle connection whose peer is reachable stays open.
 func TestIdleConnectionStays(t *testing.T) {
 	is := is.New(t)
-	c, far, _ := accepted(t)
-	time.Sleep(noticed)
-	_, err := far.Write([]byte("x"))
+	c, peer, _ := acceptThroughRelay(t)
+	time.Sleep(maxDetection)
+	_, err := peer.Write([]byte("x"))
 	is.NoErr(err)
 	_, err = c.Read(make([]byte, 1))
 	is.NoErr(err)
