--- a/internal/gateway/account.go
+++ b/internal/gateway/account.go
@@ -7,25 +7,27 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// Usage counts the runs of client accounts.
+// Usage counts the requests that targets run for client accounts.
 type Usage interface {
-	// Ran counts a run of an account that began at a time; an empty account is none.
+	// Ran counts a request of an account that a target began to run at the given time. An empty
+	// account means an anonymous request.
 	Ran(account string, at time.Time)
 }
 
-// identify finds the client account that holds the request's key.
-func (x *exchange) identify() error { return x.decided(x.identifyView) }
+// identifyAccount looks up the client account that the request's key belongs to and fails if the
+// route requires one and there is none.
+func (x *exchange) identifyAccount() error { return x.confirmedByNewest(x.identifyAccountInView) }
 
-// identifyView is identify on the configuration at hand. Keys are served only while it is
-// known that none was removed longer ago than removals may take: a VM that was cut off, frozen
-// or suspended may not have heard of it.
-func (x *exchange) identifyView() error {
+// identifyAccountInView is identifyAccount for the configuration in x.view. Keys are accepted only
+// while this VM is known to have every revocation that must be in force by now: a VM that was
+// partitioned, frozen or suspended may have missed one.
+func (x *exchange) identifyAccountInView() error {
 	cfg := x.view.Config
 	if !cfg.Keyed() {
 		return nil
 	}
 	var account *fleet.Account
-	current := x.g.known.KeysCurrent()
+	current := x.g.freshness.KeysCurrent()
 	if current {
 		account = cfg.Account(x.meta.Key)
 	}
@@ -34,12 +36,12 @@
 	case x.route.Anonymous || account != nil:
 		return nil
 	case !current:
-		return x.refusal(errkind.KeysUncertain, nil, "this VM does not know which keys were removed lately")
+		return x.refusal(errkind.KeysUncertain, nil, "this VM does not know which keys were revoked recently")
 	}
 	return errkind.New(errkind.UnknownKey, "no client account has this key")
 }
 
-// accountName is the name of the client account, or empty for an anonymous request.
+// accountName returns the name of the client account, or "" for an anonymous request.
 func (x *exchange) accountName() string {
 	account := x.account.Load()
 	if account == nil {
@@ -48,13 +50,14 @@
 	return account.Name
 }
 
-// admitted reports whether the key may still be served as the account that the send names. It is
-// asked right before a send's first byte: the process may have stood still since it was decided.
-func (x *exchange) admitted() bool {
+// keyStillValid reports whether the key still belongs to the account that the attempt was made for.
+// It is checked right before the first byte is sent, because the process may have been paused since
+// the account was looked up.
+func (x *exchange) keyStillValid() bool {
 	named := x.accountName()
 	if named == "" {
 		return true
 	}
 	holder := x.g.keeper.View().Config.Account(x.meta.Key)
-	return x.g.known.KeysCurrent() && holder != nil && holder.Name == named
+	return x.g.freshness.KeysCurrent() && holder != nil && holder.Name == named
 }
--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -10,16 +10,17 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// keysKnown says whether keys may be served.
-type keysKnown struct {
-	newest
+// fakeFreshness is an up-to-date VM whose keys may or may not be accepted.
+type fakeFreshness struct {
+	upToDate
 	current bool
 }
 
-func (k *keysKnown) KeysCurrent() bool { return k.current }
+func (k *fakeFreshness) KeysCurrent() bool { return k.current }
 
-// keyedExchange is a request with a key on a route, before a configuration with one account.
-func keyedExchange(t *testing.T, key string, anonymous bool) (*exchange, *keysKnown) {
+// keyedExchange returns a request with the given key on a route, under a configuration with one
+// account that has the key "k".
+func keyedExchange(t *testing.T, key string, anonymous bool) (*exchange, *fakeFreshness) {
 	t.Helper()
 	config := fleet.NewConfig(1, nil, nil, fleet.Limits{})
 	if err := config.SetAccounts([]*fleet.Account{{Name: "a", Keys: []string{"k"}}}); err != nil {
@@ -27,30 +28,30 @@
 	}
 	keeper := fleet.NewKeeper()
 	keeper.SetConfig(config)
-	known := &keysKnown{current: true}
-	g := &Gateway{keeper: keeper, known: known}
+	known := &fakeFreshness{current: true}
+	g := &Gateway{keeper: keeper, freshness: known}
 	return &exchange{
 		g: g, r: httptest.NewRequest("GET", "/", nil), view: keeper.View(), route: &fleet.Route{Anonymous: anonymous}, meta: Meta{Key: key},
 	}, known
 }
 
-// A plain request is sent to a second target beside an overdue first one: both look the key up,
-// and neither is without it meanwhile.
-func TestAccountIsLookedUpBesideASend(t *testing.T) {
+// A plain request is sent to a second target while the response of the first is overdue. Both
+// attempts look up the key, and neither may see the account missing in between.
+func TestAccountLookupDuringConcurrentAttempt(t *testing.T) {
 	is := is.New(t)
 	x, _ := keyedExchange(t, "k", false)
-	is.NoErr(x.identify())
+	is.NoErr(x.identifyAccount())
 	var first sync.WaitGroup
 	first.Go(func() {
 		for range 1000 {
-			if x.accountName() != "a" || !x.admitted() {
-				t.Error("the account was not there")
+			if x.accountName() != "a" || !x.keyStillValid() {
+				t.Error("the account was missing")
 				return
 			}
 		}
 	})
 	for range 1000 {
-		if err := x.identify(); err != nil {
+		if err := x.identifyAccount(); err != nil {
 			t.Error(err)
 			break
 		}
@@ -58,34 +59,34 @@
 	first.Wait()
 }
 
-// A key that was removed since a send was decided withholds it.
-func TestSendIsWithheldWithoutItsKey(t *testing.T) {
+// An attempt must not be sent if the key was revoked after the attempt was decided on.
+func TestAttemptIsWithheldAfterKeyRevocation(t *testing.T) {
 	is := is.New(t)
 	x, known := keyedExchange(t, "k", false)
-	is.NoErr(x.identify())
-	is.True(x.admitted())
+	is.NoErr(x.identifyAccount())
+	is.True(x.keyStillValid())
 	known.current = false
-	is.True(!x.admitted())
+	is.True(!x.keyStillValid())
 	known.current = true
 	next := fleet.NewConfig(2, nil, nil, fleet.Limits{})
 	is.NoErr(next.SetAccounts(nil))
 	x.g.keeper.SetConfig(next)
-	is.True(!x.admitted())
-	passed := fleet.NewConfig(3, nil, nil, fleet.Limits{})
-	is.NoErr(passed.SetAccounts([]*fleet.Account{{Name: "b", Keys: []string{"k"}}}))
-	x.g.keeper.SetConfig(passed)
-	is.True(!x.admitted()) // the send names the account that held the key before
+	is.True(!x.keyStillValid())
+	reassigned := fleet.NewConfig(3, nil, nil, fleet.Limits{})
+	is.NoErr(reassigned.SetAccounts([]*fleet.Account{{Name: "b", Keys: []string{"k"}}}))
+	x.g.keeper.SetConfig(reassigned)
+	is.True(!x.keyStillValid()) // the attempt names the account that had the key before
 }
 
 func TestAnonymousRequestsNeedNoKey(t *testing.T) {
 	is := is.New(t)
 	for key, name := range map[string]string{"": "", "other": "", "k": "a"} {
 		x, known := keyedExchange(t, key, true)
-		is.NoErr(x.identify())
+		is.NoErr(x.identifyAccount())
 		is.Equal(x.accountName(), name)
 		known.current = false
-		is.NoErr(x.identify())
+		is.NoErr(x.identifyAccount())
 		is.Equal(x.accountName(), "")
-		is.True(x.admitted())
+		is.True(x.keyStillValid())
 	}
 }
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -6,36 +6,38 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// admission is how a generation's last admission was decided.
+// admission is the last admission decision for a generation request.
 type admission struct {
 	ruling place.Ruling
 	choice place.Choice
-	// again says that its caller was refused before.
-	again bool
+	// callerRetry says that the caller has sent this request before and was refused.
+	callerRetry bool
 }
 
-// ruled keeps and counts an admission once the request is sent for the first time, or refused.
-func (x *exchange) ruled(r place.Ruling, c place.Choice) {
-	if x.sends.arrivals > 0 {
+// recordAdmission stores and counts the admission decision when the request is first sent to a
+// target or is refused. Later attempts are not counted.
+func (x *exchange) recordAdmission(r place.Ruling, c place.Choice) {
+	if x.attempts.arrivals > 0 {
 		return
 	}
-	again := x.g.waits.waited(x.route.Name, x.meta.Timeout) > 0
-	x.admission = &admission{ruling: r, choice: c, again: again}
+	again := x.g.callerWaits.sinceFirstTry(x.route.Name, x.meta.Timeout) > 0
+	x.admission = &admission{ruling: r, choice: c, callerRetry: again}
 	x.g.sizes.Count(x.route.Name, x.size(), !again, r.Verdict == place.Send)
 	x.g.stats.Admission(x.route.Name, x.size(), x.admission, x.deferredFor > 0)
 }
 
-// size is the request's place by size among the last ones of its route.
+// size returns the size class of the request's prompt and expected response, relative to the latest
+// requests of its route.
 func (x *exchange) size() fair.Size {
-	if x.bands == nil {
+	if x.sizeBands == nil {
 		b := x.g.sizes.Place(x.route.Name, x.meta.Prompt.Tokens, x.meta.Prompt.Output)
-		x.bands = &b
+		x.sizeBands = &b
 	}
-	return *x.bands
+	return *x.sizeBands
 }
 
-// fields returns what the log line tells of an admission.
-func (a *admission) fields() []telemetry.Field {
+// logFields returns the admission decision as log fields.
+func (a *admission) logFields() []telemetry.Field {
 	fields := []telemetry.Field{
 		telemetry.F("wait_ms", a.choice.Wait().Milliseconds()),
 		telemetry.F("own_ms", a.choice.Own.Milliseconds()),
@@ -44,13 +46,13 @@
 	if a.ruling.Reason != "" {
 		fields = append(fields, telemetry.F("reason", a.ruling.Reason))
 	}
-	if a.again {
+	if a.callerRetry {
 		fields = append(fields, telemetry.F("again", true))
 	}
 	return fields
 }
 
-// verdictName is the verdict's word in logs and metrics.
+// verdictName returns the name of v in logs and metrics.
 func verdictName(v place.Verdict) string {
 	switch v {
 	case place.Send:
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -9,15 +9,15 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-func TestAdmissionIsToldInTheLine(t *testing.T) {
+func TestAdmissionLogFields(t *testing.T) {
 	is := is.New(t)
 	a := &admission{
-		ruling: place.Ruling{Verdict: place.Refuse, Reason: place.NoSeat},
-		choice: place.Choice{Expected: 90 * time.Millisecond, Own: 20 * time.Millisecond, SeatWait: 60 * time.Millisecond},
-		again:  true,
+		ruling:      place.Ruling{Verdict: place.Refuse, Reason: place.NoSeat},
+		choice:      place.Choice{Expected: 90 * time.Millisecond, Own: 20 * time.Millisecond, SeatWait: 60 * time.Millisecond},
+		callerRetry: true,
 	}
 	line := map[string]any{}
-	for _, f := range a.fields() {
+	for _, f := range a.logFields() {
 		line[f.Key] = f.Value
 	}
 	is.Equal(line["wait_ms"], int64(70))
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -10,83 +10,85 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// admit decides on a choice. One that has been sent somewhere goes on, and a route
-// without an objective takes all.
+// admit decides whether the request is sent to the chosen target, deferred or refused. Requests
+// that were sent to a target before, and requests on routes without an objective, are always sent.
 func (x *exchange) admit(c place.Choice) place.Ruling {
-	if x.sends.arrivals > 0 || x.ran || x.route.Objective <= 0 {
+	if x.attempts.arrivals > 0 || x.mayHaveRun || x.route.Objective <= 0 {
 		return place.Ruling{Verdict: place.Send}
 	}
-	asked := x.asked(clock.Now())
-	asked.Favor = x.g.sizes.Favor(x.route.Name, x.size())
-	x.tellQueue(&asked, c)
-	return place.Judge(c, asked)
+	in := x.admissionInput(clock.Now())
+	in.Favor = x.g.sizes.Favor(x.route.Name, x.size())
+	x.addQueueState(&in, c)
+	return place.Judge(c, in)
 }
 
-// asked is what the admission of the request rests on, whatever the choice.
-func (x *exchange) asked(now time.Time) place.Asked {
-	asked := place.Asked{
+// admissionInput returns the part of the admission input that does not depend on the chosen target.
+func (x *exchange) admissionInput(now time.Time) place.Asked {
+	in := place.Asked{
 		Objective: x.route.Objective,
-		Waited:    x.g.waits.waited(x.route.Name, x.meta.Timeout) + now.Sub(x.arrived),
+		Waited:    x.g.callerWaits.sinceFirstTry(x.route.Name, x.meta.Timeout) + now.Sub(x.arrived),
 		Left:      x.deadline.Sub(now),
 		Held:      now.Sub(x.arrived),
 	}
 	if x.route.Patience > 0 {
-		asked.Patience = max(x.arrived.Add(x.route.Patience).Sub(now), 1)
+		in.Patience = max(x.arrived.Add(x.route.Patience).Sub(now), 1)
 	}
-	return asked
+	return in
 }
 
-// tellQueue states what is deferred on all VMs: to a new request how long all engines would
-// take for it, and to one that waits what waits with it.
-func (x *exchange) tellQueue(asked *place.Asked, c place.Choice) {
+// addQueueState adds what is deferred on all VMs. A new request gets the time that all engines
+// together need for the deferred requests; a request that is itself deferred gets the length of the
+// queue it is in.
+func (x *exchange) addQueueState(in *place.Asked, c place.Choice) {
 	waiting := x.g.placer.Waiting(x.service).Prefill
-	if x.queued == nil {
-		asked.Deferred = waiting / time.Duration(max(len(x.view.Targets[x.service]), 1))
+	if x.queueTicket == nil {
+		in.Deferred = waiting / time.Duration(max(len(x.view.Targets[x.service]), 1))
 		return
 	}
-	asked.Queue, asked.Look, asked.Random = waiting, lookAgain(c), x.g.float()
+	in.Queue, in.Look, in.Random = waiting, recheckDelay(c), x.g.randomFloat()
 }
 
-// refuseLate is the answer to a request that could not be served in time.
+// refuseLate records the refusal of a request that cannot be served in time and returns its error.
 func (x *exchange) refuseLate(c place.Choice) error {
-	x.note(c.Target, "full~"+strconv.FormatInt(c.Expected.Milliseconds(), 10), nil)
+	x.addTrace(c.Target, "full~"+strconv.FormatInt(c.Expected.Milliseconds(), 10), nil)
 	e := errkind.New(errkind.CannotFinish, "the engines are full; the answer would begin in %d ms", c.Expected.Milliseconds())
-	e.RetryAfter = x.comeBack()
+	e.RetryAfter = x.retryAfter()
 	return e
 }
 
-// Bounds of the wait that a refused caller is told, in objectives. Callers
-// heed at most a third of the time that they have left.
+// Range of the retry delay given to refused callers, in multiples of the route's objective. Callers
+// accept a delay of at most a third of their remaining time.
 const (
-	minComeBack = 1.2
-	maxComeBack = 3.0
+	minRetryObjectives = 1.2
+	maxRetryObjectives = 3.0
 )
 
-// comeBack spreads the returns of refused callers.
-func (x *exchange) comeBack() time.Duration {
-	objectives := minComeBack + (maxComeBack-minComeBack)*x.g.float()
+// retryAfter returns a random retry delay, so that refused callers don't all come back at once.
+func (x *exchange) retryAfter() time.Duration {
+	objectives := minRetryObjectives + (maxRetryObjectives-minRetryObjectives)*x.g.randomFloat()
 	wait := time.Duration(objectives * float64(x.route.Objective))
 	return min(wait, clock.Until(x.deadline)/3).Round(time.Millisecond)
 }
 
-// waits tells how long ago callers first asked. Each try says how long its caller
-// still waits; the longest such time of a route is that of first tries.
-type waits struct {
-	mu      sync.Mutex
-	longest map[string]time.Duration
+// waitEstimator estimates how long ago callers first sent a request. Each request states how long
+// its caller still waits; the longest such timeout seen on a route is taken for that of first
+// tries. It is safe for concurrent use; the zero value is ready.
+type waitEstimator struct {
+	mu             sync.Mutex
+	longestTimeout map[string]time.Duration
 }
 
-// waited returns how long the caller of a route has waited since its first try, as
-// far as timeout, the time that it still waits, tells; 0 is no timeout.
-func (w *waits) waited(route string, timeout time.Duration) time.Duration {
+// sinceFirstTry estimates how long ago the caller of a request with the given remaining timeout
+// first sent it. A timeout of 0 means that the caller gave none; the result is then 0.
+func (w *waitEstimator) sinceFirstTry(route string, timeout time.Duration) time.Duration {
 	if timeout <= 0 {
 		return 0
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.longest == nil {
-		w.longest = make(map[string]time.Duration)
+	if w.longestTimeout == nil {
+		w.longestTimeout = make(map[string]time.Duration)
 	}
-	w.longest[route] = max(w.longest[route], timeout)
-	return w.longest[route] - timeout
+	w.longestTimeout[route] = max(w.longestTimeout[route], timeout)
+	return w.longestTimeout[route] - timeout
 }
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -11,8 +11,8 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// readBody reads the caller's body within the configuration's limits, the request's
-// deadline and the VM's stop.
+// readBody reads the request body. It fails if the body exceeds the configured size, is not
+// complete by the deadline, or is still incomplete when the gateway shuts down.
 func (x *exchange) readBody(limits fleet.Limits) error {
 	if x.r.ContentLength > limits.BodyBytes {
 		return errkind.New(errkind.BodyTooLarge, "the body is larger than %d bytes", limits.BodyBytes)
@@ -20,7 +20,7 @@
 	if x.r.ContentLength == 0 {
 		return nil
 	}
-	defer x.boundBody()()
+	defer x.limitBodyTime()()
 	var body []byte
 	var err error
 	if n := x.r.ContentLength; n > 0 {
@@ -30,7 +30,7 @@
 		body, err = io.ReadAll(io.LimitReader(x.r.Body, limits.BodyBytes+1))
 	}
 	if err != nil {
-		return x.bodyBroke(err)
+		return x.bodyError(err)
 	}
 	if int64(len(body)) > limits.BodyBytes {
 		return errkind.New(errkind.BodyTooLarge, "the body is larger than %d bytes", limits.BodyBytes)
@@ -39,14 +39,14 @@
 	return nil
 }
 
-// boundBody ends the reading of the body at the deadline, and when the drain is over:
-// its caller is then told that nothing ran, instead of finding the connection closed.
-// The returned function ends the bound.
-func (x *exchange) boundBody() func() {
-	ctx, cancel := clock.WithDeadline(x.g.ending, x.deadline)
+// limitBodyTime ends reading of the body at the deadline and when the drain time is over. The
+// caller is then told that nothing ran, instead of finding its connection closed. The returned
+// function lifts the limit.
+func (x *exchange) limitBodyTime() func() {
+	ctx, cancel := clock.WithDeadline(x.g.abortCtx, x.deadline)
 	rc := http.NewResponseController(x.w)
 	stop := context.AfterFunc(ctx, func() {
-		// It fails only where the connection is gone already.
+		// It fails only if the connection is already closed.
 		_ = rc.SetReadDeadline(time.Now())
 	})
 	return func() {
@@ -55,16 +55,16 @@
 	}
 }
 
-// bodyBroke returns the error for a body that is not whole. Nothing has run.
-func (x *exchange) bodyBroke(cause error) error {
+// bodyError returns the error for an incomplete body. Its outcome is NotRun.
+func (x *exchange) bodyError(cause error) error {
 	kind, detail := errkind.BadRequest, "the body is malformed"
 	switch {
-	case x.g.ending.Err() != nil:
-		kind, detail = errkind.Stopping, "this VM stops; the body was not there"
+	case x.g.abortCtx.Err() != nil:
+		kind, detail = errkind.Stopping, "this VM stops; the body was not complete"
 	case !clock.Now().Before(x.deadline):
-		kind, detail = errkind.SlowBody, "the body was not there by the deadline"
-	case callerLeft(x.r.Context()):
-		kind, detail = errkind.ClientGone, "the body broke off"
+		kind, detail = errkind.SlowBody, "the body was not complete by the deadline"
+	case callerGone(x.r.Context()):
+		kind, detail = errkind.ClientGone, "the body was cut off"
 	}
 	e := errkind.Wrap(kind, cause, "%s", detail)
 	e.Outcome = errkind.NotRun
--- a/internal/gateway/budgets.go
+++ b/internal/gateway/budgets.go
@@ -8,63 +8,67 @@
 	"garnethoist.org/garnethoist/internal/retry"
 )
 
-// Group is the VMs that share the targets.
+// Group is the set of VMs that share the targets.
 type Group interface {
-	// Size counts the live VMs, this one included.
+	// Size returns the number of live VMs, including this one.
 	Size() int
-	// Owns reports whether this VM is the one of the group that does what one is to do for a
-	// key. While VMs know different members two may be.
+	// Owns reports whether this VM is the one in the group that is responsible for key. Two VMs may
+	// both own a key while their lists of members differ.
 	Owns(key []byte) bool
-	// Joined is closed once the other VMs have been listed. Size is too small before.
+	// Joined is closed once this VM has the list of the other VMs. Before that, Size may be too
+	// small.
 	Joined() <-chan struct{}
 }
 
-// budgets holds the retry budget of each service: of the slack that all VMs have together, this
-// VM's share. It is safe for concurrent use.
-type budgets struct {
+// retryBudgets holds the retry budget of each service. The burst allowance is set for all VMs
+// together; each budget holds this VM's share of it. It is safe for concurrent use.
+type retryBudgets struct {
 	limits *atomic.Pointer[Limits]
 	group  Group
-	// firstStart says that no process of this VM has drawn on the slack before this one.
+	// firstStart says that no earlier process on this VM has used retries of the burst allowance.
 	firstStart bool
-	// clock is the time since this process started.
+	// clock returns the time since the process started.
 	clock func() time.Duration
 
 	mu        sync.Mutex
-	byService map[string]*budget
+	byService map[string]*serviceBudget
 }
 
-// budget is the retry budget of one service.
-type budget struct {
+// serviceBudget is the retry budget of one service.
+type serviceBudget struct {
 	*retry.Window
-	// whole is set once the window has its share of the slack.
-	whole bool
+	// filled is set once the window has received its share of the burst allowance.
+	filled bool
 }
 
-func newBudgets(limits *atomic.Pointer[Limits], group Group, firstStart bool, clock func() time.Duration) *budgets {
-	return &budgets{limits: limits, group: group, firstStart: firstStart, clock: clock, byService: make(map[string]*budget)}
+// newRetryBudgets returns budgets without any services; each is created on first use.
+func newRetryBudgets(limits *atomic.Pointer[Limits], group Group, firstStart bool, clock func() time.Duration) *retryBudgets {
+	return &retryBudgets{limits: limits, group: group, firstStart: firstStart, clock: clock, byService: make(map[string]*serviceBudget)}
 }
 
-// of returns the retry budget of a service, with this VM's present share of the slack.
-func (b *budgets) of(service string) *retry.Window {
+// forService returns the retry budget of a service, adjusted to this VM's current share of the
+// burst allowance.
+func (b *retryBudgets) forService(service string) *retry.Window {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.byService[service]
 	if w == nil {
-		w = b.empty()
+		w = b.newEmpty()
 		b.byService[service] = w
 	}
-	w.SetSlack(b.slack())
-	if !w.whole && b.owns() {
-		w.whole = true
+	w.SetSlack(b.burstShare())
+	if !w.filled && b.mayFill() {
+		w.filled = true
 		w.Fill(b.clock())
 	}
 	return w.Window
 }
 
-// owns reports whether this VM's share of the slack is known, and its own to use. One that does
-// not know the others would take the share of all. The process that ran here before may have
-// used it up in the span that is not over: then only what requests bring in may be drawn.
-func (b *budgets) owns() bool {
+// mayFill reports whether this VM may use its share of the burst allowance. A VM that does not know
+// the others yet would take the share of all. A previous process on this VM may have used up the
+// share within the current window; until that has passed, only the retries that new requests earn
+// are available.
+func (b *retryBudgets) mayFill() bool {
 	select {
 	case <-b.group.Joined():
 	default:
@@ -73,27 +77,27 @@
 	return b.firstStart || b.clock() >= b.limits.Load().RetryWindow
 }
 
-// slack is this VM's share of the retries at once.
-func (b *budgets) slack() float64 {
+// burstShare returns this VM's share of the burst allowance, in retries.
+func (b *retryBudgets) burstShare() float64 {
 	return b.limits.Load().RetryBurst / float64(b.group.Size()+spareVMs)
 }
 
-// empty returns a budget from which nothing can be drawn yet.
-func (b *budgets) empty() *budget {
+// newEmpty returns a budget without any retries.
+func (b *retryBudgets) newEmpty() *serviceBudget {
 	l := b.limits.Load()
-	w := retry.NewWindow(retry.WindowConfig{Ratio: l.RetryRatio, Slack: b.slack(), Span: l.RetryWindow})
+	w := retry.NewWindow(retry.WindowConfig{Ratio: l.RetryRatio, Slack: b.burstShare(), Span: l.RetryWindow})
 	w.Empty()
-	return &budget{Window: w}
+	return &serviceBudget{Window: w}
 }
 
-// renew begins all budgets anew, empty, so that a change of the limits adds nothing to what
-// was drawn already.
-func (b *budgets) renew() {
+// reset replaces all budgets by empty ones, so that a change of the limits does not grant again
+// what was already used.
+func (b *retryBudgets) reset() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for service := range b.byService {
-		w := b.empty()
-		w.whole = true
+		w := b.newEmpty()
+		w.filled = true
 		b.byService[service] = w
 	}
 }
--- a/internal/gateway/callerconn.go
+++ b/internal/gateway/callerconn.go
@@ -16,25 +16,28 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// callerListener accepts callers' connections. The configuration's limits of
-// time, which may change while the server runs, replace the server's own.
+// callerListener accepts callers' connections. The header and idle timeouts of the configuration,
+// which can change while the server runs, replace those of the http.Server.
 type callerListener struct {
 	net.Listener
 	limits func() fleet.Limits
 	conns  *callerConns
+	// closed is closed by Close.
 	closed chan struct{}
 	once   sync.Once
 }
 
+// newCallerListener returns a listener that accepts from l and registers connections with conns. limits
+// returns the current limits of the configuration.
 func newCallerListener(l net.Listener, limits func() fleet.Limits, conns *callerConns) *callerListener {
 	return &callerListener{Listener: l, limits: limits, conns: conns, closed: make(chan struct{})}
 }
 
-// Accept implements net.Listener. It waits while there is no room for another
-// connection, and goes on after a want of descriptors.
+// Accept implements net.Listener. It waits while the process has too many connections, and retries
+// when no file descriptor is available.
 func (l *callerListener) Accept() (net.Conn, error) {
 	for {
-		if l.conns.room() {
+		if l.conns.makeRoom() {
 			c, err := l.Listener.Accept()
 			switch {
 			case err == nil:
@@ -44,67 +47,69 @@
 			case !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE):
 				return nil, err
 			}
-			l.conns.starve()
+			l.conns.noteShortage()
 		}
 		select {
 		case <-l.closed:
 			return nil, net.ErrClosed
-		case <-time.After(roomPoll):
+		case <-time.After(acceptRetryInterval):
 		}
 	}
 }
 
-// Close implements net.Listener.
+// Close implements net.Listener. It also ends an Accept that waits.
 func (l *callerListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// callerKey is the key of a request's connection in its context.
-type callerKey struct{}
+// callerConnKey is the context key of a request's connection.
+type callerConnKey struct{}
 
-// withCaller is the server's ConnContext hook.
-func withCaller(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, callerKey{}, c)
+// withCallerConn stores the connection in the context of its requests; it is the server's
+// ConnContext hook.
+func withCallerConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
-// callerLeft reports whether the caller of a request has closed its connection.
-// The request's own context says so a moment later, in which a request that was
-// read long after its caller left would be sent.
-func callerLeft(ctx context.Context) bool {
+// callerGone reports whether the caller has closed the connection of the request. It looks at the
+// socket because the request's context is canceled a little later; in between, a request that was
+// read long after its caller left would still be sent to a target.
+func callerGone(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return true
 	}
-	c, ok := ctx.Value(callerKey{}).(*callerConn)
+	c, ok := ctx.Value(callerConnKey{}).(*callerConn)
 	return ok && c.closed()
 }
 
-// maxAhead bounds what is read of a caller's next requests while one is in hand.
-const maxAhead = 64 << 10
+// maxReadAhead limits how many bytes of pipelined requests are read while a request is in flight.
+const maxReadAhead = 64 << 10
 
-// aheadChunk is the size of one read of them.
-const aheadChunk = 4 << 10
+// readAheadChunk is the buffer size for reading pipelined requests.
+const readAheadChunk = 4 << 10
 
-// callerConn is one caller's connection. net/http sets a read deadline when it
-// waits for the next request, when it reads a head, and none otherwise.
+// callerConn is the connection of one caller. net/http sets a read deadline while it waits for a
+// request and while it reads a header, and clears it otherwise.
 type callerConn struct {
 	net.Conn
 	limits func() fleet.Limits
-	idle   atomic.Bool
-	// unbounded is set while a read deadline has been taken away.
-	unbounded atomic.Bool
-	// ahead holds bytes behind the request in hand. net/http reads from one
-	// goroutine at a time.
-	ahead []byte
+	// idle is true while the connection waits for its next request.
+	idle atomic.Bool
+	// noReadDeadline is true while net/http has cleared the read deadline.
+	noReadDeadline atomic.Bool
+	// unread holds bytes received after the request in flight. It needs no lock because net/http
+	// reads a connection from one goroutine at a time.
+	unread []byte
 
 	conns *callerConns
-	// place is where the connection stands among the idle ones, or nil; since is
-	// when it began to wait for a request. fresh is set before its first request
-	// and gone once it is closed. conns.mu guards them.
-	place *list.Element
-	since time.Time
-	fresh bool
-	gone  bool
+	// idleElem is the connection's element in conns.idle, or nil; idleSince is when it began to
+	// wait for a request. unused is true until its first request, and removed once it is closed.
+	// Guarded by conns.mu.
+	idleElem  *list.Element
+	idleSince time.Time
+	unused    bool
+	removed   bool
 }
 
 // Close implements net.Conn.
@@ -113,48 +118,48 @@
 	return c.Conn.Close()
 }
 
-// Read implements net.Conn. While a request is in hand net/http takes the read
-// deadline away and reads a single byte, to notice that the caller closes. Once
-// it has one it notices nothing any more, and targets would go on working for a
-// caller that sent its next request early and left. So that read lasts until the
-// close, and the bytes that come meanwhile are kept.
+// Read implements net.Conn. While a request is in flight, net/http clears the read deadline and
+// reads a single byte to detect that the caller closes the connection. Once it has received a byte,
+// it no longer detects a close: targets would go on working for a caller that pipelined its next
+// request and left. So this read returns only when the connection is closed or maxReadAhead bytes
+// have arrived, and those bytes are kept for later reads.
 func (c *callerConn) Read(p []byte) (int, error) {
-	if len(p) == 1 && c.unbounded.Load() {
+	if len(p) == 1 && c.noReadDeadline.Load() {
 		if err := c.readAhead(p); err != nil {
 			return 0, err
 		}
 	}
-	if len(c.ahead) > 0 {
-		n := copy(p, c.ahead)
-		c.ahead = c.ahead[n:]
-		if len(c.ahead) == 0 {
-			c.ahead = nil
+	if len(c.unread) > 0 {
+		n := copy(p, c.unread)
+		c.unread = c.unread[n:]
+		if len(c.unread) == 0 {
+			c.unread = nil
 		}
 		return n, nil
 	}
 	return c.Conn.Read(p)
 }
 
-// readAhead keeps what comes until an error or until it has maxAhead bytes. The
-// first read goes to buf, as mostly there is none but the close.
+// readAhead appends received bytes to c.unread until a read fails or maxReadAhead bytes are held.
+// The first read uses buf: usually nothing but the close follows, and no other buffer is needed.
 func (c *callerConn) readAhead(buf []byte) error {
-	for len(c.ahead) < maxAhead {
+	for len(c.unread) < maxReadAhead {
 		n, err := c.Conn.Read(buf)
-		c.ahead = append(c.ahead, buf[:n]...)
+		c.unread = append(c.unread, buf[:n]...)
 		if err != nil {
 			return err
 		}
-		if len(buf) < aheadChunk {
-			buf = make([]byte, aheadChunk)
+		if len(buf) < readAheadChunk {
+			buf = make([]byte, readAheadChunk)
 		}
 	}
 	return nil
 }
 
-// SetReadDeadline implements net.Conn: a deadline in the future becomes that of
-// the configuration, if it has one.
+// SetReadDeadline implements net.Conn. It replaces a deadline in the future by the configured idle
+// or header timeout, if there is one.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
-	c.unbounded.Store(t.IsZero())
+	c.noReadDeadline.Store(t.IsZero())
 	if now := time.Now(); t.After(now) {
 		limits := c.limits()
 		limit := limits.HeaderTimeout
@@ -168,22 +173,21 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// closed reports whether the caller has closed the connection, or it is closed
-// here.
+// closed reports whether either side has closed the connection.
 func (c *callerConn) closed() bool {
-	_, closed := c.look()
+	_, closed := c.peek()
 	return closed
 }
 
-// pending reports whether there are bytes that have not been read.
+// pending reports whether received bytes are waiting to be read.
 func (c *callerConn) pending() bool {
-	pending, _ := c.look()
+	pending, _ := c.peek()
 	return pending
 }
 
-// look returns what is known of the connection without reading from it. It does
-// not wait for a read that is under way.
-func (c *callerConn) look() (pending, closed bool) {
+// peek returns the state of the connection without consuming data and without waiting for a read in
+// progress.
+func (c *callerConn) peek() (pending, closed bool) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false, false
@@ -192,12 +196,13 @@
 	if err != nil {
 		return false, true
 	}
-	err = raw.Control(func(fd uintptr) { pending, closed = lookAt(int(fd)) })
+	err = raw.Control(func(fd uintptr) { pending, closed = peekSocket(int(fd)) })
 	return pending, closed || err != nil
 }
 
-// lookAt looks at a socket. Bytes that wait hide the close from a read.
-func lookAt(fd int) (pending, closed bool) {
+// peekSocket returns the state of a socket. It needs a poll because a peek cannot see the close
+// behind unread bytes.
+func peekSocket(fd int) (pending, closed bool) {
 	var b [1]byte
 	n, _, err := unix.Recvfrom(fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	switch {
@@ -211,8 +216,8 @@
 	return true, err == nil && ready > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// CloseWrite ends the sending side. net/http does so before it closes a
-// connection with unread bytes, so that the caller gets the answer first.
+// CloseWrite shuts down the sending side. net/http calls it before it closes a connection with
+// unread bytes, so that the caller still receives the response.
 func (c *callerConn) CloseWrite() error {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
@@ -221,8 +226,8 @@
 	return tcp.CloseWrite()
 }
 
-// noteState follows a connection's state; it is the server's ConnState hook.
-func noteState(c net.Conn, s http.ConnState) {
+// onConnState tracks whether a connection is idle; it is the server's ConnState hook.
+func onConnState(c net.Conn, s http.ConnState) {
 	cc, ok := c.(*callerConn)
 	if !ok {
 		return
@@ -230,8 +235,8 @@
 	cc.idle.Store(s == http.StateIdle)
 	switch s {
 	case http.StateIdle:
-		cc.conns.rest(cc)
+		cc.conns.markIdle(cc)
 	case http.StateActive:
-		cc.conns.work(cc)
+		cc.conns.markActive(cc)
 	}
 }
--- a/internal/gateway/callerconn_test.go
+++ b/internal/gateway/callerconn_test.go
@@ -18,14 +18,15 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-func listenForCallers(l net.Listener) net.Listener {
+// newTestListener wraps l in a callerListener without limits.
+func newTestListener(l net.Listener) net.Listener {
 	conns := newCallerConns(maxDescriptors, func() int { return 0 }, telemetry.NewLogger(io.Discard, "test", "vm-1"))
 	return newCallerListener(l, func() fleet.Limits { return fleet.Limits{} }, conns)
 }
 
-// net/http ends the sending side of a connection with unread bytes before it
-// closes it, if the connection can do so; else the caller may lose its answer.
-func TestCallerConnEndsItsSendingSide(t *testing.T) {
+// net/http shuts down the sending side of a connection with unread bytes before it closes it, if
+// the connection has CloseWrite. Without that, the caller may lose the response.
+func TestCallerConnCloseWrite(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -34,7 +35,7 @@
 	is.NoErr(err)
 	defer caller.Close()
 	is.NoErr(caller.SetDeadline(time.Now().Add(5 * time.Second)))
-	c, err := listenForCallers(l).Accept()
+	c, err := newTestListener(l).Accept()
 	is.NoErr(err)
 	defer c.Close()
 	half, ok := c.(interface{ CloseWrite() error })
@@ -42,23 +43,23 @@
 	is.NoErr(half.CloseWrite())
 	_, err = caller.Read(make([]byte, 1))
 	is.Equal(err, io.EOF)
-	_, err = io.WriteString(caller, "x") // the other side is still open
+	_, err = io.WriteString(caller, "x") // the other direction is still open
 	is.NoErr(err)
 	_, err = c.Read(make([]byte, 1))
 	is.NoErr(err)
 }
 
-// serveCallers serves handler on loopback and returns a connection to it.
+// serveCallers serves handler on loopback and returns a client connection to it.
 func serveCallers(t *testing.T, handler http.HandlerFunc) net.Conn {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second, ConnState: noteState}
+	s := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second, ConnState: onConnState}
 	done := make(chan error, 1)
 	go func() {
-		done <- s.Serve(listenForCallers(l))
+		done <- s.Serve(newTestListener(l))
 	}()
 	t.Cleanup(func() {
 		s.Close()
@@ -75,12 +76,13 @@
 	return c
 }
 
+// getRequest is a complete request without a body.
 const getRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// What a caller has sent behind a request must not hide that it closes.
-func TestCloseBehindFurtherRequestsIsNoticed(t *testing.T) {
-	for _, behind := range []int{0, 1, 100, 1000} {
-		t.Run(fmt.Sprintf("%d requests behind", behind), func(t *testing.T) {
+// Pipelined requests must not hide that the caller closes the connection.
+func TestCloseAfterPipelinedRequestsIsDetected(t *testing.T) {
+	for _, pipelined := range []int{0, 1, 100, 1000} {
+		t.Run(fmt.Sprintf("%d pipelined requests", pipelined), func(t *testing.T) {
 			is := is.New(t)
 			begun, left := make(chan struct{}, 1), make(chan bool, 1)
 			c := serveCallers(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -96,7 +98,7 @@
 			_, err := io.WriteString(c, getRequest)
 			is.NoErr(err)
 			<-begun
-			for range behind {
+			for range pipelined {
 				_, err := io.WriteString(c, getRequest)
 				is.NoErr(err)
 			}
@@ -106,11 +108,11 @@
 	}
 }
 
-// Requests sent early are served in their order and unchanged, also where they
-// are more than is read ahead.
-func TestRequestsSentEarlyAreServed(t *testing.T) {
+// Pipelined requests are served in order and unchanged, even if they are larger than the read-ahead
+// limit.
+func TestPipelinedRequestsAreServed(t *testing.T) {
 	is := is.New(t)
-	const requests, size = 5, 3 * maxAhead
+	const requests, size = 5, 3 * maxReadAhead
 	c := serveCallers(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(20 * time.Millisecond)
 		body, err := io.ReadAll(r.Body)
@@ -121,7 +123,7 @@
 	})
 	go func() {
 		for n := range requests {
-			// An error is seen as an answer that does not come.
+			// An error shows as a missing response.
 			_, _ = fmt.Fprintf(c, "POST /%d HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", n, size, strings.Repeat(fmt.Sprint(n), size))
 		}
 	}()
@@ -136,9 +138,9 @@
 	}
 }
 
-// A close is known at once, whatever waits to be read; an open connection is not
-// taken for closed.
-func TestCallerConnKnowsThatItIsClosed(t *testing.T) {
+// A close is detected at once even with unread data, and an open connection is not taken for
+// closed.
+func TestCallerConnDetectsClose(t *testing.T) {
 	ways := map[string]func(c *net.TCPConn) error{
 		"open":      func(*net.TCPConn) error { return nil },
 		"closed":    (*net.TCPConn).Close,
@@ -156,15 +158,15 @@
 			caller, err := net.Dial("tcp", l.Addr().String())
 			is.NoErr(err)
 			defer caller.Close()
-			c, err := listenForCallers(l).Accept()
+			c, err := newTestListener(l).Accept()
 			is.NoErr(err)
 			defer c.Close()
 			is.NoErr(leave(caller.(*net.TCPConn)))
 			time.Sleep(20 * time.Millisecond)
-			ctx := withCaller(context.Background(), c)
-			is.Equal(callerLeft(ctx), name != "open" && name != "data only")
+			ctx := withCallerConn(context.Background(), c)
+			is.Equal(callerGone(ctx), name != "open" && name != "data only")
 			is.NoErr(c.Close())
-			is.True(callerLeft(ctx))
+			is.True(callerGone(ctx))
 		})
 	}
 }
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -14,195 +14,202 @@
 )
 
 const (
-	// fileReserve is how many descriptors are kept for files: the platform
-	// reserves as many of a process's limit.
-	fileReserve = 200
-	// ownSockets is how many descriptors the process needs beside callers and
-	// targets: listeners, the store's connections, the balancer's and the
-	// operator's questions, the exchange with other VMs, the runtime's own.
-	ownSockets = 64
-	// leastSockets is left to callers and targets whatever the limit.
-	leastSockets = 16
-	// maxDescriptors stands for no limit.
+	// reservedFiles is how many file descriptors are kept free for files. The platform reserves the
+	// same number out of a process's limit.
+	reservedFiles = 200
+	// reservedSockets is how many file descriptors the process needs apart from callers and
+	// targets: for listeners, the store, readiness checks, the admin server, the exchange with
+	// other VMs, and the Go runtime.
+	reservedSockets = 64
+	// minSockets is left for callers and targets however low the limit is.
+	minSockets = 16
+	// maxDescriptors stands for an unlimited number of file descriptors.
 	maxDescriptors = 1 << 30
 )
 
-// Levels of the connections in hand, callers' and targets', as shares of what
-// the process may open.
+// Thresholds on the number of connections to callers and targets, as fractions of
+// callerConns.maxConns.
 const (
-	// crowdedShare: idle callers are closed.
-	crowdedShare = 0.75
-	// lastShare: answers end their connections, as few callers are idle.
-	lastShare = 0.8
-	// fullShare: the VM is not ready. The balancer takes two seconds to heed it.
-	fullShare = 0.875
-	// stopShare: no caller is accepted. A request in hand may still need a
-	// connection to a target.
-	stopShare = 0.94
+	// closeIdleShare is the threshold at which idle caller connections are closed.
+	closeIdleShare = 0.75
+	// closeAfterResponseShare is the threshold at which connections are closed after their
+	// response, as few idle ones are left to close.
+	closeAfterResponseShare = 0.8
+	// notReadyShare is the threshold at which the VM reports that it is not ready. The load
+	// balancer takes 2 s to react.
+	notReadyShare = 0.875
+	// stopAcceptShare is the threshold at which no callers are accepted. The rest is for
+	// requests in flight that still need a connection to a target.
+	stopAcceptShare = 0.94
 )
 
 const (
-	// silentFor is how long a new connection may bear no request before it counts
-	// as idle: callers give up a request that has not been read after 1 s.
-	silentFor = time.Second
-	// roomPoll is how often a VM without room looks for some, and its pause after
-	// an accept that had no descriptor. net/http's own pause grows to 1 s.
-	roomPoll = 10 * time.Millisecond
-	// starvedFor is how long after an accept without a descriptor the VM is not
-	// ready.
-	starvedFor = 2 * time.Second
+	// newConnGrace is how long a new connection may have no request before it counts as idle.
+	// Callers give up on a request that has not been read after 1 s.
+	newConnGrace = time.Second
+	// acceptRetryInterval is how often a full VM checks whether it can accept again, and how long
+	// it pauses after an accept that failed for lack of a descriptor. The pause of net/http would
+	// grow to 1 s.
+	acceptRetryInterval = 10 * time.Millisecond
+	// shortagePeriod is how long the VM reports not ready after an accept that failed for lack of a
+	// descriptor.
+	shortagePeriod = 2 * time.Second
 )
 
-// Descriptors returns how many descriptors the process may open: the setting, or
-// the kernel's limit where it is 0.
+// Descriptors returns how many file descriptors the process may open: setting, or the kernel's
+// limit if setting is 0.
 func Descriptors(setting int64) (int, error) {
 	if setting > 0 {
 		return int(min(setting, maxDescriptors)), nil
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return 0, errors.Wrap(err, "limit of descriptors")
+		return 0, errors.Wrap(err, "read the file descriptor limit")
 	}
 	return int(min(limit.Cur, maxDescriptors)), nil
 }
 
-// callerConns holds callers' connections and keeps the process from using up its
-// descriptors: without any it takes no new callers, reaches no targets and
-// answers no balancer.
+// callerConns tracks the callers' connections and keeps the process from running out of file
+// descriptors. Without any left, it could not accept callers, connect to targets or answer
+// readiness checks. It is safe for concurrent use.
 type callerConns struct {
-	// sockets is how many connections callers and targets may have together, and
-	// targets counts those to targets.
-	sockets int
-	targets func() int
-	log     *telemetry.Logger
-
-	mu   sync.Mutex
+	// maxConns limits the connections to callers and targets together; targetConns returns the
+	// current number of those to targets.
+	maxConns    int
+	targetConns func() int
+	log         *telemetry.Logger
+
+	mu sync.Mutex
+	// open counts the callers' connections.
 	open int
-	// idle holds the *callerConn that wait for a request, the one that has waited
-	// longest first.
+	// idle holds the *callerConn that wait for a request, longest waiting first.
 	idle list.List
 
+	// full is true from reaching notReadyShare until below closeIdleShare.
 	full atomic.Bool
-	// starved is when a connection was last not accepted for want of a descriptor.
-	starved atomic.Pointer[time.Time]
+	// lastShortage is when an accept last failed for lack of a descriptor.
+	lastShortage atomic.Pointer[time.Time]
 }
 
+// newCallerConns returns an empty table for a process that may open the given number of file
+// descriptors. targets returns the current number of connections to targets.
 func newCallerConns(descriptors int, targets func() int, log *telemetry.Logger) *callerConns {
-	return &callerConns{sockets: max(descriptors-fileReserve-ownSockets, leastSockets), targets: targets, log: log}
+	return &callerConns{maxConns: max(descriptors-reservedFiles-reservedSockets, minSockets), targetConns: targets, log: log}
 }
 
-// add counts a new connection, which has no request yet.
-func (t *callerConns) add(c *callerConn) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.open++
-	c.place, c.since, c.fresh = t.idle.PushBack(c), clock.Now(), true
+// add registers a new connection, which has no request yet.
+func (cs *callerConns) add(c *callerConn) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.open++
+	c.idleElem, c.idleSince, c.unused = cs.idle.PushBack(c), clock.Now(), true
 }
 
-// rest notes that a connection waits for its next request.
-func (t *callerConns) rest(c *callerConn) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.unlist(c)
-	if !c.gone {
-		c.place, c.since, c.fresh = t.idle.PushBack(c), clock.Now(), false
+// markIdle records that a connection waits for its next request.
+func (cs *callerConns) markIdle(c *callerConn) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.unlistLocked(c)
+	if !c.removed {
+		c.idleElem, c.idleSince, c.unused = cs.idle.PushBack(c), clock.Now(), false
 	}
 }
 
-// work notes that a connection has a request.
-func (t *callerConns) work(c *callerConn) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.unlist(c)
+// markActive records that a connection has a request.
+func (cs *callerConns) markActive(c *callerConn) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.unlistLocked(c)
 }
 
-// remove forgets a connection that is closed.
-func (t *callerConns) remove(c *callerConn) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.forget(c)
+// remove unregisters a closed connection. Repeated calls have no effect.
+func (cs *callerConns) remove(c *callerConn) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.removeLocked(c)
 }
 
-// forget and unlist change the table; the caller holds t.mu.
-func (t *callerConns) forget(c *callerConn) {
-	t.unlist(c)
-	if !c.gone {
-		c.gone = true
-		t.open--
+// removeLocked is remove for a caller that holds mu.
+func (cs *callerConns) removeLocked(c *callerConn) {
+	cs.unlistLocked(c)
+	if !c.removed {
+		c.removed = true
+		cs.open--
 	}
 }
 
-func (t *callerConns) unlist(c *callerConn) {
-	if c.place != nil {
-		t.idle.Remove(c.place)
-		c.place = nil
+// unlistLocked takes c off the idle list. The caller must hold mu.
+func (cs *callerConns) unlistLocked(c *callerConn) {
+	if c.idleElem != nil {
+		cs.idle.Remove(c.idleElem)
+		c.idleElem = nil
 	}
 }
 
-// above reports whether the connections in hand are over a share of what there
-// may be.
-func (t *callerConns) above(share float64) bool {
-	t.mu.Lock()
-	open := t.open
-	t.mu.Unlock()
-	return float64(open+t.targets()) >= share*float64(t.sockets)
+// usedAtLeast reports whether the number of connections has reached the given fraction of maxConns.
+func (cs *callerConns) usedAtLeast(share float64) bool {
+	cs.mu.Lock()
+	open := cs.open
+	cs.mu.Unlock()
+	return float64(open+cs.targetConns()) >= share*float64(cs.maxConns)
 }
 
-// room closes idle callers where there are too many connections, and reports
-// whether another caller may be accepted.
-func (t *callerConns) room() bool {
-	for t.above(crowdedShare) && t.closeIdle() {
+// makeRoom closes idle connections while there are too many, and reports whether another caller may
+// be accepted.
+func (cs *callerConns) makeRoom() bool {
+	for cs.usedAtLeast(closeIdleShare) && cs.closeIdle() {
 	}
-	return !t.above(stopShare)
+	return !cs.usedAtLeast(stopAcceptShare)
 }
 
-// closeIdle closes the connection that has waited longest for a request, if
-// there is one on which none has come. It is closed before a request on it can be
-// taken up: one that is passed on must be answered.
-func (t *callerConns) closeIdle() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for e := t.idle.Front(); e != nil; e = e.Next() {
+// closeIdle closes the connection that has waited longest for a request and has no unread bytes,
+// and reports whether there was one. It holds the lock over the close, so that no request on the
+// connection can be taken up meanwhile: a request that reaches the handler must get a response.
+func (cs *callerConns) closeIdle() bool {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	for e := cs.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*callerConn)
-		if (c.fresh && clock.Since(c.since) < silentFor) || c.pending() {
+		if (c.unused && clock.Since(c.idleSince) < newConnGrace) || c.pending() {
 			continue
 		}
-		t.forget(c)
-		// An error means that the connection was closed already.
+		cs.removeLocked(c)
+		// An error means that the connection was already closed.
 		_ = c.Conn.Close()
 		return true
 	}
 	return false
 }
 
-// starve notes that a connection was not accepted for want of a descriptor,
-// whatever uses them, and frees one if it can.
-func (t *callerConns) starve() {
+// noteShortage records that an accept failed for lack of a descriptor, whatever uses the
+// descriptors, and closes an idle connection if there is one.
+func (cs *callerConns) noteShortage() {
 	now := clock.Now()
-	if last := t.starved.Swap(&now); last == nil || now.Sub(*last) > starvedFor {
-		t.log.Warn(telemetry.EventDescriptors, telemetry.F("cause", "accept had none"), telemetry.F("targets", t.targets()))
+	if last := cs.lastShortage.Swap(&now); last == nil || now.Sub(*last) > shortagePeriod {
+		cs.log.Warn(telemetry.EventDescriptors, telemetry.F("cause", "accept had none"), telemetry.F("targets", cs.targetConns()))
 	}
-	t.closeIdle()
+	cs.closeIdle()
 }
 
-// ready says why no new callers should come, or "". Between the levels it says
-// what it said before.
-func (t *callerConns) ready() string {
+// ready returns why the VM should get no new callers, or "". Between closeIdleShare and
+// notReadyShare it keeps its previous result, so that readiness does not flap.
+func (cs *callerConns) ready() string {
 	switch {
-	case t.above(fullShare):
-		t.setFull(true)
-	case !t.above(crowdedShare):
-		t.setFull(false)
+	case cs.usedAtLeast(notReadyShare):
+		cs.setFull(true)
+	case !cs.usedAtLeast(closeIdleShare):
+		cs.setFull(false)
 	}
-	last := t.starved.Load()
-	if t.full.Load() || (last != nil && clock.Since(*last) < starvedFor) {
-		return "connections near the limit of descriptors"
+	last := cs.lastShortage.Load()
+	if cs.full.Load() || (last != nil && clock.Since(*last) < shortagePeriod) {
+		return "connections near the file descriptor limit"
 	}
 	return ""
 }
 
-func (t *callerConns) setFull(full bool) {
-	if t.full.Swap(full) != full {
-		t.log.Warn(telemetry.EventDescriptors, telemetry.F("full", full), telemetry.F("sockets", t.sockets), telemetry.F("targets", t.targets()))
+// setFull stores whether the connections are near the limit, and logs a change.
+func (cs *callerConns) setFull(full bool) {
+	if cs.full.Swap(full) != full {
+		cs.log.Warn(telemetry.EventDescriptors, telemetry.F("full", full), telemetry.F("sockets", cs.maxConns), telemetry.F("targets", cs.targetConns()))
 	}
 }
--- a/internal/gateway/conns_test.go
+++ b/internal/gateway/conns_test.go
@@ -11,15 +11,16 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// connsOf returns a table for so many sockets, and the number to targets.
-func connsOf(sockets int) (*callerConns, *int) {
+// newTestConns returns a table with room for the given number of sockets, and the number of
+// connections to targets, which tests set.
+func newTestConns(sockets int) (*callerConns, *int) {
 	targets := new(int)
 	log := telemetry.NewLogger(io.Discard, "test", "vm-1")
-	return newCallerConns(sockets+fileReserve+ownSockets, func() int { return *targets }, log), targets
+	return newCallerConns(sockets+reservedFiles+reservedSockets, func() int { return *targets }, log), targets
 }
 
-// pair is a connection in the table and its caller's side.
-func pair(t *testing.T, conns *callerConns) (*callerConn, net.Conn) {
+// addTestConn adds a connection to the table and returns it with the caller's end.
+func addTestConn(t *testing.T, conns *callerConns) (*callerConn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,9 +44,9 @@
 	return cc, caller
 }
 
-func TestReadinessFollowsTheConnections(t *testing.T) {
+func TestReadinessFollowsConnectionCount(t *testing.T) {
 	is := is.New(t)
-	conns, targets := connsOf(100)
+	conns, targets := newTestConns(100)
 	for _, step := range []struct {
 		targets int
 		ready   bool
@@ -53,53 +54,53 @@
 		*targets = step.targets
 		is.Equal(conns.ready() == "", step.ready)
 	}
-	conns.starve()
+	conns.noteShortage()
 	is.True(conns.ready() != "")
-	past := time.Now().Add(-starvedFor)
-	conns.starved.Store(&past)
+	past := time.Now().Add(-shortagePeriod)
+	conns.lastShortage.Store(&past)
 	is.Equal(conns.ready(), "")
 }
 
-// What is closed to make room is the connection that has waited longest, and
-// never one that has a request or may be about to.
+// makeRoom closes the connection that has been idle longest, and never one that has a request or
+// unread bytes.
 func TestOnlyIdleConnectionsAreClosed(t *testing.T) {
 	is := is.New(t)
-	conns, targets := connsOf(100)
-	older, _ := pair(t, conns)
-	newer, _ := pair(t, conns)
-	working, _ := pair(t, conns)
-	sent, caller := pair(t, conns)
-	fresh, _ := pair(t, conns)
-	silent, _ := pair(t, conns)
+	conns, targets := newTestConns(100)
+	older, _ := addTestConn(t, conns)
+	newer, _ := addTestConn(t, conns)
+	working, _ := addTestConn(t, conns)
+	sent, caller := addTestConn(t, conns)
+	fresh, _ := addTestConn(t, conns)
+	silent, _ := addTestConn(t, conns)
 	for _, c := range []*callerConn{sent, older, newer} {
-		conns.rest(c)
+		conns.markIdle(c)
 	}
-	conns.work(working)
-	silent.since = time.Now().Add(-silentFor)
+	conns.markActive(working)
+	silent.idleSince = time.Now().Add(-newConnGrace)
 	_, err := io.WriteString(caller, "GET")
 	is.NoErr(err)
 	time.Sleep(20 * time.Millisecond)
 
-	*targets = 69 // 75 of 100 in hand
-	is.True(conns.room())
-	is.True(silent.closed()) // its caller has waited since before the others rested
+	*targets = 69 // 75 of 100 connections
+	is.True(conns.makeRoom())
+	is.True(silent.closed()) // it has been idle for longer than the others
 	is.True(!older.closed())
 	*targets = 70
-	is.True(conns.room())
+	is.True(conns.makeRoom())
 	is.True(older.closed() && !newer.closed())
 	*targets = 99
-	is.True(!conns.room())
+	is.True(!conns.makeRoom())
 	is.True(newer.closed())
 	is.True(!working.closed() && !sent.closed() && !fresh.closed())
 	is.Equal(conns.open, 3)
 	for _, c := range []*callerConn{older, newer, silent, working, sent, fresh} {
-		is.True(c.Close() == nil || c.gone) // closing twice counts once
+		is.True(c.Close() == nil || c.removed) // a second close is not counted
 	}
 	is.Equal(conns.open, 0)
 	is.Equal(conns.idle.Len(), 0)
 }
 
-func TestDescriptorsOfTheSettingOrTheKernel(t *testing.T) {
+func TestDescriptorsFromSettingOrKernel(t *testing.T) {
 	is := is.New(t)
 	n, err := Descriptors(4100)
 	is.NoErr(err)
--- a/internal/gateway/deferral.go
+++ b/internal/gateway/deferral.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// minLook and maxLook bound the time between two looks at the engines of a
-	// request that waits: reports of other VMs come each 10 ms at the most.
-	minLook = 20 * time.Millisecond
-	maxLook = 100 * time.Millisecond
+	// minRecheck and maxRecheck limit the time between two checks of the engines for a deferred
+	// request. Other VMs report their load every 10 ms at most.
+	minRecheck = 20 * time.Millisecond
+	maxRecheck = 100 * time.Millisecond
 )
 
-// queue notes that the request waits here, as it was deferred with a choice.
-func (x *exchange) queue(c place.Choice) {
-	if x.queued == nil {
-		x.queued = x.g.placer.Wait(x.service, c)
+// enqueue counts the request as deferred, with the engine chosen for it, unless it is counted
+// already.
+func (x *exchange) enqueue(c place.Choice) {
+	if x.queueTicket == nil {
+		x.queueTicket = x.g.placer.Wait(x.service, c)
 	}
 }
 
-// unqueue notes that the request waits no longer.
-func (x *exchange) unqueue() {
-	x.queued.End(place.Neutral, clock.Now())
-	x.queued = nil
+// dequeue ends the deferral, if there is one.
+func (x *exchange) dequeue() {
+	x.queueTicket.End(place.Neutral, clock.Now())
+	x.queueTicket = nil
 }
 
-// lookAgain is the time between two looks at the engines of a request that waits.
-func lookAgain(c place.Choice) time.Duration { return min(max(c.Wait()/4, minLook), maxLook) }
+// recheckDelay returns the mean time between two checks of the engines for a deferred request.
+func recheckDelay(c place.Choice) time.Duration { return min(max(c.Wait()/4, minRecheck), maxRecheck) }
 
-// waitDeferred waits until the engines may be looked at again.
+// waitDeferred waits for a random time around recheckDelay, or until ctx is done.
 func (x *exchange) waitDeferred(ctx context.Context, c place.Choice) {
-	x.queue(c)
+	x.enqueue(c)
 	began := clock.Now()
 	defer func() { x.deferredFor += clock.Since(began) }()
-	timer := time.NewTimer(time.Duration((0.5 + x.g.float()) * float64(lookAgain(c))))
+	timer := time.NewTimer(time.Duration((0.5 + x.g.randomFloat()) * float64(recheckDelay(c))))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/gateway/deferral_test.go
+++ b/internal/gateway/deferral_test.go
@@ -15,20 +15,20 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// one is a group of this VM alone.
-type one struct{}
+// soloGroup is a group that consists of this VM only.
+type soloGroup struct{}
 
-func (one) Size() int               { return 1 }
-func (one) Owns([]byte) bool        { return true }
-func (one) Joined() <-chan struct{} { return nil }
+func (soloGroup) Size() int               { return 1 }
+func (soloGroup) Owns([]byte) bool        { return true }
+func (soloGroup) Joined() <-chan struct{} { return nil }
 
-// backlog is what other VMs have in hand at the engines.
-type backlog struct {
+// busyOthers reports the load that other VMs put on the target "d".
+type busyOthers struct {
 	mu   sync.Mutex
 	work place.Work
 }
 
-func (b *backlog) Work(target string) place.Work {
+func (b *busyOthers) Work(target string) place.Work {
 	if target != "d" {
 		return place.Work{}
 	}
@@ -37,29 +37,29 @@
 	return b.work
 }
 
-func (b *backlog) set(w place.Work) {
+func (b *busyOthers) set(w place.Work) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.work = w
 }
 
-func (*backlog) Age() time.Duration { return 0 }
+func (*busyOthers) Age() time.Duration { return 0 }
 
-// late returns a request for an engine that others keep busy.
-func late(others place.Others) *exchange {
+// lateExchange returns a request for an engine that the given other VMs may keep busy.
+func lateExchange(others place.Others) *exchange {
 	k := fleet.NewKeeper()
 	k.SetConfig(fleet.NewConfig(1, nil, []*fleet.Service{{Name: "m", Engine: &fleet.EngineSpec{Slots: 8, KVTokens: 100000}}}, fleet.Limits{}))
 	target := &fleet.Target{ID: "d", Service: "m", Slots: 8, Stage: fleet.Decode}
 	k.ApplyTargets([]fleet.TargetChange{{ID: target.ID, Target: target}}, 1)
 	g := &Gateway{
-		random: newRandom(), keeper: k, group: one{},
+		rng: newRNG(), keeper: k, group: soloGroup{},
 		placer: place.New(place.DefaultConfig("a"), others, func(*fleet.Target) bool { return false }),
 	}
 	var err error
 	if g.stats, err = NewStats(noop.NewMeterProvider().Meter("")); err != nil {
 		panic(err)
 	}
-	g.ending, g.endingNow = context.WithCancel(context.Background())
+	g.abortCtx, g.abort = context.WithCancel(context.Background())
 	g.limits.Store(&Limits{Grace: time.Second})
 	now := time.Now()
 	return &exchange{
@@ -69,15 +69,17 @@
 	}
 }
 
-var full = place.Work{Prefill: time.Second, Prefills: 5}
+// fullWork keeps the engine so busy that no request is on time.
+var fullWork = place.Work{Prefill: time.Second, Prefills: 5}
 
-// What cannot be on time is deferred while the engines are full, and goes once they are idle.
-func TestLateRequestGoesOnceEnginesAreIdle(t *testing.T) {
+// A request that cannot be on time is deferred while the engines are full, and sent once they are
+// idle.
+func TestLateRequestIsSentOnceEnginesAreIdle(t *testing.T) {
 	is := is.New(t)
-	b := &backlog{work: full}
-	x := late(b)
+	b := &busyOthers{work: fullWork}
+	x := lateExchange(b)
 	time.AfterFunc(300*time.Millisecond, func() { b.set(place.Work{}) })
-	c, err := x.choose(context.Background())
+	c, err := x.choosePrefill(context.Background())
 	is.NoErr(err)
 	is.Equal(c.Target.ID, "d")
 	waited := time.Since(x.arrived)
@@ -85,34 +87,34 @@
 	is.Equal(x.g.placer.Waiting("m"), place.Work{})
 }
 
-// Where engines stay full, the caller is refused while it still has time to come back.
+// If the engines stay full, the caller is refused while it still has time to retry.
 func TestLateRequestIsRefusedInTime(t *testing.T) {
 	is := is.New(t)
-	x := late(&backlog{work: full})
-	_, err := x.choose(context.Background())
+	x := lateExchange(&busyOthers{work: fullWork})
+	_, err := x.choosePrefill(context.Background())
 	is.True(errkind.Is(err, errkind.CannotFinish))
 	is.True(errkind.From(err).RetryAfter > 0)
 	waited := time.Since(x.arrived)
 	is.True(waited > 800*time.Millisecond && waited < 1300*time.Millisecond)
 }
 
-// No more are deferred than the engines can take on in time: the others are refused at once.
-func TestTooManyDeferredRefuseAtOnce(t *testing.T) {
+// No more requests are deferred than the engines can take in time; others are refused at once.
+func TestFullDeferralQueueRefusesAtOnce(t *testing.T) {
 	is := is.New(t)
-	x := late(&backlog{work: full})
+	x := lateExchange(&busyOthers{work: fullWork})
 	x.g.placer.Wait("m", place.Choice{Own: time.Second, Expected: time.Second})
-	_, err := x.choose(context.Background())
+	_, err := x.choosePrefill(context.Background())
 	is.True(errkind.Is(err, errkind.CannotFinish))
 	is.True(time.Since(x.arrived) < 100*time.Millisecond)
 }
 
-// A caller that leaves while its request is deferred is not sent anywhere.
-func TestDeferredCallerThatLeaves(t *testing.T) {
+// A deferred request whose caller leaves is not sent to any target.
+func TestDeferralEndsWhenCallerLeaves(t *testing.T) {
 	is := is.New(t)
-	x := late(&backlog{work: full})
+	x := lateExchange(&busyOthers{work: fullWork})
 	ctx, leave := context.WithCancel(context.Background())
 	time.AfterFunc(150*time.Millisecond, leave)
-	_, err := x.choose(ctx)
+	_, err := x.choosePrefill(ctx)
 	is.True(err != nil)
 	is.True(time.Since(x.arrived) < 400*time.Millisecond)
 	is.Equal(len(x.g.placer.Own()), 0)
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -11,38 +11,38 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// How long a stopping gateway stays open. The balancer takes a VM out after two
-// misses, a second apart; kept connections live on until their next answer
-// closes them. Where few other VMs are left, the balancer sends callers to a
-// stopping one until its end.
+// Timing of a shutdown. The load balancer stops using a VM after two failed readiness checks, 1 s
+// apart; kept-alive connections last until their next response closes them. If few other VMs are
+// left, the load balancer sends callers to a stopping VM until it exits.
 const (
-	// quietFor is how long no request must have been in hand before an early end.
-	quietFor = 1500 * time.Millisecond
-	// leastDrain is the shortest time between the signal and the end.
-	leastDrain = 2500 * time.Millisecond
-	// graceMargin is kept free at the end of the grace, and lastAnswers is the
-	// part of it in which the waits of requests in hand for their targets end, so
-	// that their callers are told what is known instead of finding the connection
-	// cut.
-	graceMargin = 400 * time.Millisecond
-	lastAnswers = 200 * time.Millisecond
-	// lastWrites bounds the wait for answers to leave the server's buffers.
-	lastWrites = 50 * time.Millisecond
-	drainPoll  = 50 * time.Millisecond
-	// elsewhereWait is the wait that a caller refused by a stopping VM is told:
-	// another VM that does not stop can take its request at once.
-	elsewhereWait = 10 * time.Millisecond
+	// quietPeriod is how long no request must have been in flight for the drain to end early.
+	quietPeriod = 1500 * time.Millisecond
+	// minDrain is the minimum time between the signal and the end of the drain.
+	minDrain = 2500 * time.Millisecond
+	// graceMargin is kept free at the end of the grace period. abortTimeout is the part of it in
+	// which requests that still wait for a target are aborted, so that their callers get an error
+	// response instead of a closed connection.
+	graceMargin  = 400 * time.Millisecond
+	abortTimeout = 200 * time.Millisecond
+	// flushTimeout limits the wait for finished responses to leave the server's buffers.
+	flushTimeout = 50 * time.Millisecond
+	// drainPollInterval is how often the drain checks the requests in flight.
+	drainPollInterval = 50 * time.Millisecond
+	// stoppingRetryAfter is the retry delay for callers that a stopping VM refuses: another VM can
+	// take the request at once.
+	stoppingRetryAfter = 10 * time.Millisecond
 )
 
-// drainState says whether the gateway stops and up to when its answers may take.
+// drainState holds the time at which the gateway ends, which is nil while it is not stopping.
 type drainState struct {
 	end atomic.Pointer[time.Time]
 }
 
+// stopping reports whether the gateway is shutting down.
 func (d *drainState) stopping() bool { return d.end.Load() != nil }
 
-// left is the time until the end, and false where the gateway does not stop.
-func (d *drainState) left(now time.Time) (time.Duration, bool) {
+// remaining returns the time until the gateway ends, and false if it is not stopping.
+func (d *drainState) remaining(now time.Time) (time.Duration, bool) {
 	end := d.end.Load()
 	if end == nil {
 		return 0, false
@@ -50,58 +50,60 @@
 	return end.Sub(now), true
 }
 
-// stopCheck is what a stopping gateway weighs for one request: the time that its
-// answer may need, and the time until the gateway's end.
+// stopCheck compares, for one request to a stopping gateway, the time that the response may need
+// with the time until the gateway ends.
 type stopCheck struct {
-	needed time.Duration
-	left   time.Duration
+	needed    time.Duration
+	remaining time.Duration
 }
 
-// weigh returns nil where the gateway does not stop. needed is the time until the
-// request's deadline, the one bound of an answer's time: the real length is up to six
-// times the caller's estimate, and streams taken by their estimate were cut at the end.
-func (d *drainState) weigh(needed time.Duration, now time.Time) *stopCheck {
-	left, stopping := d.left(now)
+// newStopCheck returns nil if the gateway is not stopping. needed is the time until the request's
+// deadline. The deadline is the only safe bound: a response takes up to six times the caller's
+// estimate, and streams that were accepted by their estimate were cut off at the end.
+func (d *drainState) newStopCheck(needed time.Duration, now time.Time) *stopCheck {
+	left, stopping := d.remaining(now)
 	if !stopping {
 		return nil
 	}
-	return &stopCheck{needed: needed, left: max(left, 0)}
+	return &stopCheck{needed: needed, remaining: max(left, 0)}
 }
 
-// check refuses a request whose answer may not end before the gateway does. It has
-// not run, and another VM can take it.
+// check returns an error if the response might not be complete before the gateway ends. The request
+// has not run then, and another VM can take it.
 func (c *stopCheck) check() error {
-	if c == nil || (c.needed <= c.left && c.left > 0) {
+	if c == nil || (c.needed <= c.remaining && c.remaining > 0) {
 		return nil
 	}
-	e := errkind.New(errkind.Stopping, "this VM stops in %d ms", c.left.Milliseconds())
-	e.RetryAfter = elsewhereWait
+	e := errkind.New(errkind.Stopping, "this VM stops in %d ms", c.remaining.Milliseconds())
+	e.RetryAfter = stoppingRetryAfter
 	return e
 }
 
-// Drain makes the gateway not ready and waits until the callers have gone or
-// the grace is nearly over.
+// Drain makes the gateway report that it is not ready, and waits until no more requests come or the
+// grace period is nearly over. Then it refuses new requests and aborts those still in flight. ctx
+// limits the whole shutdown.
 func (g *Gateway) Drain(ctx context.Context) {
 	began := clock.Now()
 	end := began.Add(g.limits.Load().Grace)
 	if limit, ok := ctx.Deadline(); ok {
-		// The grace may have been raised while the program ran, which keeps the one that it
-		// began with.
+		// The process keeps the grace period that it started with, even if the setting was raised
+		// since.
 		end = earlier(end, began.Add(time.Until(limit)))
 	}
 	end = end.Add(-graceMargin)
 	g.drain.end.Store(&end)
 	g.log.Info(telemetry.EventStopping, telemetry.F("in_flight", g.inFlight.Load()))
 	g.awaitQuiet(ctx, began, end)
-	// A request that comes from here on is refused, not sent to a target and cut.
+	// From here on, new requests are refused instead of being sent to a target and cut off.
 	closing := clock.Now()
 	g.drain.end.Store(&closing)
 	g.awaitIdle(ctx, end)
-	g.endingNow()
-	g.awaitIdle(ctx, clock.Now().Add(lastAnswers))
+	g.abort()
+	g.awaitIdle(ctx, clock.Now().Add(abortTimeout))
 	g.log.Info(telemetry.EventStopped, telemetry.F("in_flight", g.inFlight.Load()), telemetry.F("ms", clock.Since(began).Milliseconds()))
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -109,23 +111,24 @@
 	return b
 }
 
-// awaitQuiet waits until no request has come for a while, or until end.
+// awaitQuiet waits until there has been no request in flight for quietPeriod, at least minDrain
+// after began and at most until end.
 func (g *Gateway) awaitQuiet(ctx context.Context, began, end time.Time) {
 	quietSince := began
 	for clock.Now().Before(end) && ctx.Err() == nil {
-		kernel.Sleep(ctx, drainPoll)
+		kernel.Sleep(ctx, drainPollInterval)
 		if g.inFlight.Load() > 0 {
 			quietSince = clock.Now()
 		}
-		if clock.Since(began) > leastDrain && clock.Since(quietSince) > quietFor {
+		if clock.Since(began) > minDrain && clock.Since(quietSince) > quietPeriod {
 			return
 		}
 	}
 }
 
-// awaitIdle waits until no request is in hand, or until end.
+// awaitIdle waits until no request is in flight, at most until end.
 func (g *Gateway) awaitIdle(ctx context.Context, end time.Time) {
 	for g.inFlight.Load() > 0 && clock.Now().Before(end) && ctx.Err() == nil {
-		kernel.Sleep(ctx, drainPoll)
+		kernel.Sleep(ctx, drainPollInterval)
 	}
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -20,7 +20,9 @@
 	"garnethoist.org/garnethoist/internal/retry"
 )
 
-// exchange is one caller's request and its answer.
+// exchange is one caller's request and its response. It is used by one
+// goroutine, except that concurrent attempts of a plain request read it and change account and
+// trace.
 type exchange struct {
 	g       *Gateway
 	w       http.ResponseWriter
@@ -34,65 +36,71 @@
 	body     []byte
 	deadline time.Time
 
-	// account is nil for an anonymous request. Each send looks it up anew, also beside another.
+	// account is nil for an anonymous request. It is atomic because each attempt looks it up again,
+	// possibly while another attempt is in flight.
 	account atomic.Pointer[fleet.Account]
-	// tried holds the targets that are not to be chosen again.
+	// tried holds the targets that must not be chosen again.
 	tried place.Tried
-	// sends counts the sends of the request.
-	sends sends
-	// sentAt is when the newest send to a model engine began.
+	// attempts counts the attempts at targets and takes them from the retry budget.
+	attempts attemptTracker
+	// sentAt is when the latest attempt at a model engine began.
 	sentAt time.Time
-	// request tells it from others at every VM, and trial is set while it is a suspect that
-	// is being tried.
-	request quarantine.Request
-	trial   *quarantine.ID
-	// misses counts the targets that could not be reached and whose hosts did not say so.
-	misses int
-	// brokenOff is set once a target broke off its answer, or gave none.
-	brokenOff bool
-	// unanswered is set once a send had no answer, or an overdue one: the next one
-	// is not to meet a silent connection too.
+	// quarantineReq identifies the request on all VMs. trial is set while the request is suspected
+	// of crashing targets and this VM is trying it.
+	quarantineReq quarantine.Request
+	trial         *quarantine.ID
+	// unreachable counts the targets that could not be reached, except those whose host refused the
+	// connection.
+	unreachable int
+	// targetClosed is set once a target closed the connection before the response was complete.
+	targetClosed bool
+	// unanswered is set once an attempt got no response or its response was overdue. The next
+	// attempt uses a new connection, as a kept-alive one might be dead too.
 	unanswered bool
-	// ran is set once a target may have run the request.
-	ran bool
-	// began is set once the caller has a part of the answer; status is that of
-	// a complete one. cut is set where the connection must end without one.
-	began  bool
-	cut    bool
-	status int
-	// first is when the first byte of the answer went to the caller.
-	first time.Time
-	// queued is set while the request is deferred, and deferredFor is how long it has been.
-	queued      *place.Ticket
+	// mayHaveRun is set once a target may have run the request.
+	mayHaveRun bool
+	// responseStarted is set once a part of the response went to the caller. status is the status
+	// of a complete response. abortConn is set if the connection must be closed without a complete
+	// response.
+	responseStarted bool
+	abortConn       bool
+	status          int
+	// firstByteAt is when the first byte of the response went to the caller.
+	firstByteAt time.Time
+	// queueTicket is set while the request is deferred; deferredFor is how long it has been
+	// deferred in total.
+	queueTicket *place.Ticket
 	deferredFor time.Duration
-	// longestGap is the longest pause between two writes of a stream's events.
+	// longestGap is the longest time between two writes of events to the caller.
 	longestGap time.Duration
-	// admission is set once the request was sent or refused, and bands once its size was placed.
+	// admission is set once the request was sent to an engine or refused. sizeBands caches the
+	// result of size.
 	admission *admission
-	bands     *fair.Size
-	// seat is what the choice of the engine that runs the request rests on, and eventPause
-	// the mean time between the events that it has made.
-	seat       *place.Seat
-	eventPause time.Duration
-	// lastEvent is the id of the last event of a stream that the caller has.
-	lastEvent string
-	// stop is what a stopping VM weighed when it took or refused the request.
+	sizeBands *fair.Size
+	// seat is the load estimate that the choice of the decode engine was based on. eventInterval is
+	// the measured mean time between the events of its response.
+	seat          *place.Seat
+	eventInterval time.Duration
+	// lastEventID is the id of the last event that the caller received.
+	lastEventID string
+	// stop is the latest check against the end of a stopping gateway; nil if the gateway is not
+	// stopping.
 	stop *stopCheck
 
 	mu sync.Mutex
-	// trail is the request's sends for its log line; mu guards it.
-	trail strings.Builder
+	// trace lists the attempts and their results for the log line. Guarded by mu.
+	trace strings.Builder
 }
 
-// run serves the request. An error is an *errkind.Error.
+// run serves the request. Its errors are of type *errkind.Error.
 func (x *exchange) run() error {
 	if !x.view.Usable() {
 		return errkind.New(errkind.NotReady, "configuration and targets are not known yet")
 	}
-	if x.g.known.Behind() {
+	if x.g.freshness.Behind() {
 		return x.refusal(errkind.NotReady, nil, "other VMs know a newer configuration")
 	}
-	if err := x.match(); err != nil {
+	if err := x.matchRoute(); err != nil {
 		return err
 	}
 	meta, err := x.g.proto.Meta(x.r.Header)
@@ -100,67 +108,68 @@
 		return errkind.Wrap(errkind.BadRequest, err, "%v", err)
 	}
 	x.meta = meta
-	if err := x.identify(); err != nil {
+	if err := x.identifyAccount(); err != nil {
 		return err
 	}
 	x.setDeadline()
 	if err := x.checkStop(); err != nil {
 		return err
 	}
-	x.service = x.route.Pick(x.g.float())
+	x.service = x.route.Pick(x.g.randomFloat())
 	if meta.Prompt != nil {
 		meta.Prompt.Limit = clock.Until(x.deadline)
-		meta.Prompt.FullLimit = meta.Prompt.Limit + x.g.waits.waited(x.route.Name, meta.Timeout)
+		meta.Prompt.FullLimit = meta.Prompt.Limit + x.g.callerWaits.sinceFirstTry(x.route.Name, meta.Timeout)
 		meta.Prompt.BodyBytes = int(max(x.r.ContentLength, 0))
 	}
 	if err := x.readBody(x.view.Config.Limits); err != nil {
-		return x.certain(err)
+		return x.confirmDenial(err)
 	}
-	x.request = x.identity()
+	x.quarantineReq = x.quarantineRequest()
 	defer x.endTrial()
 	if err := x.checkQuarantine(); err != nil {
 		return err
 	}
 	ctx, cancel := clock.WithDeadline(x.r.Context(), x.deadline)
 	defer cancel()
-	defer context.AfterFunc(x.g.ending, cancel)()
+	defer context.AfterFunc(x.g.abortCtx, cancel)()
 	x.tried = place.Tried{}
-	x.g.budgets.of(x.service).Request(x.g.sinceStart())
-	x.sends = sends{
-		budget: func() *retry.Window { return x.g.budgets.of(x.service) }, clock: x.g.sinceStart, most: x.route.MaxAttempts,
+	x.g.retryBudgets.forService(x.service).Request(x.g.sinceStart())
+	x.attempts = attemptTracker{
+		budget: func() *retry.Window { return x.g.retryBudgets.forService(x.service) }, clock: x.g.sinceStart, maxAttempts: x.route.MaxAttempts,
 	}
-	defer x.sends.close()
-	if x.generates() {
-		return x.generate(ctx)
+	defer x.attempts.releaseReserved()
+	if x.isGeneration() {
+		return x.serveGeneration(ctx)
 	}
-	return x.plain(ctx)
+	return x.servePlain(ctx)
 }
 
-// checkStop refuses a request that has not run where the VM stops and may end before
-// the answer does. It is asked again before each target: a body or a target that
-// refuses may have taken long, and the VM may have begun to stop meanwhile.
+// checkStop refuses a request that no target has run if the gateway may end before the response is
+// complete. It is called again before each attempt: reading the body or an attempt that was refused
+// may have taken long, and the gateway may have begun to stop meanwhile.
 func (x *exchange) checkStop() error {
-	if x.ran {
+	if x.mayHaveRun {
 		return nil
 	}
 	now := clock.Now()
-	x.stop = x.g.drain.weigh(x.deadline.Sub(now), now)
+	x.stop = x.g.drain.newStopCheck(x.deadline.Sub(now), now)
 	return x.stop.check()
 }
 
-// generates reports whether a model engine serves the request.
-func (x *exchange) generates() bool {
+// isGeneration reports whether a model engine serves the request.
+func (x *exchange) isGeneration() bool {
 	s := x.view.Config.Services[x.service]
 	return s != nil && s.Engine != nil && x.meta.Prompt != nil
 }
 
-// setDeadline takes the shorter of the route's timeout and the caller's own.
+// setDeadline sets the deadline from the shorter of the route's and the caller's timeouts.
 func (x *exchange) setDeadline() {
-	x.deadline = x.arrived.Add(allowed(x.route.Timeout, x.meta.Timeout))
+	x.deadline = x.arrived.Add(effectiveTimeout(x.route.Timeout, x.meta.Timeout))
 }
 
-// allowed returns the shorter of two timeouts, of which 0 is none.
-func allowed(route, caller time.Duration) time.Duration {
+// effectiveTimeout returns the shorter of the two timeouts. 0 means defaultTimeout for the route
+// and no timeout for the caller.
+func effectiveTimeout(route, caller time.Duration) time.Duration {
 	if route <= 0 {
 		route = defaultTimeout
 	}
@@ -170,37 +179,38 @@
 	return route
 }
 
-// defaultTimeout bounds requests on routes without a timeout of their own.
+// defaultTimeout applies to routes without a timeout.
 const defaultTimeout = time.Minute
 
-// reload takes the newest view, so that nothing is sent to a target that has
-// begun to leave meanwhile.
-func (x *exchange) reload() { x.view = x.g.keeper.View() }
+// reloadView takes the newest view, so that nothing is sent to a target that has begun to leave
+// since the last one.
+func (x *exchange) reloadView() { x.view = x.g.keeper.View() }
 
-// wanted reports whether the request is still to be sent to a target.
-func (x *exchange) wanted(ctx context.Context) bool {
-	return ctx.Err() == nil && !callerLeft(x.r.Context())
+// callerWaiting reports whether the caller is still connected and the deadline has not passed, so
+// that the request should be sent to a target.
+func (x *exchange) callerWaiting(ctx context.Context) bool {
+	return ctx.Err() == nil && !callerGone(x.r.Context())
 }
 
-// mayTryAgain reports whether another target may be asked, and draws on the
-// budget.
-func (x *exchange) mayTryAgain(ctx context.Context) bool {
+// reserveRetry reports whether a further attempt may be made. If so, the attempt is taken from the
+// retry budget.
+func (x *exchange) reserveRetry(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	may := x.sends.reserve()
+	may := x.attempts.reserve()
 	x.g.stats.Retry(x.service, may)
 	return may
 }
 
-// giveUp returns the error for a request that no further target is asked for.
-func (x *exchange) giveUp(ctx context.Context, cause error) error {
+// finalError returns the error for a request for which no further attempt is made.
+func (x *exchange) finalError(ctx context.Context, cause error) error {
 	switch {
-	case callerLeft(x.r.Context()):
+	case callerGone(x.r.Context()):
 		return errkind.Wrap(errkind.ClientGone, cause, "the caller has gone")
-	case !x.ran:
+	case !x.mayHaveRun:
 		return x.refusal(errkind.NoTarget, cause, "no target could take the request")
-	case x.g.ending.Err() != nil:
+	case x.g.abortCtx.Err() != nil:
 		return errkind.Wrap(errkind.OutcomeUnknown, cause, "this VM stops; the request may have run")
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		return errkind.Wrap(errkind.DeadlineExceeded, cause, "no answer in time")
@@ -208,24 +218,24 @@
 	return errkind.Wrap(errkind.OutcomeUnknown, cause, "the target did not answer; the request may have run")
 }
 
-// refusalWait is when a refused caller is told to come back.
-const refusalWait = 100 * time.Millisecond
+// refusalRetryAfter is the retry delay for refusals that are likely to be over soon.
+const refusalRetryAfter = 100 * time.Millisecond
 
+// refusal returns an error of the given kind with refusalRetryAfter as its delay.
 func (x *exchange) refusal(kind errkind.Kind, cause error, detail string) error {
 	e := errkind.Wrap(kind, cause, "%s", detail)
-	e.RetryAfter = refusalWait
+	e.RetryAfter = refusalRetryAfter
 	return e
 }
 
-// fail answers with an error of this system's own.
-func (x *exchange) fail(e *errkind.Error) {
-	x.began = true
+// writeError sends e to the caller as the response.
+func (x *exchange) writeError(e *errkind.Error) {
+	x.responseStarted = true
 	a := e.Answer()
 	x.status = a.Status
 	if e.Kind == errkind.ClientGone {
-		// A caller that has only ended its sending side would get the server's
-		// own default answer.
-		x.cut = true
+		// If the caller closed only its sending side, net/http would send it a default response.
+		x.abortConn = true
 		return
 	}
 	h := x.w.Header()
@@ -234,22 +244,22 @@
 	if a.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
 	}
-	x.writeHead(a.Status)
-	// A failed write means that the caller has gone.
+	x.writeHeader(a.Status)
+	// A failed write means that the caller has closed its connection.
 	_, _ = x.w.Write(errkind.Body(e))
 }
 
-// writeHead sends the answer's head. The connection ends with the answer where
-// this VM stops, or has little room for further callers.
-func (x *exchange) writeHead(status int) {
-	if x.g.drain.stopping() || x.g.conns.above(lastShare) {
+// writeHeader sends the response header. If the gateway is stopping or is short of connections, it
+// has the connection closed after the response.
+func (x *exchange) writeHeader(status int) {
+	if x.g.drain.stopping() || x.g.conns.usedAtLeast(closeAfterResponseShare) {
 		x.w.Header().Set("Connection", "close")
 	}
 	x.w.WriteHeader(status)
 }
 
-// endedHere reports whether the request was ended on this side, which tells nothing of
-// the target: its caller has gone, or the VM's stop ended the wait.
-func (x *exchange) endedHere() bool {
-	return x.r.Context().Err() != nil || x.g.ending.Err() != nil
+// endedLocally reports whether the caller left or the gateway's shutdown ended the wait. A failed
+// attempt then says nothing about the target.
+func (x *exchange) endedLocally() bool {
+	return x.r.Context().Err() != nil || x.g.abortCtx.Err() != nil
 }
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -15,17 +15,17 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-func TestTheShorterTimeoutHolds(t *testing.T) {
+func TestEffectiveTimeoutIsTheShorter(t *testing.T) {
 	is := is.New(t)
-	is.Equal(allowed(2*time.Second, 0), 2*time.Second)
-	is.Equal(allowed(2*time.Second, 600*time.Millisecond), 600*time.Millisecond)
-	is.Equal(allowed(2*time.Second, 9*time.Second), 2*time.Second)
-	is.Equal(allowed(0, time.Second), time.Second)
-	is.Equal(allowed(0, 0), defaultTimeout)
+	is.Equal(effectiveTimeout(2*time.Second, 0), 2*time.Second)
+	is.Equal(effectiveTimeout(2*time.Second, 600*time.Millisecond), 600*time.Millisecond)
+	is.Equal(effectiveTimeout(2*time.Second, 9*time.Second), 2*time.Second)
+	is.Equal(effectiveTimeout(0, time.Second), time.Second)
+	is.Equal(effectiveTimeout(0, 0), defaultTimeout)
 }
 
-// A request that was sent goes on, and a route without an objective takes all. A
-// refusal says that the request has not run, and when to come back.
+// A request that was sent to a target before, or whose route has no objective, is always admitted.
+// A refused caller learns that the request has not run and when to retry.
 func TestAdmission(t *testing.T) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	cases := []struct {
@@ -35,7 +35,7 @@
 		expected  time.Duration
 		own       time.Duration
 		arrivals  int
-		// waited is how long ago the caller first asked.
+		// waited is how long ago the caller first sent the request.
 		waited time.Duration
 		want   place.Verdict
 	}{
@@ -44,10 +44,10 @@
 		{"long by itself", ms(200), 0, ms(380), ms(350), 0, 0, place.Send},
 		{"sent before", ms(200), 0, ms(380), ms(20), 1, 0, place.Send},
 		{"no objective", 0, 0, ms(900), ms(20), 0, 0, place.Send},
-		{"comes back in time, on time", ms(200), 0, ms(100), ms(20), 0, ms(40), place.Send},
-		{"comes back in time, too late", ms(200), 0, ms(160), ms(20), 0, ms(40), place.Defer},
-		{"comes back late, engines nearly idle", ms(200), 0, ms(70), ms(20), 0, ms(400), place.Send},
-		{"comes back late, would hold up first tries", ms(200), 0, ms(90), ms(20), 0, ms(400), place.Defer},
+		{"retry within the objective, on time", ms(200), 0, ms(100), ms(20), 0, ms(40), place.Send},
+		{"retry within the objective, too late", ms(200), 0, ms(160), ms(20), 0, ms(40), place.Defer},
+		{"retry after the objective, engines nearly idle", ms(200), 0, ms(70), ms(20), 0, ms(400), place.Send},
+		{"retry after the objective, would delay first tries", ms(200), 0, ms(90), ms(20), 0, ms(400), place.Defer},
 		{"longer than its caller waits", ms(200), ms(800), ms(900), ms(890), 0, 0, place.Refuse},
 	}
 	for _, tc := range cases {
@@ -55,11 +55,11 @@
 			is := is.New(t)
 			now := time.Now()
 			x := &exchange{
-				g: &Gateway{random: newRandom(), group: one{}, placer: place.New(place.DefaultConfig("a"), noOthers{}, nil)}, arrived: now, deadline: now.Add(2 * time.Second), view: &fleet.View{},
-				route: &fleet.Route{Objective: tc.objective, Patience: tc.patience}, sends: sends{arrivals: tc.arrivals},
+				g: &Gateway{rng: newRNG(), group: soloGroup{}, placer: place.New(place.DefaultConfig("a"), idleOthers{}, nil)}, arrived: now, deadline: now.Add(2 * time.Second), view: &fleet.View{},
+				route: &fleet.Route{Objective: tc.objective, Patience: tc.patience}, attempts: attemptTracker{arrivals: tc.arrivals},
 				meta: Meta{Timeout: 2*time.Second - tc.waited, Prompt: &place.Prompt{}},
 			}
-			x.g.waits.waited("", 2*time.Second)
+			x.g.callerWaits.sinceFirstTry("", 2*time.Second)
 			c := place.Choice{Target: &fleet.Target{ID: "i"}, Expected: tc.expected, Own: tc.own}
 			is.Equal(x.admit(c).Verdict, tc.want)
 			if tc.want == place.Send {
@@ -74,28 +74,30 @@
 	}
 }
 
-type noOthers struct{}
+// idleOthers reports no load of other VMs.
+type idleOthers struct{}
 
-func (noOthers) Work(string) place.Work { return place.Work{} }
-func (noOthers) Age() time.Duration     { return 0 }
+func (idleOthers) Work(string) place.Work { return place.Work{} }
+func (idleOthers) Age() time.Duration     { return 0 }
 
-// A target that a stopping VM has waited for is not told to all VMs as failing.
-func TestStopDoesNotBlameTheTarget(t *testing.T) {
+// An attempt that the gateway's shutdown ended must not be reported to other VMs as a failure of
+// the target.
+func TestShutdownIsNotReportedAsTargetFailure(t *testing.T) {
 	target := &fleet.Target{ID: "i", Slots: 4}
 	for _, stops := range []bool{true, false} {
 		t.Run(fmt.Sprintf("stops %t", stops), func(t *testing.T) {
 			is := is.New(t)
-			p := place.New(place.DefaultConfig("a"), noOthers{}, func(*fleet.Target) bool { return false })
+			p := place.New(place.DefaultConfig("a"), idleOthers{}, func(*fleet.Target) bool { return false })
 			c, ok := p.Plain([]*fleet.Target{target}, nil, 0, time.Now())
 			is.True(ok)
 			g := &Gateway{}
-			g.ending, g.endingNow = context.WithCancel(context.Background())
-			defer g.endingNow()
+			g.abortCtx, g.abort = context.WithCancel(context.Background())
+			defer g.abort()
 			if stops {
-				g.endingNow()
+				g.abort()
 			}
 			x := &exchange{g: g, r: httptest.NewRequest("GET", "/", nil), arrived: time.Now()}
-			x.sendFailed(context.Background(), target, c.Ticket, errors.New("unanswered"))
+			x.noteSendFailure(context.Background(), target, c.Ticket, errors.New("unanswered"))
 			failed := 0
 			for _, u := range p.TakeUses() {
 				if u.Failed {
@@ -107,7 +109,7 @@
 	}
 }
 
-func TestEventsAreRelayedWhole(t *testing.T) {
+func TestCompleteEventsLenAndLastEventID(t *testing.T) {
 	cases := []struct {
 		text string
 		end  int
@@ -124,7 +126,7 @@
 	for _, tc := range cases {
 		t.Run(tc.text, func(t *testing.T) {
 			is := is.New(t)
-			end := eventsEnd([]byte(tc.text))
+			end := completeEventsLen([]byte(tc.text))
 			is.Equal(end, tc.end)
 			id, _ := lastEventID([]byte(tc.text)[:end])
 			is.Equal(id, tc.id)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -27,145 +27,151 @@
 )
 
 const (
-	// maxHeaderBytes bounds a caller's head before the configuration is known.
+	// maxHeaderBytes limits the size of a request header before the configuration is known.
 	maxHeaderBytes = 64 << 10
-	// defaultHeaderTimeout bounds the time that a caller takes for its head
-	// before the configuration is known.
+	// defaultHeaderTimeout limits the time to read a request header before the configuration is
+	// known.
 	defaultHeaderTimeout = 10 * time.Second
-	// defaultIdleTimeout closes a caller's idle connection before the
-	// configuration is known. It is above any that the users' configurations
-	// hold, so that a caller never finds its connection closed too early.
+	// defaultIdleTimeout is how long an idle caller connection is kept before the configuration is
+	// known. It is longer than any idle timeout in the configurations in use, so that no caller has
+	// its connection closed earlier than configured.
 	defaultIdleTimeout = time.Minute
-	// pruneInterval is how often idle connections and forgotten targets are
-	// looked through.
+	// pruneInterval is how often connections to removed targets, and idle connections in excess,
+	// are closed.
 	pruneInterval = time.Second
-	// callerSilence is how long a caller's connection may be silent: above the two
-	// seconds for which callers wait for a stream to go on (users' pages) and the
-	// 5.5 s for which the users' days cut links, so that a request held up by a cut
-	// still finds its connection.
-	callerSilence = 6 * time.Second
-	// spareVMs leaves room in a target's connections for VMs that are
-	// not known yet.
+	// callerSilenceTimeout is how long a caller's connection may stay silent, acknowledging neither
+	// data nor keepalive probes. It is above the 2 s that callers wait for a stream to continue
+	// (documented for users) and above the 5.5 s link outages in the users' load profiles, so that
+	// a request delayed by an outage still finds its connection open.
+	callerSilenceTimeout = 6 * time.Second
+	// spareVMs is how many VMs that are not yet known are allowed for when limits are divided among
+	// VMs.
 	spareVMs = 3
 )
 
-// Limits are the gateway's settings that may change while it runs.
+// Limits are the gateway's settings that can change while it runs.
 type Limits struct {
-	// Grace is how long after SIGTERM the process may go on.
+	// Grace is how long the process may run after SIGTERM.
 	Grace time.Duration
-	// RetryRatio and RetryBurst bound the sends to further targets, as a share
-	// of the requests and at once, for all VMs together.
+	// RetryRatio and RetryBurst limit retries at further targets over all VMs: as a fraction of the
+	// requests, and as a fixed number on top of it.
 	RetryRatio float64
 	RetryBurst float64
-	// RetryWindow is the span that both are counted in.
+	// RetryWindow is the sliding window to which RetryRatio and RetryBurst apply.
 	RetryWindow time.Duration
-	// NoDeferral has requests that would be late refused instead of deferred.
+	// NoDeferral makes the gateway refuse requests that would be late instead of deferring them.
 	NoDeferral bool
 }
 
-// Knowledge says how far the view may be trusted.
-type Knowledge interface {
-	// Confirmed reports whether the configuration is the newest, but for changes
-	// that need not be in force yet. A view that is read after it holds that one.
+// ConfigFreshness reports how current this VM's copy of the configuration is. Its methods are safe
+// for concurrent use.
+type ConfigFreshness interface {
+	// Confirmed reports whether this VM has the newest configuration that must be in force; changes
+	// that need not be in force yet may be missing. A view that is read after a call that returned
+	// true contains that configuration.
 	Confirmed(ctx context.Context) bool
-	// KeysCurrent reports whether the keys of the configuration may be served.
+	// KeysCurrent reports whether this VM knows of all API keys that had to be revoked by now, so
+	// that the configured keys may be accepted.
 	KeysCurrent() bool
-	// Behind reports whether other VMs know a configuration that must be in force
-	// and this one does not.
+	// Behind reports whether other VMs know a newer configuration that must be in force and that
+	// this VM lacks.
 	Behind() bool
 }
 
-// Parts is what a gateway is made of and works with.
+// Parts holds the settings and the components that a Gateway uses.
 type Parts struct {
-	// Listen is the address for callers.
+	// Listen is the TCP address that callers connect to.
 	Listen string
-	// Descriptors is how many the process may open.
+	// Descriptors is how many file descriptors the process may open.
 	Descriptors int
 	Keeper      *fleet.Keeper
 	Placer      *place.Placer
 	Protocol    Protocol
 	Group       Group
-	Known       Knowledge
+	Known       ConfigFreshness
 	Quarantine  Quarantine
 	Usage       Usage
 	Client      *httpsend.Client
-	// FirstStart says that the whole group starts for the first time.
+	// FirstStart says that the whole group of VMs starts for the first time, so that no earlier
+	// process has used up retries.
 	FirstStart bool
 	Log        *telemetry.Logger
 	Stats      *Stats
 }
 
-// Gateway is the callers' HTTP edge.
+// Gateway is the HTTP server for callers. It is safe for concurrent use.
 type Gateway struct {
-	listen string
-	limits atomic.Pointer[Limits]
-	keeper *fleet.Keeper
-	placer *place.Placer
-	proto  Protocol
-	group  Group
-	known  Knowledge
-	// quarantine knows requests that end targets, and endChecks finds out whether a target
-	// that broke off has ended.
+	listen    string
+	limits    atomic.Pointer[Limits]
+	keeper    *fleet.Keeper
+	placer    *place.Placer
+	proto     Protocol
+	group     Group
+	freshness ConfigFreshness
+	// quarantine records requests that crash targets; exitChecks merges concurrent checks of
+	// whether a target has exited.
 	quarantine Quarantine
 	usage      Usage
-	endChecks  singleflight.Group
+	exitChecks singleflight.Group
 	client     *httpsend.Client
 	log        *telemetry.Logger
 	stats      *Stats
 
 	server *http.Server
-	served sync.WaitGroup
-	// listening is set while callers are accepted.
+	wg     sync.WaitGroup
+	// listening is true while the server accepts callers.
 	listening atomic.Bool
 	conns     *callerConns
 	bg        kernel.Background
 	drain     drainState
-	// ending is done when the drain is over: requests in hand are answered with
-	// what is known then.
-	ending    context.Context
-	endingNow context.CancelFunc
-	inFlight  atomic.Int64
-	waits     waits
-	sizes     fair.Sizes
+	// abortCtx is canceled by abort when the drain time is over. Requests that are still in flight
+	// then stop waiting for their targets and get an error that says what is known.
+	abortCtx    context.Context
+	abort       context.CancelFunc
+	inFlight    atomic.Int64
+	callerWaits waitEstimator
+	sizes       fair.Sizes
 
-	budgets *budgets
+	retryBudgets *retryBudgets
 
-	mu     sync.Mutex
-	random *mathrand.Rand
+	// mu guards rng.
+	mu  sync.Mutex
+	rng *mathrand.Rand
 
-	// started is the zero of the retry budgets' clock.
+	// started is the origin of the retry budgets' clock.
 	started time.Time
 }
 
-// New returns a gateway; it does not listen yet.
+// New returns a gateway that does not listen yet.
 func New(p Parts, limits Limits) *Gateway {
 	g := &Gateway{
-		listen: p.Listen, keeper: p.Keeper, placer: p.Placer, proto: p.Protocol, group: p.Group, known: p.Known, quarantine: p.Quarantine, usage: p.Usage,
-		client: p.Client, log: p.Log, stats: p.Stats, random: newRandom(),
+		listen: p.Listen, keeper: p.Keeper, placer: p.Placer, proto: p.Protocol, group: p.Group, freshness: p.Known, quarantine: p.Quarantine, usage: p.Usage,
+		client: p.Client, log: p.Log, stats: p.Stats, rng: newRNG(),
 		started: clock.Now(), conns: newCallerConns(p.Descriptors, p.Client.Open, p.Log),
 	}
 	g.limits.Store(&limits)
-	g.budgets = newBudgets(&g.limits, p.Group, p.FirstStart, g.sinceStart)
-	g.ending, g.endingNow = context.WithCancel(context.Background())
+	g.retryBudgets = newRetryBudgets(&g.limits, p.Group, p.FirstStart, g.sinceStart)
+	g.abortCtx, g.abort = context.WithCancel(context.Background())
 	return g
 }
 
-// SetLimits changes the limits of a running gateway.
+// SetLimits replaces the limits of a running gateway and empties its retry budgets.
 func (g *Gateway) SetLimits(l Limits) {
 	g.limits.Store(&l)
-	g.budgets.renew()
+	g.retryBudgets.reset()
 }
 
-func newRandom() *mathrand.Rand {
+// newRNG returns a random number generator with a random seed.
+func newRNG() *mathrand.Rand {
 	var seed [32]byte
-	// crypto/rand.Read never fails.
+	// crypto/rand.Read never returns an error.
 	_, _ = rand.Read(seed[:])
 	return mathrand.New(mathrand.NewPCG(binary.LittleEndian.Uint64(seed[:]), binary.LittleEndian.Uint64(seed[8:])))
 }
 
-// Start listens for callers.
+// Start listens for callers and serves them in the background.
 func (g *Gateway) Start(ctx context.Context) error {
-	l, err := silence.Listen(ctx, g.listen, callerSilence)
+	l, err := silence.Listen(ctx, g.listen, callerSilenceTimeout)
 	if err != nil {
 		return errors.Wrap(err, "listen for callers")
 	}
@@ -174,10 +180,10 @@
 	g.server = &http.Server{
 		Handler: handler, MaxHeaderBytes: maxHeaderBytes,
 		ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
-		ConnContext: withCaller, ConnState: noteState, ErrorLog: telemetry.StdLogger(g.log),
+		ConnContext: withCallerConn, ConnState: onConnState, ErrorLog: telemetry.StdLogger(g.log),
 	}
 	g.listening.Store(true)
-	g.served.Go(func() {
+	g.wg.Go(func() {
 		defer g.listening.Store(false)
 		if err := g.server.Serve(newCallerListener(l, g.callerLimits, g.conns)); !errors.Is(err, http.ErrServerClosed) {
 			g.log.Warn(telemetry.EventStopped, telemetry.F("cause", err))
@@ -189,7 +195,7 @@
 	return nil
 }
 
-// callerLimits returns the configuration's limits, or none before it is known.
+// callerLimits returns the configured limits, or zero limits while the configuration is unknown.
 func (g *Gateway) callerLimits() fleet.Limits {
 	if c := g.keeper.View().Config; c != nil {
 		return c.Limits
@@ -197,10 +203,10 @@
 	return fleet.Limits{}
 }
 
-// prune closes connections to targets that are not listed any more, and those of
-// idle callers where there are too many.
+// prune closes connections to targets that are no longer listed and, if there are too many
+// connections, those of idle callers.
 func (g *Gateway) prune() {
-	g.conns.room()
+	g.conns.makeRoom()
 	v := g.keeper.View()
 	listed := make(map[string]bool)
 	for _, ts := range v.Targets {
@@ -208,26 +214,26 @@
 			listed[t.RunID()] = true
 		}
 	}
-	has := func(id string) bool { return listed[id] }
-	g.client.Prune(has)
-	g.placer.Forget(has)
+	isListed := func(id string) bool { return listed[id] }
+	g.client.Prune(isListed)
+	g.placer.Forget(isListed)
 }
 
-// Stop drains and closes.
+// Stop drains the gateway and closes all connections.
 func (g *Gateway) Stop(ctx context.Context) error {
 	g.Drain(ctx)
 	err := g.closeServer(ctx)
-	g.served.Wait()
+	g.wg.Wait()
 	if bgErr := g.bg.Stop(ctx); err == nil {
 		err = bgErr
 	}
 	return errors.Wrap(err, "close gateway")
 }
 
-// closeServer gives answers that have just ended the time to be sent, and closes all
+// closeServer waits up to flushTimeout for finished responses to be sent, then closes all
 // connections.
 func (g *Gateway) closeServer(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, lastWrites)
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	if err := g.server.Shutdown(ctx); err == nil {
 		return nil
@@ -235,49 +241,52 @@
 	return g.server.Close()
 }
 
-// Ready says why no new callers should come, or "".
+// Ready returns why the VM should get no new callers, or "" if it is ready.
 func (g *Gateway) Ready() string {
 	switch {
 	case g.drain.stopping():
 		return "stopping"
 	case !g.listening.Load():
-		return "callers are not listened for"
+		return "not listening for callers"
 	case !g.keeper.View().Usable():
 		return "configuration or targets not known yet"
-	case g.known.Behind():
+	case g.freshness.Behind():
 		return "other VMs know a newer configuration"
-	case g.keeper.View().Config.Keyed() && !g.known.KeysCurrent():
-		return "not known which keys were removed lately"
+	case g.keeper.View().Config.Keyed() && !g.freshness.KeysCurrent():
+		return "recently revoked keys are not known"
 	}
 	return g.conns.ready()
 }
 
-// serve takes one request through its whole path.
+// serve handles one request from arrival to log line.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	x := &exchange{g: g, w: w, r: r, arrived: clock.Now(), view: g.keeper.View()}
 	err := x.run()
-	if err != nil && !x.began {
-		x.fail(errkind.From(err))
+	if err != nil && !x.responseStarted {
+		x.writeError(errkind.From(err))
 	}
 	x.report(err)
-	if x.cut || (err != nil && x.began && x.status == 0) {
-		// The answer is cut short; the caller must not take it for complete.
+	if x.abortConn || (err != nil && x.responseStarted && x.status == 0) {
+		// The response is incomplete: abort the connection, so that the caller does not take it for
+		// a whole one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (g *Gateway) float() float64 {
+// randomFloat returns a random number in [0, 1).
+func (g *Gateway) randomFloat() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.random.Float64()
+	return g.rng.Float64()
 }
 
-// sinceStart is the retry budgets' clock.
+// sinceStart is the clock of the retry budgets: the time since the gateway was created.
 func (g *Gateway) sinceStart() time.Duration { return clock.Since(g.started) }
 
-// destination bounds a target's connections to this VM's share.
+// destination returns the connection settings for t. MaxConns is this VM's share of the connections
+// that the service allows per target. fresh asks for a new connection.
 func (g *Gateway) destination(v *fleet.View, t *fleet.Target, fresh bool) httpsend.Destination {
 	d := httpsend.Destination{ID: t.RunID(), Address: t.Address, Fresh: fresh}
 	if s := v.Config.Services[t.Service]; s != nil && s.MaxConns > 0 {
@@ -286,8 +295,9 @@
 	return d
 }
 
-// pathOf returns the path that routes are matched on, as the caller sent it.
-func pathOf(uri string) string {
+// requestPath returns the path of a request URI, without the query and not unescaped, for route
+// matching.
+func requestPath(uri string) string {
 	if i := strings.IndexByte(uri, '?'); i >= 0 {
 		uri = uri[:i]
 	}
--- a/internal/gateway/generate.go
+++ b/internal/gateway/generate.go
@@ -14,19 +14,19 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// freeTimeout bounds the call that frees a handle.
-const freeTimeout = time.Second
+// freeHandleTimeout limits the call that frees a handle.
+const freeHandleTimeout = time.Second
 
-// generate serves a request to a model engine: the prompt is prefilled, at a
-// prefill target or in place, and the decode target's events are relayed.
-func (x *exchange) generate(ctx context.Context) error {
+// serveGeneration serves a request to a model engine. The prompt is prefilled, at a prefill target
+// or in place at the decode target, and the events of the decode target are relayed.
+func (x *exchange) serveGeneration(ctx context.Context) error {
 	s := &stream{x: x}
 	var last error
-	for x.wanted(ctx) {
+	for x.callerWaiting(ctx) {
 		if err := x.checkStop(); err != nil {
 			return err
 		}
-		x.reload()
+		x.reloadView()
 		out, target, err := x.generateOnce(ctx, s)
 		if err == nil {
 			return nil
@@ -36,142 +36,146 @@
 			break
 		}
 		x.tried[target.ID] = true
-		if out == sentNothing {
-			if !x.missed(err) {
+		if out == outcomeNotSent {
+			if !x.noteUnreachable(err) {
 				break
 			}
 			continue
 		}
-		if out == withheld {
+		if out == outcomeWithheld {
 			break
 		}
-		x.ran = x.ran || out == unknown
-		if x.ran && !x.route.Resumable {
+		x.mayHaveRun = x.mayHaveRun || out == outcomeUnknown
+		if x.mayHaveRun && !x.route.Resumable {
 			break
 		}
-		if !x.mayTryAgain(ctx) {
+		if !x.reserveRetry(ctx) {
 			break
 		}
 	}
-	if !x.ran && notRun(last) {
+	if !x.mayHaveRun && isNotRunRefusal(last) {
 		return last
 	}
-	if s.relaying && callerLeft(x.r.Context()) {
+	if s.headerSent && callerGone(x.r.Context()) {
 		return errkind.Wrap(errkind.ClientGone, last, "the caller has gone")
 	}
-	if s.relaying && x.g.ending.Err() != nil {
-		return errkind.Wrap(errkind.StreamStopped, last, "this VM's stop ended the stream")
+	if s.headerSent && x.g.abortCtx.Err() != nil {
+		return errkind.Wrap(errkind.StreamStopped, last, "this VM stopped before the stream was complete")
 	}
-	if s.relaying {
-		return errkind.Wrap(errkind.StreamLost, last, "the target broke off the stream")
+	if s.headerSent {
+		return errkind.Wrap(errkind.StreamLost, last, "the stream from the target was cut off")
 	}
-	return x.giveUp(ctx, last)
+	return x.finalError(ctx, last)
 }
 
-// notRun reports whether an error is a refusal that its caller is told as it is.
-func notRun(err error) bool {
+// isNotRunRefusal reports whether err is a refusal of a request that has not run, which the caller
+// gets unchanged.
+func isNotRunRefusal(err error) bool {
 	return errkind.Is(err, errkind.CannotFinish) || errkind.Is(err, errkind.Stopping) || errkind.Is(err, errkind.Quarantined) ||
 		errkind.Is(err, errkind.UnknownKey) || errkind.Is(err, errkind.KeysUncertain) || errkind.Is(err, errkind.NotReady)
 }
 
-// generateOnce asks one decode target, after a prefill elsewhere where that is
-// the better way. target is nil when there is none to ask.
+// generateOnce makes one attempt at a decode target, after a prefill at another target if the
+// placer chose that. The returned target is nil if there was none to choose.
 func (x *exchange) generateOnce(ctx context.Context, s *stream) (outcome, *fleet.Target, error) {
-	choice, err := x.choose(ctx)
+	choice, err := x.choosePrefill(ctx)
 	if err != nil {
-		return refused, nil, err
+		return outcomeRefused, nil, err
 	}
 	x.g.placer.Commit(choice, x.meta.Prompt, clock.Now())
 	if choice.InPlace {
-		x.note(choice.Target, describe(choice, "inplace"), nil)
+		x.addTrace(choice.Target, formatChoice(choice, "inplace"), nil)
 		out, err := x.decode(ctx, s, choice, nil)
 		return out, choice.Target, err
 	}
-	x.note(choice.Target, describe(choice, "prefill"), nil)
+	x.addTrace(choice.Target, formatChoice(choice, "prefill"), nil)
 	handle, out, err := x.prefill(ctx, choice)
 	if err != nil {
 		return out, choice.Target, err
 	}
-	return x.goOn(ctx, s, choice, &prefilled{target: choice.Target, handle: handle})
+	return x.decodePrefilled(ctx, s, choice, &prefilledPrompt{target: choice.Target, handle: handle})
 }
 
-// goOn asks decode targets to go on with a prompt that was read, until one is reached: a handle
-// that nobody has used is kept, so that the prompt is not read again for the next one.
-func (x *exchange) goOn(ctx context.Context, s *stream, read place.Choice, p *prefilled) (outcome, *fleet.Target, error) {
+// decodePrefilled sends a prompt that was prefilled elsewhere to decode targets until one can be
+// reached. The handle stays valid until a target uses it, so the prompt need not be prefilled again
+// for the next one.
+func (x *exchange) decodePrefilled(ctx context.Context, s *stream, prefillChoice place.Choice, p *prefilledPrompt) (outcome, *fleet.Target, error) {
 	for {
-		x.reload()
-		next, ok := x.chooseDecode(read)
+		x.reloadView()
+		next, ok := x.chooseDecode(prefillChoice)
 		if !ok {
-			x.free(p.target, p.handle)
-			return refused, nil, errkind.New(errkind.NoTarget, "no decode engine can take the request")
+			x.freeHandle(p.target, p.handle)
+			return outcomeRefused, nil, errkind.New(errkind.NoTarget, "no decode engine can take the request")
 		}
 		out, err := x.decode(ctx, s, next, p)
-		if out == sentNothing && x.missed(err) && x.wanted(ctx) && x.checkStop() == nil {
+		if out == outcomeNotSent && x.noteUnreachable(err) && x.callerWaiting(ctx) && x.checkStop() == nil {
 			x.tried[next.Target.ID] = true
 			continue
 		}
-		if out == refused {
-			x.g.placer.Blame(read.Target.RunID(), clock.Now())
+		if out == outcomeRefused {
+			x.g.placer.Blame(prefillChoice.Target.RunID(), clock.Now())
 		}
 		if err != nil {
-			// Without an answer it is not known whether the handle was taken; one that was is
-			// not there to be freed.
-			x.free(p.target, p.handle)
+			// Without a response it is not known whether the target took the handle. Freeing a
+			// handle that was taken has no effect.
+			x.freeHandle(p.target, p.handle)
 		}
 		return out, next.Target, err
 	}
 }
 
-// spec returns what the configuration says of the service's engines, or nil where it
-// is no model's any more.
-func (x *exchange) spec() *fleet.EngineSpec {
-	if !x.generates() {
+// engineSpec returns the configured properties of the service's engines, or nil if the service no
+// longer runs a model.
+func (x *exchange) engineSpec() *fleet.EngineSpec {
+	if !x.isGeneration() {
 		return nil
 	}
 	return x.view.Config.Services[x.service].Engine
 }
 
-// choose chooses where the prompt is prefilled, once the request may go.
-func (x *exchange) choose(ctx context.Context) (place.Choice, error) {
-	defer x.unqueue()
+// choosePrefill chooses the target that prefills the prompt. If the request would be late,
+// choosePrefill waits until the request may be sent, or refuses it.
+func (x *exchange) choosePrefill(ctx context.Context) (place.Choice, error) {
+	defer x.dequeue()
 	for {
-		spec := x.spec()
+		spec := x.engineSpec()
 		if spec == nil {
-			return place.Choice{}, errkind.New(errkind.NoTarget, "the service is not a model's any more")
+			return place.Choice{}, errkind.New(errkind.NoTarget, "the service no longer runs a model")
 		}
-		x.meta.Prompt.MaxWait = x.asked(clock.Now()).MaxWait()
-		x.meta.Prompt.Deferred = x.queued != nil
-		c, ok := x.g.placer.Read(x.view.Targets[x.service], spec, x.meta.Prompt, x.untried(), clock.Now())
+		x.meta.Prompt.MaxWait = x.admissionInput(clock.Now()).MaxWait()
+		x.meta.Prompt.Deferred = x.queueTicket != nil
+		c, ok := x.g.placer.Read(x.view.Targets[x.service], spec, x.meta.Prompt, x.excludedForPrefill(), clock.Now())
 		if !ok {
 			return c, errkind.New(errkind.NoTarget, "no engine can take the request")
 		}
 		ruling := x.admit(c)
 		if ruling.Verdict == place.Send {
-			x.ruled(ruling, c)
+			x.recordAdmission(ruling, c)
 			return c, nil
 		}
 		c.Ticket.End(place.Neutral, clock.Now())
 		if ruling.Verdict == place.Refuse || x.g.limits.Load().NoDeferral {
 			ruling.Verdict = place.Refuse
-			x.ruled(ruling, c)
+			x.recordAdmission(ruling, c)
 			return c, x.refuseLate(c)
 		}
 		x.waitDeferred(ctx, c)
-		if !x.wanted(ctx) {
+		if !x.callerWaiting(ctx) {
 			return c, ctx.Err()
 		}
 		if err := x.checkStop(); err != nil {
 			return c, err
 		}
-		x.reload()
+		x.reloadView()
 	}
 }
 
-// untried returns the targets that are not to be asked to read the prompt. One that was read
-// apart is read again in place only, by the target that then runs it: one arrival, not two.
-func (x *exchange) untried() place.Tried {
-	if x.sends.reads == 0 {
-		return x.apart(x.tried)
+// excludedForPrefill returns the targets that must not be chosen to prefill the prompt. A prompt
+// that a prefill target has processed before is only prefilled again in place, at the target that
+// then decodes it: that makes one arrival at a target, not two.
+func (x *exchange) excludedForPrefill() place.Tried {
+	if x.attempts.prefills == 0 {
+		return x.excludeForTrial(x.tried)
 	}
 	tried := maps.Clone(x.tried)
 	for _, t := range x.view.Targets[x.service] {
@@ -179,63 +183,63 @@
 			tried[t.ID] = true
 		}
 	}
-	return x.apart(tried)
+	return x.excludeForTrial(tried)
 }
 
-// chooseDecode chooses where a prompt goes on that another target has read.
-func (x *exchange) chooseDecode(read place.Choice) (place.Choice, bool) {
-	spec := x.spec()
+// chooseDecode chooses the target that decodes a prompt which another target has prefilled.
+func (x *exchange) chooseDecode(prefillChoice place.Choice) (place.Choice, bool) {
+	spec := x.engineSpec()
 	if spec == nil {
 		return place.Choice{}, false
 	}
-	return x.g.placer.Decode(x.view.Targets[x.service], spec, x.meta.Prompt, read.Target.DataCentre, x.tried, clock.Now())
+	return x.g.placer.Decode(x.view.Targets[x.service], spec, x.meta.Prompt, prefillChoice.Target.DataCentre, x.tried, clock.Now())
 }
 
-// describe formats a choice and the figures that it rests on for the log line:
-// the reckoned time to the first event in ms and the tokens held.
-func describe(c place.Choice, what string) string {
-	return what + "~" + strconv.FormatInt(c.Expected.Milliseconds(), 10) + "c" + strconv.Itoa(c.Cached)
+// formatChoice formats a choice for the log line: the kind of step, the expected time to the first
+// event in ms, and the number of prompt tokens expected in the target's cache.
+func formatChoice(c place.Choice, step string) string {
+	return step + "~" + strconv.FormatInt(c.Expected.Milliseconds(), 10) + "c" + strconv.Itoa(c.Cached)
 }
 
-// prefill has the prompt read and returns the handle of its KV cache. Nothing
-// has run after it, whatever its outcome.
+// prefill has a target prefill the prompt and returns the handle of its KV cache. Whatever its
+// outcome, the request has not run: outcomeUnknown is returned as outcomeRefused.
 func (x *exchange) prefill(ctx context.Context, c place.Choice) (*Handle, outcome, error) {
 	resp, out, err := x.send(ctx, c.Target, Directive{Engine: true, PrefillOnly: true, Priority: x.account.Load().Rank(x.route)}, c.Ticket)
 	if err != nil {
-		if out == unknown {
-			out = refused
+		if out == outcomeUnknown {
+			out = outcomeRefused
 		}
 		return nil, out, err
 	}
 	defer resp.Close()
-	body, err := readWhole(resp)
+	body, err := readBuffered(resp)
 	if err == nil && resp.Status != http.StatusOK {
-		err = errkind.New(errkind.TargetFailed, "prefill status %d", resp.Status)
+		err = errkind.New(errkind.TargetFailed, "prefill failed with status %d", resp.Status)
 	}
 	var handle Handle
 	if err == nil {
 		handle, err = x.g.proto.Handle(c.Target.Address, body)
 	}
 	if err != nil {
-		x.note(c.Target, "prefill_failed", err)
+		x.addTrace(c.Target, "prefill_failed", err)
 		c.Ticket.End(place.Bad, clock.Now())
-		return nil, refused, err
+		return nil, outcomeRefused, err
 	}
 	c.Ticket.End(place.Good, clock.Now())
-	x.note(c.Target, "prefilled", nil)
-	return &handle, answered, nil
+	x.addTrace(c.Target, "prefilled", nil)
+	return &handle, outcomeAnswered, nil
 }
 
-// prefilled is a prompt that a target keeps for a decode target.
-type prefilled struct {
+// prefilledPrompt is a prompt whose KV cache a target keeps for a decode target.
+type prefilledPrompt struct {
 	target *fleet.Target
 	handle *Handle
 }
 
-// decode sends the request to a decode target and relays its events; p is nil
-// where the prompt is read there.
-func (x *exchange) decode(ctx context.Context, s *stream, c place.Choice, p *prefilled) (outcome, error) {
-	d := Directive{Engine: true, Priority: x.account.Load().Rank(x.route), ResumeAfter: x.lastEvent}
+// decode sends the request to a decode target and relays its events. p is nil if that target
+// prefills the prompt itself.
+func (x *exchange) decode(ctx context.Context, s *stream, c place.Choice, p *prefilledPrompt) (outcome, error) {
+	d := Directive{Engine: true, Priority: x.account.Load().Rank(x.route), ResumeAfter: x.lastEventID}
 	if p != nil {
 		d.Handle = p.handle
 	}
@@ -251,60 +255,60 @@
 	}
 	s.ticket = c.Ticket
 	err = s.relay(resp)
-	x.eventPause = s.pause()
+	x.eventInterval = s.eventInterval()
 	c.Ticket.Length(s.events)
 	switch {
 	case err == nil:
-		x.note(c.Target, strconv.Itoa(resp.Status), nil)
-		c.Ticket.Stream(s.events, s.wroteAt.Sub(s.firstAt))
+		x.addTrace(c.Target, strconv.Itoa(resp.Status), nil)
+		c.Ticket.Stream(s.events, s.lastWriteAt.Sub(s.firstEventAt))
 		c.Ticket.End(place.Good, clock.Now())
-		x.served()
-		return answered, nil
-	case x.endedHere():
-		x.note(c.Target, "ended", err)
+		x.noteServed()
+		return outcomeAnswered, nil
+	case x.endedLocally():
+		x.addTrace(c.Target, "ended", err)
 		c.Ticket.End(place.Neutral, clock.Now())
 	default:
-		x.note(c.Target, "cut", err)
-		x.brokeOff(c.Target, err, x.sentAt, s.ranFor(clock.Now()))
+		x.addTrace(c.Target, "cut", err)
+		x.checkTargetExit(c.Target, err, x.sentAt, s.ranFor(clock.Now()))
 		c.Ticket.End(place.Bad, clock.Now())
 	}
-	return unknown, err
+	return outcomeUnknown, err
 }
 
-// relayFailure gives the caller an engine's own failure, unless the stream has
-// begun.
+// relayFailure sends an engine's error response to the caller, unless the caller already has a part
+// of a stream or another attempt is possible.
 func (x *exchange) relayFailure(s *stream, c place.Choice, resp *httpsend.Response) (outcome, error) {
 	x.g.usage.Ran(x.accountName(), clock.Now())
-	body, err := readWhole(resp)
+	body, err := readBuffered(resp)
 	c.Ticket.End(place.Bad, clock.Now())
-	x.note(c.Target, strconv.Itoa(resp.Status), err)
+	x.addTrace(c.Target, strconv.Itoa(resp.Status), err)
 	if err == nil {
-		x.served()
+		x.noteServed()
 	}
-	if err != nil || s.relaying {
-		return unknown, errkind.New(errkind.TargetFailed, "the engine failed with status %d", resp.Status)
+	if err != nil || s.headerSent {
+		return outcomeUnknown, errkind.New(errkind.TargetFailed, "the engine failed with status %d", resp.Status)
 	}
-	if x.route.Resumable && x.sends.arrivals < x.route.MaxAttempts {
-		return unknown, errkind.New(errkind.TargetFailed, "the engine failed with status %d", resp.Status)
+	if x.route.Resumable && x.attempts.arrivals < x.route.MaxAttempts {
+		return outcomeUnknown, errkind.New(errkind.TargetFailed, "the engine failed with status %d", resp.Status)
 	}
-	return answered, x.deliver(&answer{status: resp.Status, header: resp.Header, body: body})
+	return outcomeAnswered, x.writeResponse(&bufferedResponse{status: resp.Status, header: resp.Header, body: body})
 }
 
-// free gives up a handle that nobody will take. It does not hold the request
-// up; a handle that stays is freed by the target in the end.
-func (x *exchange) free(t *fleet.Target, h *Handle) {
+// freeHandle frees a handle that no target will use, in the background. Targets free unused handles
+// themselves in the end, so a failure is only counted.
+func (x *exchange) freeHandle(t *fleet.Target, h *Handle) {
 	method, uri := x.g.proto.FreeHandle(h.ID)
 	d := x.g.destination(x.view, t, false)
 	host := x.r.Host
 	g := x.g
-	g.served.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
+	g.wg.Go(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), freeHandleTimeout)
 		defer cancel()
 		resp, err := g.client.Send(ctx, d, &httpsend.Request{Method: method, URI: uri, Host: host}, func(int, http.Header) bool { return true })
 		if err != nil {
-			g.stats.HandleLost()
+			g.stats.HandleNotFreed()
 			return
 		}
-		drain(resp)
+		drainBody(resp)
 	})
 }
--- a/internal/gateway/identity.go
+++ b/internal/gateway/identity.go
@@ -6,8 +6,8 @@
 	"garnethoist.org/garnethoist/internal/quarantine"
 )
 
-// identity returns what is the same in each attempt of the request, at every VM.
-func (x *exchange) identity() quarantine.Request {
+// quarantineRequest returns what identifies the request across all its attempts and on all VMs.
+func (x *exchange) quarantineRequest() quarantine.Request {
 	source := x.accountName()
 	if source == "" {
 		source = addressOf(x.r.RemoteAddr)
@@ -17,7 +17,7 @@
 	}
 }
 
-// addressOf returns a connection's remote address without its port.
+// addressOf returns the host part of a remote address.
 func addressOf(remote string) string {
 	address, _, err := net.SplitHostPort(remote)
 	if err != nil {
--- a/internal/gateway/match.go
+++ b/internal/gateway/match.go
@@ -6,55 +6,57 @@
 	"garnethoist.org/garnethoist/internal/errkind"
 )
 
-// match finds the request's route. What it denies by a configuration that may have
-// been replaced, it denies by the newest one only.
-func (x *exchange) match() error {
-	return x.decided(x.matchView)
+// matchRoute finds the request's route. It denies a request only if the newest configuration denies
+// it.
+func (x *exchange) matchRoute() error {
+	return x.confirmedByNewest(x.matchRouteInView)
 }
 
-// decided returns what decide says on the newest configuration where it denies the request,
-// and else on the one at hand.
-func (x *exchange) decided(decide func() error) error {
+// confirmedByNewest returns the result of decide. If decide denies the request under the current
+// view, it is called again under the newest configuration; if that cannot be confirmed, the request
+// is refused as not ready.
+func (x *exchange) confirmedByNewest(decide func() error) error {
 	err := decide()
-	if err == nil || !denials[errkind.From(err).Kind] {
+	if err == nil || !configDenials[errkind.From(err).Kind] {
 		return err
 	}
-	if err = x.certain(err); errkind.From(err).Kind == errkind.NotReady {
+	if err = x.confirmDenial(err); errkind.From(err).Kind == errkind.NotReady {
 		return err
 	}
-	x.reload()
+	x.reloadView()
 	return decide()
 }
 
-func (x *exchange) matchView() error {
+// matchRouteInView is matchRoute for the configuration in x.view.
+func (x *exchange) matchRouteInView() error {
 	cfg := x.view.Config
 	if limit := cfg.Limits.HeaderBytes; limit > 0 && headerBytes(x.r) > limit {
-		return errkind.New(errkind.HeaderTooLarge, "the head is larger than %d bytes", limit)
+		return errkind.New(errkind.HeaderTooLarge, "the request header is larger than %d bytes", limit)
 	}
-	x.route = cfg.Match(x.r.Host, pathOf(x.r.RequestURI))
+	x.route = cfg.Match(x.r.Host, requestPath(x.r.RequestURI))
 	if x.route == nil {
 		return errkind.New(errkind.UnknownPath, "no route for this host and path")
 	}
 	return nil
 }
 
-// denials are what a request is denied on the word of the configuration. Callers
-// do not come again after them.
-var denials = map[errkind.Kind]bool{errkind.UnknownPath: true, errkind.HeaderTooLarge: true, errkind.BodyTooLarge: true, errkind.UnknownKey: true}
+// configDenials are the kinds of errors that depend on the configuration and after which callers
+// don't retry.
+var configDenials = map[errkind.Kind]bool{errkind.UnknownPath: true, errkind.HeaderTooLarge: true, errkind.BodyTooLarge: true, errkind.UnknownKey: true}
 
-// certain returns err, or a refusal in place of a denial that the newest
-// configuration, which is not known, might not hold.
-func (x *exchange) certain(err error) error {
-	if !denials[errkind.From(err).Kind] || x.g.known.Confirmed(x.r.Context()) {
+// confirmDenial returns err, unless it is a denial and this VM may not have the newest
+// configuration, which might allow the request. It then returns a NotReady error.
+func (x *exchange) confirmDenial(err error) error {
+	if !configDenials[errkind.From(err).Kind] || x.g.freshness.Confirmed(x.r.Context()) {
 		return err
 	}
 	return x.refusal(errkind.NotReady, err, "it is not known whether the configuration is the newest")
 }
 
-// headerOverhead is what a header line holds beside its name and value.
+// headerOverhead is the number of bytes of a header line in addition to its name and value.
 const headerOverhead = len(": \r\n")
 
-// headerBytes returns the size of a request's head as it was sent, nearly.
+// headerBytes returns the approximate size of a request's header as it was sent.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + 2*headerOverhead
 	for name, values := range r.Header {
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -18,92 +18,95 @@
 )
 
 const (
-	// maxHeldBody is the largest answer that is held until it is complete, so
-	// that one that breaks off can be asked for again.
-	maxHeldBody = 256 << 10
-	// maxUnreached bounds the targets tried that could not be reached and did not say so.
-	maxUnreached = 4
+	// maxBufferedBody is the largest response body that is buffered until it is complete, so that
+	// the request can be retried if the response is cut off.
+	maxBufferedBody = 256 << 10
+	// maxUnreachable limits the targets of one request that could not be reached, not counting
+	// those whose host refused the connection.
+	maxUnreachable = 4
 )
 
-// answer is a target's complete answer.
-type answer struct {
+// bufferedResponse is a complete response of a target.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// overdueShare is the part of the time that is left after which an answer that may
-// be asked for elsewhere is: a target may hang, or its connection have fallen
-// silent though what was sent is acknowledged. Nearly all answers come sooner.
-const overdueShare = 3
+// overdueDivisor sets when a response to an idempotent request is overdue and a second target is
+// tried: after this fraction of the remaining time. The first target may hang, or its connection
+// may be dead although the request was acknowledged. Nearly all responses come sooner.
+const overdueDivisor = 3
 
-// plainCall is one send of a plain request and how it ended.
+// plainCall is one attempt of a plain request and its result.
 type plainCall struct {
-	sending sending
-	began   time.Time
-	target  *fleet.Target
-	answer  *answer
-	out     outcome
-	err     error
+	attempt attempt
+	sentAt  time.Time
+	// target is set only if err is not nil, and resp only if it is nil.
+	target *fleet.Target
+	resp   *bufferedResponse
+	out    outcome
+	err    error
 }
 
-// plainCalls are the sends of one plain request: one after the other, or two at
-// once where the first answer is overdue. One goroutine uses it.
+// plainCalls are the attempts of one plain request: one after the other, or two at once if the
+// first response is overdue. It is used by one goroutine only.
 type plainCalls struct {
 	x       *exchange
 	ctx     context.Context
-	ended   chan plainCall
+	done    chan plainCall
 	pending int
-	// overdue fires when the newest call's answer is overdue; nil where nothing
-	// may be asked for twice.
+	// overdue fires when the response to the latest call is overdue. It is nil if the request must
+	// not be sent twice.
 	overdue <-chan time.Time
-	// stopped is why no further target was asked.
-	stopped error
+	// startErr is why start made no further attempt, or nil.
+	startErr error
 }
 
-// start sends the request to one more target, if there is one and the VM does not
-// stop before the answer may end.
+// start sends the request to one more target, if there is one and the response can be complete
+// before the gateway ends.
 func (c *plainCalls) start() {
 	x := c.x
-	if !x.wanted(c.ctx) {
+	if !x.callerWaiting(c.ctx) {
 		return
 	}
-	if c.stopped = x.checkStop(); c.stopped != nil {
+	if c.startErr = x.checkStop(); c.startErr != nil {
 		return
 	}
-	x.reload()
-	choice, ok := x.g.placer.Plain(x.view.Targets[x.service], x.apart(x.tried), rand.Uint64(), clock.Now())
+	x.reloadView()
+	choice, ok := x.g.placer.Plain(x.view.Targets[x.service], x.excludeForTrial(x.tried), rand.Uint64(), clock.Now())
 	if !ok {
 		return
 	}
 	x.tried[choice.Target.ID] = true
-	sd, err := x.begin(false)
+	a, err := x.beginAttempt(false)
 	if err != nil {
 		choice.Ticket.End(place.Neutral, clock.Now())
-		c.stopped = err
+		c.startErr = err
 		return
 	}
 	c.pending++
 	if x.route.Kind == fleet.Idempotent {
-		c.overdue = time.After(clock.Until(x.deadline) / overdueShare)
+		c.overdue = time.After(clock.Until(x.deadline) / overdueDivisor)
 	}
 	to, account := x.destination(choice.Target, Directive{}), x.accountName()
 	go func() {
 		began := clock.Now()
 		call := x.callPlain(c.ctx, to, choice)
-		if call.out == answered || call.out == unknown {
-			// A target has free places but for moments: the run begins as the request comes.
+		if call.out == outcomeAnswered || call.out == outcomeUnknown {
+			// Targets are full only for moments, so the run is taken to begin when the request
+			// arrives.
 			x.g.usage.Ran(account, began)
 		}
-		call.sending, call.began = sd, began
-		c.ended <- call
+		call.attempt, call.sentAt = a, began
+		c.done <- call
 	}()
 }
 
-// next returns the next call that ends, or false when an answer is overdue.
+// next waits for a call to end and returns it, or returns false when a response is overdue.
 func (c *plainCalls) next() (plainCall, bool) {
 	select {
-	case call := <-c.ended:
+	case call := <-c.done:
 		c.pending--
 		return call, true
 	case <-c.overdue:
@@ -112,97 +115,99 @@
 	}
 }
 
-// end gives up the calls that are still under way.
-func (c *plainCalls) end(cancel context.CancelCauseFunc) {
+// cancelPending cancels the calls in flight and waits for them.
+func (c *plainCalls) cancelPending(cancel context.CancelCauseFunc) {
 	cancel(httpsend.ErrOverdue)
 	for ; c.pending > 0; c.pending-- {
-		<-c.ended
+		<-c.done
 	}
 }
 
-// plain serves a request whose answer is one body. A failure that a target
-// answers is held while another target may do better. Where an answer is overdue
-// another target is asked, and the first answer counts, whoever gives it.
-func (x *exchange) plain(ctx context.Context) error {
+// servePlain serves a request whose response is a single body. An error response of a target is
+// kept while another target may do better. If a response is overdue, a second target is tried and
+// the first response to come is used.
+func (x *exchange) servePlain(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
-	c := &plainCalls{x: x, ctx: ctx, ended: make(chan plainCall)}
-	defer c.end(cancel)
+	c := &plainCalls{x: x, ctx: ctx, done: make(chan plainCall)}
+	defer c.cancelPending(cancel)
 	var last error
-	var held *answer
+	var fallback *bufferedResponse
 	for c.start(); c.pending > 0; {
 		call, ended := c.next()
 		if !ended {
-			if x.mayTryAgain(ctx) {
+			if x.reserveRetry(ctx) {
 				x.unanswered = true
 				c.start()
 			}
 			continue
 		}
-		x.sends.settle(call.sending, call.out)
+		x.attempts.finish(call.attempt, call.out)
 		if call.err == nil {
-			x.served()
+			x.noteServed()
 		}
-		if call.err == nil && !(call.answer.status >= http.StatusInternalServerError && x.route.Kind == fleet.Idempotent) {
-			return x.deliver(call.answer)
+		if call.err == nil && !(call.resp.status >= http.StatusInternalServerError && x.route.Kind == fleet.Idempotent) {
+			return x.writeResponse(call.resp)
 		}
 		if call.err == nil {
-			held = call.answer
+			fallback = call.resp
 		}
 		last = call.err
-		if call.out == sentNothing {
-			if x.missed(call.err) {
+		if call.out == outcomeNotSent {
+			if x.noteUnreachable(call.err) {
 				c.start()
 			}
 			continue
 		}
-		x.ran = x.ran || call.out != refused
-		x.unanswered = x.unanswered || call.out == unknown
-		if call.out == unknown {
-			x.brokeOff(call.target, call.err, call.began, 0)
+		x.mayHaveRun = x.mayHaveRun || call.out != outcomeRefused
+		x.unanswered = x.unanswered || call.out == outcomeUnknown
+		if call.out == outcomeUnknown {
+			x.checkTargetExit(call.target, call.err, call.sentAt, 0)
 		}
-		if c.pending == 0 && (!x.ran || x.route.Repeatable()) && x.mayTryAgain(ctx) {
+		if c.pending == 0 && (!x.mayHaveRun || x.route.Repeatable()) && x.reserveRetry(ctx) {
 			c.start()
 		}
 	}
-	if held != nil {
-		return x.deliver(held)
+	if fallback != nil {
+		return x.writeResponse(fallback)
 	}
-	if c.stopped != nil && !x.ran && notRun(c.stopped) {
-		return c.stopped
+	if c.startErr != nil && !x.mayHaveRun && isNotRunRefusal(c.startErr) {
+		return c.startErr
 	}
-	return x.giveUp(ctx, last)
+	return x.finalError(ctx, last)
 }
 
-// callPlain sends the request to one target and reads its whole answer.
+// callPlain sends the request to one target and reads the whole response.
 func (x *exchange) callPlain(ctx context.Context, to httpsend.Destination, c place.Choice) plainCall {
 	resp, out, err := x.sendTo(ctx, to, c.Target, Directive{}, c.Ticket)
 	if err != nil {
 		return plainCall{out: out, err: err, target: c.Target}
 	}
 	defer resp.Close()
-	body, err := readWhole(resp)
+	body, err := readBuffered(resp)
 	if err != nil {
-		x.note(c.Target, "cut", err)
+		x.addTrace(c.Target, "cut", err)
 		result := place.Bad
-		if x.endedHere() {
+		if x.endedLocally() {
 			result = place.Neutral
 		}
 		c.Ticket.End(result, clock.Now())
-		return plainCall{out: unknown, err: err, target: c.Target}
+		return plainCall{out: outcomeUnknown, err: err, target: c.Target}
 	}
-	x.note(c.Target, strconv.Itoa(resp.Status), nil)
+	x.addTrace(c.Target, strconv.Itoa(resp.Status), nil)
 	result := place.Good
 	if resp.Status >= http.StatusInternalServerError {
 		result = place.Bad
 	}
 	c.Ticket.End(result, clock.Now())
-	return plainCall{answer: &answer{status: resp.Status, header: resp.Header, body: body}, out: answered}
+	return plainCall{resp: &bufferedResponse{status: resp.Status, header: resp.Header, body: body}, out: outcomeAnswered}
 }
 
-var errTooLarge = errors.New("gateway: answer larger than what is held")
+// errResponseTooLarge means that a response body is larger than maxBufferedBody.
+var errResponseTooLarge = errors.New("gateway: response too large to buffer")
 
-func readWhole(resp *httpsend.Response) ([]byte, error) {
-	if resp.Length >= 0 && resp.Length <= maxHeldBody {
+// readBuffered reads the whole body of a response, of at most maxBufferedBody bytes.
+func readBuffered(resp *httpsend.Response) ([]byte, error) {
+	if resp.Length >= 0 && resp.Length <= maxBufferedBody {
 		body := make([]byte, resp.Length)
 		if _, err := io.ReadFull(resp, body); err != nil {
 			return nil, err
@@ -210,38 +215,39 @@
 		var end [1]byte
 		_, err := resp.Read(end[:])
 		if !errors.Is(err, io.EOF) {
-			return nil, errors.Wrap(err, "read the answer's end")
+			return nil, errors.Wrap(err, "read the end of the response")
 		}
 		return body, nil
 	}
-	body, err := io.ReadAll(io.LimitReader(resp, maxHeldBody+1))
-	if err == nil && len(body) > maxHeldBody {
-		return nil, errTooLarge
+	body, err := io.ReadAll(io.LimitReader(resp, maxBufferedBody+1))
+	if err == nil && len(body) > maxBufferedBody {
+		return nil, errResponseTooLarge
 	}
 	return body, err
 }
 
-// deliver gives the caller a target's complete answer, unchanged.
-func (x *exchange) deliver(a *answer) error {
+// writeResponse sends a target's complete response to the caller, with its body unchanged.
+func (x *exchange) writeResponse(r *bufferedResponse) error {
 	h := x.w.Header()
-	copyHeader(h, x.g.proto.Relayed(a.header))
-	h.Set("Content-Length", strconv.Itoa(len(a.body)))
-	x.began = true
-	x.first = clock.Now()
-	x.status = a.status
-	x.writeHead(a.status)
-	if _, err := x.w.Write(a.body); err != nil {
+	copyHeader(h, x.g.proto.Relayed(r.header))
+	h.Set("Content-Length", strconv.Itoa(len(r.body)))
+	x.responseStarted = true
+	x.firstByteAt = clock.Now()
+	x.status = r.status
+	x.writeHeader(r.status)
+	if _, err := x.w.Write(r.body); err != nil {
 		return errkind.Wrap(errkind.ClientGone, err, "the caller has gone")
 	}
 	return nil
 }
 
+// copyHeader copies the header lines of src to dst, replacing those of the same name.
 func copyHeader(dst, src http.Header) {
 	for name, values := range src {
 		dst[name] = values
 	}
 	if _, ok := src["Content-Type"]; !ok {
-		// Keeps the server from guessing one.
+		// A nil value keeps net/http from guessing the type.
 		dst["Content-Type"] = nil
 	}
 }
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -1,6 +1,6 @@
-// Package gateway serves callers: it matches a request to its route, sends it
-// to a target and relays the answer. What headers are called is the Protocol's
-// matter, which target is chosen the Placer's.
+// Package gateway is the HTTP server for callers. It matches each request to a route, sends it to a
+// target and relays the response. The Protocol interface defines the names and formats of headers;
+// package place chooses the targets.
 package gateway
 
 import (
@@ -10,73 +10,79 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// Meta is what a request's head says about it.
+// Meta is what a request's header says about the request.
 type Meta struct {
-	// ID names this attempt of the caller.
+	// ID identifies this request of the caller; a retry by the caller has another ID.
 	ID string
-	// Timeout is how long the caller waits, or 0 where it does not say.
+	// Timeout is how long the caller waits for the response, or 0 if it does not say.
 	Timeout time.Duration
-	// Key names the caller's client account; empty is none. It is a secret: it is neither
-	// logged nor sent on.
+	// Key is the API key of the caller's client account; empty means none. It is a secret: it is
+	// neither logged nor forwarded.
 	Key string
-	// LastEventID is set by a caller that continues a stream.
+	// LastEventID is the id of the last event that the caller received, if it resumes a stream.
 	LastEventID string
-	// Prompt is nil for requests to plain services.
+	// Prompt describes the prompt of a request to a model engine. It is nil for other requests.
 	Prompt *place.Prompt
 }
 
-// Handle names a prefilled prompt that is kept for a decode target.
+// Handle identifies a prefilled prompt whose KV cache is kept for a decode target.
 type Handle struct {
-	// Address is the target that keeps it.
+	// Address is the address of the target that keeps the KV cache.
 	Address string
-	ID      string
+	// ID names the handle at that target.
+	ID string
 }
 
-// Directive is what the system adds to a request for one target.
+// Directive is what the gateway adds to a request for one target.
 type Directive struct {
+	// TargetID is the id of the target.
 	TargetID string
-	// Remaining is what is left of the caller's time.
+	// Remaining is the time left until the request's deadline.
 	Remaining time.Duration
-	// Priority is sent to model engines; 0 is the most urgent.
+	// Priority is sent to model engines; 0 is the highest priority.
 	Priority int
-	Engine   bool
-	// Account names the client account; empty is none.
+	// Engine says that the target is a model engine.
+	Engine bool
+	// Account is the name of the client account; empty means an anonymous request.
 	Account string
-	// PrefillOnly asks for a handle in place of an answer.
+	// PrefillOnly asks for a handle instead of a generated response.
 	PrefillOnly bool
-	// Handle is the prefilled prompt to continue from, or nil.
+	// Handle is the prefilled prompt to decode, or nil if the target prefills the prompt itself.
 	Handle *Handle
-	// ResumeAfter is the id of the last event that the caller has.
+	// ResumeAfter is the id of the last event that the caller received, or empty for a new stream.
 	ResumeAfter string
 }
 
-// Verdict says what an answer's head tells of the request.
+// Verdict is what a response header says about whether the request has run.
 type Verdict int
 
 // The verdicts.
 const (
-	// Executed: the target has run the request and this is its answer.
+	// Executed means that the target has run the request and this is its response.
 	Executed Verdict = iota + 1
-	// Refused: the target states that it has not run the request.
+	// Refused means that the target states that it has not run the request.
 	Refused
-	// Invalid: the answer cannot be a target's; the request may have run.
+	// Invalid means that the response cannot come from a target. The request may have run.
 	Invalid
 )
 
-// Protocol translates between the wire and this package's types.
+// Protocol translates between HTTP headers and bodies and the types of this package. Its methods
+// are safe for concurrent use.
 type Protocol interface {
-	// Meta reads a caller's request.
+	// Meta parses the header of a caller's request.
 	Meta(h http.Header) (Meta, error)
-	// Outgoing returns the head for a target.
+	// Outgoing returns the request header for a target, from the caller's header and d.
 	Outgoing(in http.Header, d Directive) http.Header
-	// Ours reports whether an answer's head belongs to the request id.
+	// Ours reports whether a response with this status and header belongs to the request with the
+	// given id.
 	Ours(id string, status int, h http.Header) bool
-	// Verdict judges an answer's head. A prefill's answer bears no signature.
+	// Verdict classifies a response by its status and header. prefill says that the request was a
+	// prefill, whose response has no signature.
 	Verdict(status int, h http.Header, prefill bool) Verdict
-	// Relayed returns the head that the caller gets.
+	// Relayed returns the response header for the caller, from that of the target.
 	Relayed(h http.Header) http.Header
-	// Handle decodes the answer to a prefill.
+	// Handle decodes the response body of a prefill by the target at address.
 	Handle(address string, body []byte) (Handle, error)
-	// FreeHandle returns the call that frees a handle.
+	// FreeHandle returns the method and the request URI of the call that frees a handle.
 	FreeHandle(id string) (method, uri string)
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -16,47 +16,49 @@
 	"garnethoist.org/garnethoist/internal/quarantine"
 )
 
-// Load pattern: a request ends each target that begins to run it, and is sent again and again,
-// to any VM. Each end breaks off the 30 to 100 requests that run beside it, and targets end
-// faster than they come back. What is known of such a request goes with the request, not with
-// the exchange, and to all VMs.
+// A request can crash each target that begins to run it and be sent again and again, to any VM.
+// Each crash also breaks the 30 to 100 requests that run on the same target, and targets crash
+// faster than they restart. What is known of such a request is therefore kept for the request, not
+// for one exchange, and is shared with all VMs.
 
-// Quarantine knows the requests under which targets have ended.
+// Quarantine records the requests that were running when targets exited. Its methods are safe for
+// concurrent use.
 type Quarantine interface {
 	// Judge returns what is known of a request.
 	Judge(r *quarantine.Request, now time.Time) quarantine.Verdict
-	// Try begins the one send of a suspect that may be under way; Done ends it.
+	// Try begins the only attempt of a suspect that may be in flight, and reports false if there is
+	// one already. Done ends the attempt.
 	Try(id quarantine.ID) bool
 	Done(id quarantine.ID)
-	// Ended notes that a target ended as it began to run a request.
+	// Ended records that a target exited as it began to run a request.
 	Ended(r *quarantine.Request, end quarantine.End)
-	// Served notes that a target has run a request to its end.
+	// Served records that a target has run a request, which therefore does not crash targets.
 	Served(r *quarantine.Request)
 }
 
 const (
-	// endCheckAgain is the pause before a target that still listens is asked once more: its
-	// connections may be closed before its listener is.
-	endCheckAgain = 100 * time.Millisecond
-	// endCheckTimeout bounds both looks.
-	endCheckTimeout = time.Second
-	// trialWait is when the caller of a suspect is told to come back while another send of
-	// the same request is under way, or is to be made by another VM.
-	trialWait = time.Second
+	// exitCheckDelay is the delay before a target that still listens is checked a second time. When
+	// a target exits, its connections may be closed before its listener is.
+	exitCheckDelay = 100 * time.Millisecond
+	// exitCheckTimeout limits both checks together.
+	exitCheckTimeout = time.Second
+	// trialRetryAfter is the retry delay for the caller of a suspect while another attempt of the
+	// same request is in flight, or is to be made by another VM.
+	trialRetryAfter = time.Second
 )
 
-// checkQuarantine refuses a request that is kept from all targets. A suspect goes on alone: no
-// other send of it from here may be under way, and after three ends one VM of the group tries
-// it first. It is asked before each send: other VMs may have told of it meanwhile.
+// checkQuarantine refuses a request that is quarantined. A suspect is sent one attempt at a time
+// from this VM, and after three exits one VM of the group tries it before the others may. It is
+// called before each attempt, because other VMs may have reported exits meanwhile.
 func (x *exchange) checkQuarantine() error {
 	now := clock.Now()
-	v := x.g.quarantine.Judge(&x.request, now)
+	v := x.g.quarantine.Judge(&x.quarantineReq, now)
 	if !v.Suspect() {
 		return nil
 	}
 	if v.Quarantined(now, x.g.group.Owns(v.ID.Print[:])) {
 		e := errkind.New(errkind.Quarantined, "%d targets ended as they began to run this request", v.Ends)
-		e.RetryAfter = max(v.TrialAt.Sub(now), trialWait).Round(time.Millisecond)
+		e.RetryAfter = max(v.TrialAt.Sub(now), trialRetryAfter).Round(time.Millisecond)
 		return e
 	}
 	if x.trial != nil {
@@ -64,101 +66,103 @@
 	}
 	if !x.g.quarantine.Try(v.ID) {
 		e := errkind.New(errkind.Quarantined, "%d targets ended as they began to run this request, and it is being tried elsewhere", v.Ends)
-		e.RetryAfter = trialWait
+		e.RetryAfter = trialRetryAfter
 		return e
 	}
 	x.trial = &v.ID
 	return nil
 }
 
-// endTrial lets other sends of a suspect follow.
+// endTrial allows other attempts of a suspect on this VM.
 func (x *exchange) endTrial() {
 	if x.trial != nil {
 		x.g.quarantine.Done(*x.trial)
 	}
 }
 
-// begin counts a send that is about to be made, or says why it may not be. The key is looked
-// up for each send: it may have been removed since the one before.
-func (x *exchange) begin(reading bool) (sending, error) {
-	if err := x.identify(); err != nil {
-		return sending{}, err
+// beginAttempt counts an attempt that is about to be made, or returns why it must not be made. The
+// key is looked up again for each attempt, because it may have been revoked since.
+func (x *exchange) beginAttempt(prefillOnly bool) (attempt, error) {
+	if err := x.identifyAccount(); err != nil {
+		return attempt{}, err
 	}
 	if err := x.checkQuarantine(); err != nil {
-		return sending{}, err
+		return attempt{}, err
 	}
-	if x.trial != nil && x.sends.arrivals > 0 {
-		// A second send of a suspect, also beside one that is overdue, could end one more target.
-		return sending{}, errNoRetry
+	if x.trial != nil && x.attempts.arrivals > 0 {
+		// Another attempt of a suspect, even if the first one is overdue, could crash a second
+		// target.
+		return attempt{}, errNoAttemptLeft
 	}
-	sd, ok := x.sends.begin(reading)
+	a, ok := x.attempts.begin(prefillOnly)
 	if !ok {
-		return sending{}, errNoRetry
+		return attempt{}, errNoAttemptLeft
 	}
-	return sd, nil
+	return a, nil
 }
 
-// served notes that a target has run the request to its end, or beyond its onset: it is not at
-// fault.
-func (x *exchange) served() { x.g.quarantine.Served(&x.request) }
+// noteServed records that a target has run the request to its end, or for longer than
+// quarantine.Onset, and that the request therefore does not crash targets.
+func (x *exchange) noteServed() { x.g.quarantine.Served(&x.quarantineReq) }
 
-// brokeOff finds out, beside the request, whether a target that broke off has ended. began is
-// when the request was sent there, and ranFor how long the target had run it, or 0 where it had
-// not begun to.
-func (x *exchange) brokeOff(t *fleet.Target, err error, began time.Time, ranFor time.Duration) {
-	if x.endedHere() || !closedByTarget(err) {
+// checkTargetExit checks in the background whether a target that closed the connection has exited,
+// and if so records it for the quarantine. sentAt is when the request was sent to the target.
+// ranFor is how long the target had run the request, or 0 if it had not begun to.
+func (x *exchange) checkTargetExit(t *fleet.Target, err error, sentAt time.Time, ranFor time.Duration) {
+	if x.endedLocally() || !closedByTarget(err) {
 		return
 	}
-	x.brokenOff = true
-	g, request := x.g, x.request
-	end := quarantine.End{Run: t.RunID(), Began: began, At: clock.Now()}
-	g.served.Go(func() {
-		if g.hasEnded(t) && ranFor <= quarantine.Onset {
+	x.targetClosed = true
+	g, request := x.g, x.quarantineReq
+	end := quarantine.End{Run: t.RunID(), Began: sentAt, At: clock.Now()}
+	g.wg.Go(func() {
+		if g.hasExited(t) && ranFor <= quarantine.Onset {
 			g.quarantine.Ended(&request, end)
 		}
 	})
 }
 
-// closedByTarget reports whether the target's own side closed a connection. A link that lost
-// it shows as a timeout.
+// closedByTarget reports whether err means that the target closed the connection. A connection lost
+// by the network shows as a timeout.
 func closedByTarget(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// hasEnded reports whether a target has ended: nothing listens at its address. One that only
-// closes connections, or that cannot be reached, has not. The look is shared by all requests
-// that it broke off.
-func (g *Gateway) hasEnded(t *fleet.Target) bool {
-	ended, _, _ := g.endChecks.Do(t.RunID(), func() (any, error) {
-		ctx, cancel := context.WithTimeout(g.ending, endCheckTimeout)
+// hasExited reports whether a target's process has exited, which it takes from nothing listening at
+// the target's address. A target that only closed connections, or that cannot be reached, has not
+// exited. Concurrent checks of one target are merged.
+func (g *Gateway) hasExited(t *fleet.Target) bool {
+	v, _, _ := g.exitChecks.Do(t.RunID(), func() (any, error) {
+		ctx, cancel := context.WithTimeout(g.abortCtx, exitCheckTimeout)
 		defer cancel()
-		if !g.deserted(ctx, t) && !g.desertedLater(ctx, t) {
+		if !g.notListening(ctx, t) && !g.notListeningAfterDelay(ctx, t) {
 			return false, nil
 		}
 		g.placer.Unreachable(t.RunID(), clock.Now())
 		return true, nil
 	})
-	was, _ := ended.(bool)
-	return was
+	exited, _ := v.(bool)
+	return exited
 }
 
-// deserted reports whether nobody listens at a target's address.
-func (g *Gateway) deserted(ctx context.Context, t *fleet.Target) bool {
+// notListening reports whether nothing listens at a target's address.
+func (g *Gateway) notListening(ctx context.Context, t *fleet.Target) bool {
 	return errors.Is(g.client.Probe(ctx, t.Address), httpsend.ErrNobody)
 }
 
-func (g *Gateway) desertedLater(ctx context.Context, t *fleet.Target) bool {
+// notListeningAfterDelay is notListening after exitCheckDelay; false if ctx ends first.
+func (g *Gateway) notListeningAfterDelay(ctx context.Context, t *fleet.Target) bool {
 	select {
-	case <-time.After(endCheckAgain):
-		return g.deserted(ctx, t)
+	case <-time.After(exitCheckDelay):
+		return g.notListening(ctx, t)
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// apart returns the targets that are not to be asked: for a suspect all but one, that other
-// suspects do not go to.
-func (x *exchange) apart(tried place.Tried) place.Tried {
+// excludeForTrial returns the targets that must not be chosen. For a suspect these are all but one,
+// which other suspects are not sent to.
+func (x *exchange) excludeForTrial(tried place.Tried) place.Tried {
 	if x.trial == nil {
 		return tried
 	}
--- a/internal/gateway/ready_test.go
+++ b/internal/gateway/ready_test.go
@@ -15,26 +15,26 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-type oneVM struct{}
+// soloVM is a group that consists of this VM only, with no load of other VMs.
+type soloVM struct{}
 
-func (oneVM) Size() int               { return 1 }
-func (oneVM) Owns([]byte) bool        { return true }
-func (oneVM) Joined() <-chan struct{} { return nil }
+func (soloVM) Size() int               { return 1 }
+func (soloVM) Owns([]byte) bool        { return true }
+func (soloVM) Joined() <-chan struct{} { return nil }
 
-func (oneVM) Work(string) place.Work { return place.Work{} }
+func (soloVM) Work(string) place.Work { return place.Work{} }
 
-func (oneVM) Age() time.Duration { return time.Second }
+func (soloVM) Age() time.Duration { return time.Second }
 
-// newest is the knowledge of a VM that nobody is ahead of.
-type newest struct{}
+// upToDate is the ConfigFreshness of a VM that has the newest configuration.
+type upToDate struct{}
 
-func (newest) Confirmed(context.Context) bool { return true }
-func (newest) Behind() bool                   { return false }
-func (newest) KeysCurrent() bool              { return true }
+func (upToDate) Confirmed(context.Context) bool { return true }
+func (upToDate) Behind() bool                   { return false }
+func (upToDate) KeysCurrent() bool              { return true }
 
-// The balancer's question is answered before callers are listened for, and after
-// that has ended.
-func TestReadyOnlyWhileCallersAreListenedFor(t *testing.T) {
+// The gateway must report not ready before it listens for callers and after it has stopped.
+func TestReadyOnlyWhileListening(t *testing.T) {
 	is := is.New(t)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -45,8 +45,8 @@
 	log := telemetry.NewLogger(&bytes.Buffer{}, "test", "vm-1")
 	client := httpsend.New(httpsend.Config{DialTimeout: time.Second, MaxIdle: time.Second})
 	g := New(Parts{
-		Listen: taken.Addr().String(), Descriptors: maxDescriptors, Keeper: keeper, Group: oneVM{}, Known: newest{},
-		Placer: place.New(place.DefaultConfig("a"), oneVM{}, nil), Client: client, Log: log,
+		Listen: taken.Addr().String(), Descriptors: maxDescriptors, Keeper: keeper, Group: soloVM{}, Known: upToDate{},
+		Placer: place.New(place.DefaultConfig("a"), soloVM{}, nil), Client: client, Log: log,
 	}, Limits{Grace: 500 * time.Millisecond})
 	is.True(g.Ready() != "") // not started
 	is.True(g.Start(context.Background()) != nil)
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -9,32 +9,34 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// note adds a send to the request's log line.
-func (x *exchange) note(t *fleet.Target, what string, err error) {
+// addTrace adds a step of an attempt at t, with the time since the request arrived in ms, to the
+// trace for the log line.
+func (x *exchange) addTrace(t *fleet.Target, step string, err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.trail.Len() > 0 {
-		x.trail.WriteByte(' ')
-	}
-	x.trail.WriteString(t.ID)
-	x.trail.WriteByte('=')
-	x.trail.WriteString(what)
-	x.trail.WriteByte('@')
-	x.trail.WriteString(strconv.FormatInt(clock.Since(x.arrived).Milliseconds(), 10))
+	if x.trace.Len() > 0 {
+		x.trace.WriteByte(' ')
+	}
+	x.trace.WriteString(t.ID)
+	x.trace.WriteByte('=')
+	x.trace.WriteString(step)
+	x.trace.WriteByte('@')
+	x.trace.WriteString(strconv.FormatInt(clock.Since(x.arrived).Milliseconds(), 10))
 	if err != nil {
-		x.trail.WriteByte('(')
-		x.trail.WriteString(err.Error())
-		x.trail.WriteByte(')')
+		x.trace.WriteByte('(')
+		x.trace.WriteString(err.Error())
+		x.trace.WriteByte(')')
 	}
 }
 
-// report logs and counts the request once.
+// report logs the request and counts it. It is called once, after the response; err is the error
+// that the request ended with.
 func (x *exchange) report(err error) {
 	took := clock.Since(x.arrived)
-	fields := append(x.fields(), telemetry.F("ms", took.Milliseconds()))
+	fields := append(x.logFields(), telemetry.F("ms", took.Milliseconds()))
 	if err == nil {
 		x.g.stats.Request(x.status, "", took)
-		x.countSize(telemetry.EventRequestServed)
+		x.countGeneration(telemetry.EventRequestServed)
 		x.g.log.Info(telemetry.EventRequestServed, fields...)
 		return
 	}
@@ -44,22 +46,22 @@
 	if e.Answer().Outcome == errkind.NotRun {
 		event = telemetry.EventRequestRefused
 	}
-	x.countSize(event)
+	x.countGeneration(event)
 	x.g.log.Warn(event, append(fields, telemetry.F("kind", e.Kind), telemetry.F("cause", e.Error()))...)
 }
 
-// countSize counts a generation by its size.
-func (x *exchange) countSize(event telemetry.Event) {
+// countGeneration counts a generation request by size and outcome.
+func (x *exchange) countGeneration(event telemetry.Event) {
 	if x.meta.Prompt != nil && x.route != nil {
 		x.g.stats.Generation(x.route.Name, x.size(), event)
 	}
 }
 
-// fields returns what the log line tells of the request and of the beliefs that
-// it was decided on.
-func (x *exchange) fields() []telemetry.Field {
+// logFields returns the log fields that describe the request and the state on which its handling
+// was decided.
+func (x *exchange) logFields() []telemetry.Field {
 	fields := []telemetry.Field{
-		telemetry.F("request", x.meta.ID), telemetry.F("status", x.status), telemetry.F("sends", x.trail.String()),
+		telemetry.F("request", x.meta.ID), telemetry.F("status", x.status), telemetry.F("sends", x.trace.String()),
 	}
 	if x.view.Config != nil {
 		fields = append(fields, telemetry.F("config", x.view.Config.Version), telemetry.F("targets", x.view.TargetsRevision))
@@ -73,26 +75,26 @@
 	if p := x.meta.Prompt; p != nil {
 		fields = append(fields, telemetry.F("prompt", p.Tokens), telemetry.F("output", p.Output), telemetry.F("max_output", p.MaxOutput))
 	}
-	if b := x.bands; b != nil {
+	if b := x.sizeBands; b != nil {
 		fields = append(fields, telemetry.F("prompt_size", b.Prompt), telemetry.F("answer_size", b.Answer))
 	}
 	if a := x.admission; a != nil {
-		fields = append(fields, a.fields()...)
+		fields = append(fields, a.logFields()...)
 	}
-	if s := &x.sends; s.drawn > 0 || s.arrivals > 1 || s.reads > 1 {
-		fields = append(fields, telemetry.F("arrivals", s.arrivals), telemetry.F("reads", s.reads), telemetry.F("drawn", s.drawn))
+	if s := &x.attempts; s.retriesUsed > 0 || s.arrivals > 1 || s.prefills > 1 {
+		fields = append(fields, telemetry.F("arrivals", s.arrivals), telemetry.F("reads", s.prefills), telemetry.F("drawn", s.retriesUsed))
 	}
-	if x.brokenOff {
-		fields = append(fields, telemetry.F("print", x.request.Print()))
+	if x.targetClosed {
+		fields = append(fields, telemetry.F("print", x.quarantineReq.Print()))
 	}
 	if x.stop != nil {
-		fields = append(fields, telemetry.F("stop_ms", x.stop.left.Milliseconds()), telemetry.F("needed_ms", x.stop.needed.Milliseconds()))
+		fields = append(fields, telemetry.F("stop_ms", x.stop.remaining.Milliseconds()), telemetry.F("needed_ms", x.stop.needed.Milliseconds()))
 	}
-	if x.lastEvent != "" {
-		fields = append(fields, telemetry.F("last_event", x.lastEvent))
+	if x.lastEventID != "" {
+		fields = append(fields, telemetry.F("last_event", x.lastEventID))
 	}
-	if !x.first.IsZero() {
-		fields = append(fields, telemetry.F("first_ms", x.first.Sub(x.arrived).Milliseconds()))
+	if !x.firstByteAt.IsZero() {
+		fields = append(fields, telemetry.F("first_ms", x.firstByteAt.Sub(x.arrived).Milliseconds()))
 	}
 	if x.deferredFor > 0 {
 		fields = append(fields, telemetry.F("deferred_ms", x.deferredFor.Milliseconds()))
@@ -100,26 +102,26 @@
 	if s := x.seat; s != nil {
 		fields = append(fields, telemetry.F("beside", s.Beside), telemetry.F("longest_ms", s.Longest.Milliseconds()))
 	}
-	if x.eventPause > 0 {
-		fields = append(fields, telemetry.F("event_us", x.eventPause.Microseconds()))
+	if x.eventInterval > 0 {
+		fields = append(fields, telemetry.F("event_us", x.eventInterval.Microseconds()))
 	}
 	if x.longestGap > 0 {
 		fields = append(fields, telemetry.F("gap_ms", x.longestGap.Milliseconds()))
 	}
-	if late := x.late(); late != "" {
+	if late := x.lateReason(); late != "" {
 		fields = append(fields, telemetry.F("late", late))
 	}
 	return fields
 }
 
-// late says why the answer that has been given so far is not on time: its first byte
-// came after the route's objective, or a pause between its events was too long. It
-// is empty for one that is on time or has not begun.
-func (x *exchange) late() string {
-	if x.route == nil || x.first.IsZero() {
+// lateReason returns why the response is late so far: "first" if its first byte came after the
+// route's objective, "pause" if the time between two events was too long. It returns "" if the
+// response is on time or has not begun.
+func (x *exchange) lateReason() string {
+	if x.route == nil || x.firstByteAt.IsZero() {
 		return ""
 	}
-	waited := x.g.waits.waited(x.route.Name, x.meta.Timeout) + x.first.Sub(x.arrived)
+	waited := x.g.callerWaits.sinceFirstTry(x.route.Name, x.meta.Timeout) + x.firstByteAt.Sub(x.arrived)
 	switch {
 	case x.route.Objective > 0 && waited > x.route.Objective:
 		return "first"
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -15,117 +15,122 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// outcome is how one send ended.
+// outcome is how one attempt at a target ended.
 type outcome int
 
 const (
-	// sentNothing: the target was not reached.
-	sentNothing outcome = iota + 1
-	// withheld: the request was not to be sent to any further target.
-	withheld
-	// refused: the target states that it did not run the request.
-	refused
-	// unknown: the request was sent; whether it ran is not known.
-	unknown
-	// answered: the head of the target's answer is there.
-	answered
+	// outcomeNotSent means that the target could not be reached.
+	outcomeNotSent outcome = iota + 1
+	// outcomeWithheld means that the request must not be sent to any further target.
+	outcomeWithheld
+	// outcomeRefused means that the target stated that it has not run the request.
+	outcomeRefused
+	// outcomeUnknown means that the request was sent and may have run.
+	outcomeUnknown
+	// outcomeAnswered means that the header of the target's response has been received.
+	outcomeAnswered
 )
 
-// Bounds of the time for which what was sent to a target may stay unacknowledged.
-// On Linux a silent connection is found some 400 ms after that time: a first
-// retransmission comes after 200 ms, and the time counts from it. In between it is
-// a part of what is left of the deadline, in steps that spare most requests on a
-// kept connection a system call.
+// Range of the time for which data sent to a target may stay unacknowledged. Linux detects a dead
+// connection some 400 ms after that time, because the time counts from the first retransmission,
+// which comes after 200 ms. Within the range it is a fraction of the time left until the deadline,
+// in steps of minUnacked, so that most requests on a kept-alive connection need no system call to
+// change it.
 const (
-	minUnacked   = 250 * time.Millisecond
-	maxUnacked   = time.Second
-	unackedShare = 8
+	minUnacked     = 250 * time.Millisecond
+	maxUnacked     = time.Second
+	unackedDivisor = 8
 )
 
-// unackedFor returns the time for a request of which left is left: short against
-// it, so that there is time to ask elsewhere or to answer.
-func unackedFor(left time.Duration) time.Duration {
-	return min(max((left/unackedShare).Truncate(minUnacked), minUnacked), maxUnacked)
+// unackedTimeout returns the limit for unacknowledged data of a request with the given time left.
+// It is short compared to that time, so that enough is left to try another target or to send an
+// error.
+func unackedTimeout(left time.Duration) time.Duration {
+	return min(max((left/unackedDivisor).Truncate(minUnacked), minUnacked), maxUnacked)
 }
 
-// maxRest is how long a kept connection may have rested to carry a stream that may
-// run once: what falls silent is met by those of the next half second only. New
-// connections for all of them were three times as many on a calm day.
-const maxRest = 500 * time.Millisecond
+// maxStreamConnIdle is how long a kept-alive connection may have been idle to be used for a stream
+// that must not be sent twice. If a connection dies, only the requests of the next half second meet
+// it. Using new connections for all of these streams opened three times as many
+// connections on a day without faults.
+const maxStreamConnIdle = 500 * time.Millisecond
 
-// destination returns where a send to t goes and which connection it needs. What
-// may run once must not be lost on a kept one that has fallen silent or that the
-// target closes, nor what was lost before. A prompt may be read again.
+// destination returns the connection settings for an attempt at t. A request that must not run
+// twice must not be lost on a kept-alive connection that is dead or that the target is closing, nor
+// a request whose previous attempt was lost. A prefill may always be repeated.
 func (x *exchange) destination(t *fleet.Target, d Directive) httpsend.Destination {
 	to := x.g.destination(x.view, t, x.unanswered || x.route.Kind == fleet.NonIdempotent)
 	if !d.PrefillOnly && !x.route.Repeatable() {
-		to.MaxRest = maxRest
+		to.MaxRest = maxStreamConnIdle
 	}
 	return to
 }
 
-// errNoRetry: the request's attempts or the retry budget are used up.
-var errNoRetry = errors.New("gateway: no further attempt is allowed")
+// errNoAttemptLeft means that the attempts of the request or the retry budget are used up.
+var errNoAttemptLeft = errors.New("gateway: no further attempt is allowed")
 
-// send sends the request to t once. resp is set when it was answered.
+// send makes one attempt at t. The response is nil unless the outcome is outcomeAnswered. send ends
+// the ticket of any other outcome.
 func (x *exchange) send(ctx context.Context, t *fleet.Target, d Directive, ticket *place.Ticket) (*httpsend.Response, outcome, error) {
-	sd, err := x.begin(d.PrefillOnly)
+	a, err := x.beginAttempt(d.PrefillOnly)
 	if err != nil {
-		x.note(t, "withheld", err)
+		x.addTrace(t, "withheld", err)
 		ticket.End(place.Neutral, clock.Now())
-		return nil, withheld, err
+		return nil, outcomeWithheld, err
 	}
 	x.sentAt = clock.Now()
 	resp, out, err := x.sendTo(ctx, x.destination(t, d), t, d, ticket)
-	settled := out
+	counted := out
 	if d.PrefillOnly && resp != nil && resp.Status != http.StatusOK {
-		// The target has the request and may not have taken it for a reading.
-		settled = unknown
+		// The target has the request and may not have treated it as a prefill.
+		counted = outcomeUnknown
 	}
-	x.sends.settle(sd, settled)
-	x.unanswered = x.unanswered || out == unknown
-	if out == unknown {
-		x.brokeOff(t, err, x.sentAt, 0)
+	x.attempts.finish(a, counted)
+	x.unanswered = x.unanswered || out == outcomeUnknown
+	if out == outcomeUnknown {
+		x.checkTargetExit(t, err, x.sentAt, 0)
 	}
 	return resp, out, err
 }
 
-// sendTo is send for a destination that is known. It may run beside another one.
+// sendTo sends the request to t with given connection settings, without counting an attempt. It may
+// be called concurrently.
 func (x *exchange) sendTo(ctx context.Context, to httpsend.Destination, t *fleet.Target, d Directive, ticket *place.Ticket) (*httpsend.Response, outcome, error) {
 	d.TargetID = t.ID
 	d.Remaining, d.Account = clock.Until(x.deadline), x.accountName()
 	req := &httpsend.Request{
 		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host,
-		Header: x.g.proto.Outgoing(x.r.Header, d), Body: x.body, Unacked: unackedFor(d.Remaining),
-		Before: x.admitted,
+		Header: x.g.proto.Outgoing(x.r.Header, d), Body: x.body, Unacked: unackedTimeout(d.Remaining),
+		Before: x.keyStillValid,
 	}
 	ours := func(status int, h http.Header) bool { return x.g.proto.Ours(x.meta.ID, status, h) }
 	resp, err := x.g.client.Send(ctx, to, req, ours)
 	if err != nil {
-		return nil, x.sendFailed(ctx, t, ticket, err), err
+		return nil, x.noteSendFailure(ctx, t, ticket, err), err
 	}
 	switch x.g.proto.Verdict(resp.Status, resp.Header, d.PrefillOnly) {
 	case Refused:
-		x.note(t, "refused", nil)
-		drain(resp)
+		x.addTrace(t, "refused", nil)
+		drainBody(resp)
 		ticket.End(place.Refused, clock.Now())
-		return nil, refused, errors.Errorf("status %d", resp.Status)
+		return nil, outcomeRefused, errors.Errorf("status %d", resp.Status)
 	case Invalid:
-		x.note(t, "invalid", nil)
+		x.addTrace(t, "invalid", nil)
 		resp.Close()
 		ticket.End(place.Bad, clock.Now())
-		return nil, unknown, errors.Errorf("status %d without a signature", resp.Status)
+		return nil, outcomeUnknown, errors.Errorf("status %d without a signature", resp.Status)
 	}
-	return resp, answered, nil
+	return resp, outcomeAnswered, nil
 }
 
-func (x *exchange) sendFailed(ctx context.Context, t *fleet.Target, ticket *place.Ticket, err error) outcome {
+// noteSendFailure records a failed send in the trace, ends its ticket and returns the outcome.
+func (x *exchange) noteSendFailure(ctx context.Context, t *fleet.Target, ticket *place.Ticket, err error) outcome {
 	now := clock.Now()
-	var failed *httpsend.Error
-	notSent := errors.As(err, &failed) && failed.Phase == httpsend.NotSent
-	x.note(t, "failed", err)
+	var sendErr *httpsend.Error
+	notSent := errors.As(err, &sendErr) && sendErr.Phase == httpsend.NotSent
+	x.addTrace(t, "failed", err)
 	switch {
-	case x.endedHere() || errors.Is(err, httpsend.ErrNoConn):
+	case x.endedLocally() || errors.Is(err, httpsend.ErrNoConn):
 		ticket.End(place.Neutral, now)
 	case notSent:
 		ticket.End(place.Unreachable, now)
@@ -133,27 +138,27 @@
 		ticket.End(place.Bad, now)
 	}
 	if notSent {
-		return sentNothing
+		return outcomeNotSent
 	}
-	return unknown
+	return outcomeUnknown
 }
 
-// missed takes in that a target could not be reached, and reports whether another one may be
-// tried. One whose host says at once that nobody listens costs no time: where many targets have
-// just ended, the request goes on to those that are up.
-func (x *exchange) missed(err error) bool {
+// noteUnreachable counts a target that could not be reached and reports whether another one may be
+// tried. A host that refuses the connection costs no time and is not counted: if many targets have
+// just exited, the request goes on to those that are up.
+func (x *exchange) noteUnreachable(err error) bool {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
-		x.misses++
+		x.unreachable++
 	}
-	return x.misses < maxUnreached
+	return x.unreachable < maxUnreachable
 }
 
-// drain reads a short answer to its end, so that the connection can be kept.
-func drain(resp *httpsend.Response) {
+// drainBody reads a short response to its end, so that the connection can be reused.
+func drainBody(resp *httpsend.Response) {
 	defer resp.Close()
-	// What cannot be read closes the connection; the status is known already.
+	// If the rest cannot be read, Close closes the connection; the status is known already.
 	_, _ = io.CopyN(io.Discard, resp, maxRefusalBody)
 }
 
-// maxRefusalBody bounds what is read of a refusal.
+// maxRefusalBody is how much of the body of a refusal is read.
 const maxRefusalBody = 4 << 10
--- a/internal/gateway/sends.go
+++ b/internal/gateway/sends.go
@@ -6,92 +6,94 @@
 	"garnethoist.org/garnethoist/internal/retry"
 )
 
-// sends keeps count of the sends of one request. Each goes through begin, whatever path the
-// request takes, so that no target is reached that neither the route's attempts nor the retry
-// budget know of. One goroutine uses it.
-type sends struct {
-	// budget returns the service's retry budget as it is now, and clock is its time.
+// attemptTracker counts the attempts of one request. Each attempt goes through begin, whatever path
+// the request takes, so that no target is reached without being counted against the route's
+// attempts and the retry budget. It is used by one goroutine only.
+type attemptTracker struct {
+	// budget returns the current retry budget of the service; clock is the time that the budget
+	// uses.
 	budget func() *retry.Window
 	clock  func() time.Duration
-	// most is the route's attempts.
-	most int
+	// maxAttempts is the route's limit on arrivals.
+	maxAttempts int
 
-	// arrivals counts the targets that the request reached or is on its way to, but for the
-	// first reading that was accepted.
+	// arrivals counts the targets that the request has reached or is being sent to. The first
+	// accepted prefill is not counted.
 	arrivals int
-	// reads counts the readings that were accepted, or may have been.
-	reads int
-	// drawn counts the draws that were used, and held those that are yet to be.
-	drawn int
-	held  []*retry.Window
+	// prefills counts the prefills that were accepted or may have been.
+	prefills int
+	// retriesUsed counts the retries that were taken from the budget and used. reserved holds the
+	// budgets of those that were taken and are not used yet.
+	retriesUsed int
+	reserved    []*retry.Window
 }
 
-// sending is a send that is counted as on its way.
-type sending struct {
-	// reading says that the target only reads the prompt.
-	reading bool
-	// draw is where the send was drawn from; nil for a first one.
-	draw *retry.Window
+// attempt is an attempt that has been counted and is in flight.
+type attempt struct {
+	// prefillOnly says that the target only prefills the prompt.
+	prefillOnly bool
+	// budget is the budget that the attempt was taken from; nil for a first attempt.
+	budget *retry.Window
 }
 
-// begin counts a send that is about to be made, or returns false where it may not be: the
-// attempts or the budget are used up. A prompt is read apart once: a further reading would
-// be an arrival beside that of the run.
-func (s *sends) begin(reading bool) (sending, bool) {
-	if s.arrivals >= s.most || (reading && s.reads > 0) {
-		return sending{}, false
+// begin counts an attempt that is about to be made. It returns false if the attempts or the budget
+// are used up. A prompt is prefilled at a separate target once at most: a further prefill would be
+// one more arrival in addition to that of the decoding.
+func (t *attemptTracker) begin(prefillOnly bool) (attempt, bool) {
+	if t.arrivals >= t.maxAttempts || (prefillOnly && t.prefills > 0) {
+		return attempt{}, false
 	}
-	sd := sending{reading: reading}
-	if s.arrivals > 0 {
-		if !s.reserve() {
-			return sending{}, false
+	a := attempt{prefillOnly: prefillOnly}
+	if t.arrivals > 0 {
+		if !t.reserve() {
+			return attempt{}, false
 		}
-		last := len(s.held) - 1
-		sd.draw, s.held = s.held[last], s.held[:last]
-		s.drawn++
+		last := len(t.reserved) - 1
+		a.budget, t.reserved = t.reserved[last], t.reserved[:last]
+		t.retriesUsed++
 	}
-	s.arrivals++
-	return sd, true
+	t.arrivals++
+	return a, true
 }
 
-// reserve makes sure that a further send may be made: it draws on the budget, unless a draw is
-// held already.
-func (s *sends) reserve() bool {
-	if s.arrivals >= s.most {
+// reserve takes a retry from the budget for a further attempt, unless one is reserved already. It
+// returns false if the attempts or the budget are used up.
+func (t *attemptTracker) reserve() bool {
+	if t.arrivals >= t.maxAttempts {
 		return false
 	}
-	if len(s.held) > 0 {
+	if len(t.reserved) > 0 {
 		return true
 	}
-	b := s.budget()
-	if !b.Retry(s.clock()) {
+	b := t.budget()
+	if !b.Retry(t.clock()) {
 		return false
 	}
-	s.held = append(s.held, b)
+	t.reserved = append(t.reserved, b)
 	return true
 }
 
-// settle takes in how a send ended. One that reached no target, and the first reading that is
-// accepted, are no arrivals.
-func (s *sends) settle(sd sending, out outcome) {
-	if sd.reading && out != sentNothing && out != refused {
-		s.reads++
+// finish records how an attempt ended. An attempt that reached no target, and the first prefill
+// that is accepted, don't count as arrivals; their retry is reserved again.
+func (t *attemptTracker) finish(a attempt, out outcome) {
+	if a.prefillOnly && out != outcomeNotSent && out != outcomeRefused {
+		t.prefills++
 	}
-	free := out == sentNothing || (sd.reading && out == answered)
+	free := out == outcomeNotSent || (a.prefillOnly && out == outcomeAnswered)
 	if !free {
 		return
 	}
-	s.arrivals--
-	if sd.draw != nil {
-		s.drawn--
-		s.held = append(s.held, sd.draw)
+	t.arrivals--
+	if a.budget != nil {
+		t.retriesUsed--
+		t.reserved = append(t.reserved, a.budget)
 	}
 }
 
-// close gives back the draws that were not used.
-func (s *sends) close() {
-	for _, b := range s.held {
-		b.Return(s.clock())
+// releaseReserved returns the unused retries to their budgets.
+func (t *attemptTracker) releaseReserved() {
+	for _, b := range t.reserved {
+		b.Return(t.clock())
 	}
-	s.held = nil
+	t.reserved = nil
 }
--- a/internal/gateway/sends_test.go
+++ b/internal/gateway/sends_test.go
@@ -10,67 +10,67 @@
 	"garnethoist.org/garnethoist/internal/retry"
 )
 
-// newSends returns the account of a request of so many attempts on a budget of so many
-// retries.
-func newSends(attempts, retries int) (*sends, *retry.Window) {
+// newTestTracker returns the tracker of a request with the given number of attempts, and its budget
+// with the given number of retries.
+func newTestTracker(attempts, retries int) (*attemptTracker, *retry.Window) {
 	w := retry.NewWindow(retry.WindowConfig{Slack: float64(retries), Span: 10 * time.Second})
-	return &sends{budget: func() *retry.Window { return w }, clock: func() time.Duration { return 0 }, most: attempts}, w
+	return &attemptTracker{budget: func() *retry.Window { return w }, clock: func() time.Duration { return 0 }, maxAttempts: attempts}, w
 }
 
-// Whatever the sends of a request and their ends, each arrival beyond the first was drawn, no
-// draw is lost, and a prompt is read apart once at most.
-func TestEachArrivalBeyondTheFirstIsDrawnOnce(t *testing.T) {
+// Whatever the attempts and their outcomes, each arrival after the first is taken from the budget,
+// no retry is lost, and a prompt is prefilled at a separate target once at most.
+func TestEachArrivalAfterTheFirstUsesOneRetry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const retries = 3
-		s, w := newSends(rapid.IntRange(1, 5).Draw(t, "attempts"), retries)
-		arrivals, accepted, mayHaveRead := 0, 0, 0
+		s, w := newTestTracker(rapid.IntRange(1, 5).Draw(t, "attempts"), retries)
+		arrivals, accepted, mayHavePrefilled := 0, 0, 0
 		for range rapid.IntRange(1, 12).Draw(t, "sends") {
-			reading := rapid.Bool().Draw(t, "reading")
-			if rapid.Bool().Draw(t, "asks") && !s.reserve() {
+			prefillOnly := rapid.Bool().Draw(t, "prefill only")
+			if rapid.Bool().Draw(t, "reserve first") && !s.reserve() {
 				continue
 			}
-			sd, ok := s.begin(reading)
+			a, ok := s.begin(prefillOnly)
 			if !ok {
 				continue
 			}
-			out := rapid.SampledFrom([]outcome{sentNothing, refused, unknown, answered}).Draw(t, "out")
-			s.settle(sd, out)
-			if out != sentNothing {
+			out := rapid.SampledFrom([]outcome{outcomeNotSent, outcomeRefused, outcomeUnknown, outcomeAnswered}).Draw(t, "out")
+			s.finish(a, out)
+			if out != outcomeNotSent {
 				arrivals++
 			}
-			if reading && out == answered {
+			if prefillOnly && out == outcomeAnswered {
 				accepted++
 			}
-			if reading && (out == answered || out == unknown) {
-				mayHaveRead++
+			if prefillOnly && (out == outcomeAnswered || out == outcomeUnknown) {
+				mayHavePrefilled++
 			}
 		}
-		s.close()
+		s.releaseReserved()
 		extra := max(arrivals-min(accepted, 1)-1, 0)
-		if s.drawn < extra {
-			t.Fatalf("%d extra arrivals, %d drawn", extra, s.drawn)
+		if s.retriesUsed < extra {
+			t.Fatalf("%d arrivals after the first, but %d retries used", extra, s.retriesUsed)
 		}
-		if mayHaveRead > 1 {
-			t.Fatalf("read %d times", mayHaveRead)
+		if mayHavePrefilled > 1 {
+			t.Fatalf("prefilled %d times at a separate target", mayHavePrefilled)
 		}
 		left := 0
 		for w.Retry(0) {
 			left++
 		}
-		if left+s.drawn != retries {
-			t.Fatalf("%d drawn and %d left of %d", s.drawn, left, retries)
+		if left+s.retriesUsed != retries {
+			t.Fatalf("%d retries used and %d left of %d", s.retriesUsed, left, retries)
 		}
 	})
 }
 
-// A target that could not be reached costs neither an attempt nor a draw.
-func TestTargetsThatAreNotReachedAreNoArrivals(t *testing.T) {
+// A target that cannot be reached uses up neither an attempt nor a retry.
+func TestUnreachableTargetsAreNotArrivals(t *testing.T) {
 	is := is.New(t)
-	s, _ := newSends(1, 0)
+	s, _ := newTestTracker(1, 0)
 	for range 5 {
-		sd, ok := s.begin(false)
+		a, ok := s.begin(false)
 		is.True(ok)
-		s.settle(sd, sentNothing)
+		s.finish(a, outcomeNotSent)
 	}
 	_, ok := s.begin(false)
 	is.True(ok)
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -14,23 +14,23 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// Stats counts requests by route and outcome.
+// Stats holds the gateway's metrics. It is safe for concurrent use.
 type Stats struct {
-	requests metric.Int64Counter
-	seconds  metric.Float64Histogram
-	handles  metric.Int64Counter
-	bySize   metric.Int64Counter
-	admitted metric.Int64Counter
-	retries  metric.Int64Counter
+	requests   metric.Int64Counter
+	duration   metric.Float64Histogram
+	handles    metric.Int64Counter
+	bySize     metric.Int64Counter
+	admissions metric.Int64Counter
+	retries    metric.Int64Counter
 }
 
-// NewStats returns the gateway's instruments.
+// NewStats registers the gateway's instruments with m.
 func NewStats(m metric.Meter) (*Stats, error) {
 	requests, err := m.Int64Counter("garnet_requests", metric.WithDescription("requests answered, by status and kind of failure"))
 	if err != nil {
 		return nil, errors.Wrap(err, "requests counter")
 	}
-	seconds, err := m.Float64Histogram("garnet_request_duration", metric.WithUnit("s"), metric.WithDescription("time from a request's arrival to its answer's end"))
+	duration, err := m.Float64Histogram("garnet_request_duration", metric.WithUnit("s"), metric.WithDescription("time from a request's arrival to its answer's end"))
 	if err != nil {
 		return nil, errors.Wrap(err, "duration histogram")
 	}
@@ -42,22 +42,22 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "size counter")
 	}
-	admitted, err := m.Int64Counter("garnet_admissions", metric.WithDescription("requests to model engines by size, whether they were sent and why not, whether they had waited for it, and whether their callers came back"))
+	admissions, err := m.Int64Counter("garnet_admissions", metric.WithDescription("requests to model engines by size, whether they were sent and why not, whether they had waited for it, and whether their callers came back"))
 	if err != nil {
 		return nil, errors.Wrap(err, "admissions counter")
 	}
 	retries, err := m.Int64Counter("garnet_retries", metric.WithDescription("sends to further targets, by whether attempts and retry budget allowed them"))
-	return &Stats{requests: requests, seconds: seconds, handles: handles, bySize: bySize, admitted: admitted, retries: retries}, errors.Wrap(err, "retries counter")
+	return &Stats{requests: requests, duration: duration, handles: handles, bySize: bySize, admissions: admissions, retries: retries}, errors.Wrap(err, "retries counter")
 }
 
-// Request counts one request; kind is empty for an answer of a target.
+// Request counts one request and its duration. kind is empty if the response came from a target.
 func (s *Stats) Request(status int, kind errkind.Kind, took time.Duration) {
 	set := metric.WithAttributeSet(attribute.NewSet(attribute.String("status", strconv.Itoa(status)), attribute.String("kind", string(kind))))
 	s.requests.Add(context.Background(), 1, set)
-	s.seconds.Record(context.Background(), took.Seconds(), set)
+	s.duration.Record(context.Background(), took.Seconds(), set)
 }
 
-// Generation counts one request to a model engine by its size and how it ended.
+// Generation counts one generation request by size and outcome.
 func (s *Stats) Generation(route string, b fair.Size, event telemetry.Event) {
 	s.bySize.Add(context.Background(), 1, metric.WithAttributeSet(attribute.NewSet(
 		attribute.String("route", route), attribute.String("prompt", b.Prompt.String()),
@@ -65,21 +65,22 @@
 	)))
 }
 
-// Admission counts a request to a model engine that was sent, or refused for want of time.
+// Admission counts a generation request that was sent to an engine, or refused because it could not
+// be on time. waited says that it was deferred before.
 func (s *Stats) Admission(route string, b fair.Size, a *admission, waited bool) {
-	s.admitted.Add(context.Background(), 1, metric.WithAttributeSet(attribute.NewSet(
+	s.admissions.Add(context.Background(), 1, metric.WithAttributeSet(attribute.NewSet(
 		attribute.String("route", route), attribute.String("prompt", b.Prompt.String()), attribute.String("answer", b.Answer.String()),
 		attribute.String("verdict", verdictName(a.ruling.Verdict)), attribute.String("reason", string(a.ruling.Reason)),
-		attribute.Bool("waited", waited), attribute.Bool("again", a.again),
+		attribute.Bool("waited", waited), attribute.Bool("again", a.callerRetry),
 	)))
 }
 
-// Retry counts whether a request might be sent to a further target.
+// Retry counts a decision on whether a request may be sent to a further target.
 func (s *Stats) Retry(service string, allowed bool) {
 	s.retries.Add(context.Background(), 1, metric.WithAttributeSet(attribute.NewSet(
 		attribute.String("service", service), attribute.Bool("allowed", allowed),
 	)))
 }
 
-// HandleLost counts a handle that could not be freed.
-func (s *Stats) HandleLost() { s.handles.Add(context.Background(), 1) }
+// HandleNotFreed counts a handle whose freeing call failed.
+func (s *Stats) HandleNotFreed() { s.handles.Add(context.Background(), 1) }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -16,36 +16,37 @@
 )
 
 const (
-	// streamBuffer is the size of one read of a stream.
+	// streamBuffer is the read buffer size for a stream, in bytes.
 	streamBuffer = 8 << 10
-	// maxEvent bounds one event of a stream.
+	// maxEvent is the maximum size of an event, in bytes.
 	maxEvent = 1 << 20
 )
 
-// stream relays the events of one answer, from one target or, after it broke
-// off, from another that goes on behind the last event.
+// stream relays the events of one response. If a target's stream is cut off, another target continues
+// after the last event.
 type stream struct {
 	x *exchange
-	// ticket is the request at its present target.
+	// ticket is the request's entry in the placer for the current target.
 	ticket *place.Ticket
-	// relaying is set once the caller has the head of the answer.
-	relaying bool
-	// partial is an event that has not ended yet.
+	// headerSent is set once the response header went to the caller.
+	headerSent bool
+	// partial holds the received part of an incomplete event.
 	partial []byte
-	// events counts those of the present target, firstAt is when its first one came
-	// and wroteAt when the caller was last written events.
+	// events counts the events of the current target. firstEventAt is when its first event came,
+	// and lastWriteAt when events were last written to the caller.
 	events int
-	// sound is set once the present target has run the request beyond its onset.
-	sound   bool
-	firstAt time.Time
-	wroteAt time.Time
+	// pastOnset is set once the current target has run the request for longer than
+	// quarantine.Onset.
+	pastOnset    bool
+	firstEventAt time.Time
+	lastWriteAt  time.Time
 }
 
-// relay copies whole events to the caller as they arrive. An event that breaks
-// off is dropped: it comes again if the stream is resumed.
+// relay copies complete events to the caller as they arrive. An event that is cut off is dropped; a
+// resumed stream sends it again.
 func (s *stream) relay(resp *httpsend.Response) error {
 	s.partial = s.partial[:0]
-	s.events, s.firstAt, s.sound = 0, time.Time{}, false
+	s.events, s.firstEventAt, s.pastOnset = 0, time.Time{}, false
 	buf := make([]byte, streamBuffer)
 	for {
 		n, err := resp.Read(buf)
@@ -57,7 +58,7 @@
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			return s.end(resp)
+			return s.finish(resp)
 		case err != nil:
 			return err
 		case len(s.partial) > maxEvent:
@@ -66,64 +67,65 @@
 	}
 }
 
-// forward writes the events that are complete.
-func (s *stream) forward(resp *httpsend.Response, last bool) error {
-	whole := eventsEnd(s.partial)
-	if whole == 0 {
+// forward writes the complete events in s.partial. It flushes them unless the response ends here.
+func (s *stream) forward(resp *httpsend.Response, eof bool) error {
+	complete := completeEventsLen(s.partial)
+	if complete == 0 {
 		return nil
 	}
-	s.head(resp)
-	if id, ok := lastEventID(s.partial[:whole]); ok {
-		s.x.lastEvent = id
+	s.writeHeader(resp)
+	if id, ok := lastEventID(s.partial[:complete]); ok {
+		s.x.lastEventID = id
 	}
-	s.noteEvents(countEvents(s.partial[:whole]), clock.Now())
-	if err := s.write(s.partial[:whole]); err != nil {
+	s.noteEvents(countEvents(s.partial[:complete]), clock.Now())
+	if err := s.write(s.partial[:complete]); err != nil {
 		return err
 	}
-	s.partial = append(s.partial[:0], s.partial[whole:]...)
-	if last {
+	s.partial = append(s.partial[:0], s.partial[complete:]...)
+	if eof {
 		return nil
 	}
 	return s.flush()
 }
 
-// noteEvents takes in that n events go to the caller now.
+// noteEvents records that n events are being written to the caller at time now.
 func (s *stream) noteEvents(n int, now time.Time) {
-	if !s.wroteAt.IsZero() {
-		s.x.longestGap = max(s.x.longestGap, now.Sub(s.wroteAt))
+	if !s.lastWriteAt.IsZero() {
+		s.x.longestGap = max(s.x.longestGap, now.Sub(s.lastWriteAt))
 	}
-	s.wroteAt = now
+	s.lastWriteAt = now
 	if s.events == 0 {
-		s.firstAt = now
+		s.firstEventAt = now
 		s.x.g.usage.Ran(s.x.accountName(), now)
 	}
 	s.events += n
-	if !s.sound && s.ranFor(now) > quarantine.Onset {
-		s.sound = true
-		s.x.served()
+	if !s.pastOnset && s.ranFor(now) > quarantine.Onset {
+		s.pastOnset = true
+		s.x.noteServed()
 	}
 	s.ticket.Events(n, now)
 }
 
-// ranFor is how long the present target has run the request: since its first event.
+// ranFor returns how long the current target has run the request, counted from its first event.
 func (s *stream) ranFor(now time.Time) time.Duration {
 	if s.events == 0 {
 		return 0
 	}
-	return now.Sub(s.firstAt)
+	return now.Sub(s.firstEventAt)
 }
 
-// pause is the mean time between the events of the present target.
-func (s *stream) pause() time.Duration {
+// eventInterval returns the mean time between the events of the current target, or 0 if there are
+// fewer than two.
+func (s *stream) eventInterval() time.Duration {
 	if s.events < 2 {
 		return 0
 	}
-	return s.wroteAt.Sub(s.firstAt) / time.Duration(s.events-1)
+	return s.lastWriteAt.Sub(s.firstEventAt) / time.Duration(s.events-1)
 }
 
-// end completes the answer. Bytes behind the last event belong to the body.
-func (s *stream) end(resp *httpsend.Response) error {
-	s.head(resp)
+// finish completes the response. Bytes after the last complete event are part of the body.
+func (s *stream) finish(resp *httpsend.Response) error {
+	s.writeHeader(resp)
 	if len(s.partial) > 0 {
 		if err := s.write(s.partial); err != nil {
 			return err
@@ -133,18 +135,19 @@
 	return nil
 }
 
-// head sends the first target's head once.
-func (s *stream) head(resp *httpsend.Response) {
-	if s.relaying {
+// writeHeader sends the header of the first target's response, once.
+func (s *stream) writeHeader(resp *httpsend.Response) {
+	if s.headerSent {
 		return
 	}
-	s.relaying = true
-	s.x.began = true
-	s.x.first = clock.Now()
+	s.headerSent = true
+	s.x.responseStarted = true
+	s.x.firstByteAt = clock.Now()
 	copyHeader(s.x.w.Header(), s.x.g.proto.Relayed(resp.Header))
-	s.x.writeHead(resp.Status)
+	s.x.writeHeader(resp.Status)
 }
 
+// write sends p to the caller. Its error is a ClientGone error.
 func (s *stream) write(p []byte) error {
 	if _, err := s.x.w.Write(p); err != nil {
 		return errkind.Wrap(errkind.ClientGone, err, "the caller has gone")
@@ -152,6 +155,7 @@
 	return nil
 }
 
+// flush sends buffered events to the caller. Its error is a ClientGone error.
 func (s *stream) flush() error {
 	err := http.NewResponseController(s.x.w).Flush()
 	if err != nil {
@@ -160,9 +164,9 @@
 	return nil
 }
 
-// eventsEnd returns the length of the complete events at the start of p. An
-// event ends with a blank line.
-func eventsEnd(p []byte) int {
+// completeEventsLen returns the length of the complete events at the start of p. An event ends with
+// a blank line.
+func completeEventsLen(p []byte) int {
 	end := 0
 	if i := bytes.LastIndex(p, []byte("\n\n")); i >= 0 {
 		end = i + 2
@@ -173,7 +177,7 @@
 	return end
 }
 
-// countEvents returns how many complete events p holds.
+// countEvents returns the number of complete events in p.
 func countEvents(p []byte) int {
 	return bytes.Count(p, []byte("\n\n")) + bytes.Count(p, []byte("\r\n\r\n"))
 }
