--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock reads a steady time that also counts the time for which the machine is
-// suspended. Go's own monotonic time stands still meanwhile, so that ages, deadlines and
-// spans would seem shorter by it: a VM that was suspended for some seconds would hold what it
-// knew before for fresh, and hand targets more time than their callers still wait.
+// Package clock provides a clock that also counts the time for which the machine is suspended.
+// Go's monotonic time stops during that time, so ages, timeouts and durations would come out too
+// short: a VM that was suspended for some seconds would take old data for fresh, and give targets
+// more time than their callers still wait.
 package clock
 
 import (
@@ -12,120 +12,123 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot reads CLOCK_BOOTTIME, which counts the time that the machine was suspended. Its zero is
-// arbitrary.
+// Boot returns the reading of CLOCK_BOOTTIME, which includes the time for which the machine was
+// suspended. Its zero is arbitrary.
 func Boot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The clock has been in every kernel since 2.6.39.
+		// Linux has had this clock since 2.6.39.
 		panic("clock: CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
 }
 
-// tolerance is by how much the time of day and Go's monotonic time may have drifted apart
-// before it is looked whether the machine was suspended: each reading of CLOCK_BOOTTIME is a
-// system call, and a request takes some dozen readings of the time.
-const tolerance = 10 * time.Millisecond
+// driftTolerance is the drift between wall clock and monotonic time from which CLOCK_BOOTTIME is
+// read to detect a suspension. It is not read every time because that takes a system call, and a
+// request reads the time a dozen times or more.
+const driftTolerance = 10 * time.Millisecond
 
-// reading is one reading of the time of day and of the time awake, which begins anywhere.
+// reading is one reading of the wall clock and of the monotonic time, whose zero is arbitrary.
 type reading struct {
-	day   time.Time
-	awake time.Duration
+	wall time.Time
+	mono time.Duration
 }
 
-// source is where a steady clock reads its times; boot also counts time asleep.
-type source struct {
+// sources are the clocks behind a steady clock. boot is the one that includes suspended time.
+type sources struct {
 	read func() reading
 	boot func() time.Duration
 }
 
-// began is the zero of the time awake.
-var began = time.Now()
+// processStart is the zero of the monotonic time.
+var processStart = time.Now()
 
-func read() reading {
+func readClocks() reading {
 	now := time.Now()
-	return reading{day: now.Round(0), awake: now.Sub(began)}
+	return reading{wall: now.Round(0), mono: now.Sub(processStart)}
 }
 
-// steady reads a time by Go's monotonic one and what was added to it.
+// steady is a clock that adds suspended time to Go's monotonic time.
 type steady struct {
-	source source
-	// zero is when the clock was made, and zeroBoot the same by the boot clock.
+	sources sources
+	// zero is the reading when the clock was made, and zeroBoot that of the boot clock.
 	zero     reading
 	zeroBoot time.Duration
-	// asleep is for how long the machine was suspended since, and drift how far the time of
-	// day and the monotonic time were apart when that was looked at; both are in ns.
-	asleep atomic.Int64
-	drift  atomic.Int64
+	// suspended is the total time suspended since then, and drift the difference between wall
+	// clock and monotonic time when that was last checked, both in ns.
+	suspended atomic.Int64
+	drift     atomic.Int64
 
 	mu sync.Mutex
-	// resumed is called after the machine was suspended.
-	resumed map[int]func()
-	next    int
+	// callbacks are called after a suspension is detected.
+	callbacks map[int]func()
+	nextID    int
 }
 
-func newSteady(s source) *steady {
-	zeroBoot, zero := s.begin()
-	return &steady{source: s, zero: zero, zeroBoot: zeroBoot, resumed: make(map[int]func())}
+func newSteady(s sources) *steady {
+	zeroBoot, zero := s.firstSample()
+	return &steady{sources: s, zero: zero, zeroBoot: zeroBoot, callbacks: make(map[int]func())}
 }
 
-// Both clocks cannot be read at one instant. The boot clock is read first at the begin and last
-// in each look, so that the time asleep is never reckoned too short: by what passes between both
-// readings it is too long, which is bounded by reading again.
+// The clocks cannot be read at the same instant. The boot clock is read first at the start and
+// last in each later sample, so that the suspended time is never too short. It is too long by the
+// time between the readings, so the clocks are read again if that exceeds maxReadingGap.
 const (
-	closeTogether = time.Millisecond
+	maxReadingGap = time.Millisecond
 	maxReadings   = 5
 )
 
-// begin reads the boot clock and, right after it, the others.
-func (s source) begin() (boot time.Duration, r reading) {
+// firstSample reads the boot clock and directly after it the others.
+func (s sources) firstSample() (boot time.Duration, r reading) {
 	for range maxReadings {
 		boot, r = s.boot(), s.read()
-		if s.boot()-boot < closeTogether {
+		if s.boot()-boot < maxReadingGap {
 			break
 		}
 	}
 	return boot, r
 }
 
-// look reads the boot clock right after the others.
-func (s source) look() (r reading, boot time.Duration) {
+// sample reads the boot clock directly after the others.
+func (s sources) sample() (r reading, boot time.Duration) {
 	for range maxReadings {
 		r, boot = s.read(), s.boot()
-		if s.read().awake-r.awake < closeTogether {
+		if s.read().mono-r.mono < maxReadingGap {
 			break
 		}
 	}
 	return r, boot
 }
 
-// now returns the time of day at which the clock was made and the steady time since.
+// now returns the wall clock time at which the clock was made plus the time since, suspended time
+// included.
 func (s *steady) now() time.Time {
-	awake, drift := s.since(s.source.read())
-	if d := drift - time.Duration(s.drift.Load()); d > tolerance || d < -tolerance {
-		s.look()
+	mono, drift := s.since(s.sources.read())
+	if d := drift - time.Duration(s.drift.Load()); d > driftTolerance || d < -driftTolerance {
+		s.detectSuspension()
 	}
-	return s.zero.day.Add(awake + time.Duration(s.asleep.Load()))
+	return s.zero.wall.Add(mono + time.Duration(s.suspended.Load()))
 }
 
-// since returns the time awake, and how far the time of day has drifted from it.
-func (s *steady) since(r reading) (awake, drift time.Duration) {
-	awake = r.awake - s.zero.awake
-	return awake, r.day.Sub(s.zero.day) - awake
+// since returns the monotonic time since the clock was made, and the drift of the wall clock from
+// it.
+func (s *steady) since(r reading) (mono, drift time.Duration) {
+	mono = r.mono - s.zero.mono
+	return mono, r.wall.Sub(s.zero.wall) - mono
 }
 
-// look finds out whether the machine was suspended. The time of day may have been set instead.
-func (s *steady) look() {
-	r, boot := s.source.look()
-	awake, drift := s.since(r)
-	asleep := boot - s.zeroBoot - awake
+// detectSuspension checks whether the machine was suspended and, if so, adjusts the clock and
+// runs the callbacks. A drift can also mean that the wall clock was set.
+func (s *steady) detectSuspension() {
+	r, boot := s.sources.sample()
+	mono, drift := s.since(r)
+	suspended := boot - s.zeroBoot - mono
 	s.mu.Lock()
 	s.drift.Store(int64(drift))
 	var resumed []func()
-	if asleep-time.Duration(s.asleep.Load()) > tolerance {
-		s.asleep.Store(int64(asleep))
-		for _, f := range s.resumed {
+	if suspended-time.Duration(s.suspended.Load()) > driftTolerance {
+		s.suspended.Store(int64(suspended))
+		for _, f := range s.callbacks {
 			resumed = append(resumed, f)
 		}
 	}
@@ -135,33 +138,34 @@
 	}
 }
 
-// onResume has f called after the machine was suspended, until stop is called. f must not
-// wait for anything.
+// onResume registers f to be called after a suspension is detected, until stop is called. f must
+// not block.
 func (s *steady) onResume(f func()) (stop func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	id := s.next
-	s.next++
-	s.resumed[id] = f
+	id := s.nextID
+	s.nextID++
+	s.callbacks[id] = f
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.resumed, id)
+		delete(s.callbacks, id)
 	}
 }
 
-// process is the clock of this process. Tests put one of their own in its place.
-var process atomic.Pointer[steady]
+// processClock is the clock of this process. Tests replace it.
+var processClock atomic.Pointer[steady]
 
-func init() { process.Store(newSteady(source{read: read, boot: Boot})) }
+func init() { processClock.Store(newSteady(sources{read: readClocks, boot: Boot})) }
 
-// Now returns the time of day at which the process began and the time that has passed since,
-// asleep or not. Setting the time of day does not move it. It has no monotonic reading: where
-// Go compares a time with its own, as in deadlines of connections, use what is left of it.
-func Now() time.Time { return process.Load().now() }
+// Now returns the wall clock time at which the process started plus the time since, suspended
+// time included. Setting the wall clock does not affect it. The result has no monotonic reading:
+// where Go compares a time with its own clock, as for connection deadlines, use the remaining
+// duration instead.
+func Now() time.Time { return processClock.Load().now() }
 
-// Since returns the time that has passed since t, a time of Now.
+// Since returns the time elapsed since t, which must come from Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until t, a time of Now.
+// Until returns the time until t, which must come from Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,12 +11,12 @@
 	"garnethoist.org/garnethoist/internal/clock"
 )
 
-// slack is ample for two readings of the clock.
+// slack exceeds the time between two readings of the clock.
 const slack = 200 * time.Millisecond
 
-// A VM was suspended for some seconds. Its timers and Go's monotonic time stood still, and
-// what it knew from before would have been taken for fresh.
-func TestTimeAsleepCounts(t *testing.T) {
+// Guards against a suspended VM taking old data for fresh: timers and Go's monotonic time stop
+// during a suspension.
+func TestSuspendedTimeCounts(t *testing.T) {
 	is := is.New(t)
 	s := clock.Simulate()
 	defer s.Restore()
@@ -24,13 +24,14 @@
 	is.True(clock.Since(began) < slack)
 	for n := 1; n <= 3; n++ {
 		s.Suspend(5 * time.Second)
-		slept := clock.Since(began)
-		is.True(slept >= time.Duration(n)*5*time.Second && slept < time.Duration(n)*5*time.Second+slack)
+		elapsed := clock.Since(began)
+		is.True(elapsed >= time.Duration(n)*5*time.Second && elapsed < time.Duration(n)*5*time.Second+slack)
 	}
 }
 
-// Whoever sets the time of day moves nothing, back or ahead, also beside a suspension.
-func TestSettingTheTimeOfDayMovesNothing(t *testing.T) {
+// Setting the wall clock forwards or back does not affect the clock, even together with a
+// suspension.
+func TestSettingTheWallClockHasNoEffect(t *testing.T) {
 	is := is.New(t)
 	s := clock.Simulate()
 	defer s.Restore()
@@ -41,13 +42,13 @@
 	}
 	s.Set(-5 * time.Second)
 	s.Suspend(5 * time.Second)
-	// Both together leave the time of day where it would be: the sleep shows with the next
-	// change.
+	// Together they leave the wall clock unchanged relative to the monotonic time, so the
+	// suspension is detected only at the next change.
 	s.Set(time.Second)
 	is.True(clock.Since(began) >= 5*time.Second)
 }
 
-func TestDeadlineHoldsWhileAsleep(t *testing.T) {
+func TestDeadlineIncludesSuspendedTime(t *testing.T) {
 	is := is.New(t)
 	s := clock.Simulate()
 	defer s.Restore()
@@ -63,24 +64,24 @@
 	select {
 	case <-child.Done():
 	case <-time.After(slack):
-		t.Fatal("the deadline has passed")
+		t.Fatal("the context did not end at its deadline")
 	}
 	is.True(errors.Is(context.Cause(child), context.DeadlineExceeded))
 }
 
-func TestDeadlinePassesAwake(t *testing.T) {
+func TestDeadlinePasses(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := clock.WithDeadline(context.Background(), clock.Now().Add(20*time.Millisecond))
 	defer cancel()
 	select {
 	case <-ctx.Done():
 	case <-time.After(slack):
-		t.Fatal("the deadline has passed")
+		t.Fatal("the context did not end at its deadline")
 	}
 	is.True(errors.Is(context.Cause(ctx), context.DeadlineExceeded))
 }
 
-// Watch notices a suspension though nobody else reads the clock.
+// Watch detects a suspension even if nothing else reads the clock.
 func TestWatchNoticesASuspension(t *testing.T) {
 	s := clock.Simulate()
 	defer s.Restore()
@@ -93,7 +94,7 @@
 	select {
 	case <-deadline.Done():
 	case <-time.After(time.Second):
-		t.Fatal("nobody noticed")
+		t.Fatal("the suspension was not detected")
 	}
 }
 
--- a/internal/clock/deadline.go
+++ b/internal/clock/deadline.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// WithDeadline returns a context that ends at t, a time of Now, with context.DeadlineExceeded
-// as its cause: also where the machine is suspended meanwhile, as soon as anybody reads the
-// clock after that. Timers alone would be late by the time asleep.
+// WithDeadline returns a context that ends at t, which must come from Now, with
+// context.DeadlineExceeded as its cause. If the machine is suspended meanwhile, the context ends
+// as soon as the clock is read afterwards; a plain timer would be late by the suspended time.
 func WithDeadline(parent context.Context, t time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	s := process.Load()
+	s := processClock.Load()
 	timer := time.AfterFunc(t.Sub(s.now()), func() { cancel(context.DeadlineExceeded) })
 	stop := s.onResume(func() { timer.Reset(max(t.Sub(s.now()), 0)) })
 	return ctx, func() {
@@ -23,8 +23,8 @@
 // watchInterval is how often Watch reads the clock.
 const watchInterval = 100 * time.Millisecond
 
-// Watch reads the clock again and again until ctx ends, so that a suspension is noticed on a VM
-// without requests, too.
+// Watch reads the clock periodically until ctx ends, so that a suspension is also detected on a
+// VM that serves no requests.
 func Watch(ctx context.Context) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
--- a/internal/clock/simulate.go
+++ b/internal/clock/simulate.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Simulated is a clock for tests: its machine can be suspended, and its time of day set.
+// Simulated is a clock for tests. Its machine can be suspended, and its wall clock can be set.
 type Simulated struct {
-	asleep atomic.Int64
-	set    atomic.Int64
-	before *steady
+	suspended  atomic.Int64
+	wallOffset atomic.Int64
+	previous   *steady
 }
 
-// Simulate puts a simulated clock in the process's place, until Restore. Tests that use it
-// do not run beside others.
+// Simulate replaces the clock of the process with a simulated one until Restore is called. Tests
+// that use it must not run in parallel with others.
 func Simulate() *Simulated {
-	s := &Simulated{before: process.Load()}
-	process.Store(newSteady(source{
+	s := &Simulated{previous: processClock.Load()}
+	processClock.Store(newSteady(sources{
 		read: func() reading {
-			r := read()
-			r.day = r.day.Add(time.Duration(s.asleep.Load() + s.set.Load()))
+			r := readClocks()
+			r.wall = r.wall.Add(time.Duration(s.suspended.Load() + s.wallOffset.Load()))
 			return r
 		},
-		boot: func() time.Duration { return Boot() + time.Duration(s.asleep.Load()) },
+		boot: func() time.Duration { return Boot() + time.Duration(s.suspended.Load()) },
 	}))
 	return s
 }
 
-// Suspend lets the machine sleep for d at once: the time of day and CLOCK_BOOTTIME go on, the
-// monotonic time does not, and no timer runs.
-func (s *Simulated) Suspend(d time.Duration) { s.asleep.Add(int64(d)) }
+// Suspend suspends the machine for d, without waiting: the wall clock and CLOCK_BOOTTIME advance,
+// the monotonic time and timers do not.
+func (s *Simulated) Suspend(d time.Duration) { s.suspended.Add(int64(d)) }
 
-// Set moves the time of day alone.
-func (s *Simulated) Set(d time.Duration) { s.set.Add(int64(d)) }
+// Set moves only the wall clock, by d.
+func (s *Simulated) Set(d time.Duration) { s.wallOffset.Add(int64(d)) }
 
-// Restore puts back the clock that was there before.
-func (s *Simulated) Restore() { process.Store(s.before) }
+// Restore brings back the previous clock.
+func (s *Simulated) Restore() { processClock.Store(s.previous) }
