--- a/internal/watch/current.go
+++ b/internal/watch/current.go
@@ -6,74 +6,76 @@
 	"garnethoist.org/garnethoist/internal/clock"
 )
 
-// AsOf returns a time at which this copy of the table held all that the store
-// held, by the store's answers or by others' word.
+// AsOf returns a time at which this copy of the table held all rows of the store, according to
+// the store's answers or to the reports of other VMs.
 func (t *Table) AsOf() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.asOf
 }
 
-// ReadAt is AsOf by the store's answers to this VM only. Others are told no more:
-// word that is passed on seems younger by the time that it took, and would stay
-// young for ever where VMs pass it to each other. Newest that is read after it is
-// not older.
+// ReadAt is like AsOf, but counts only the store's answers to this VM. Other VMs are sent this
+// time and not AsOf: a reported time appears younger by the time that the report was in transit,
+// so it would stay young for ever if VMs passed it back and forth. Call ReadAt before Newest: the
+// version that Newest then returns covers that time.
 func (t *Table) ReadAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.readAt
 }
 
-// HeldAt is AsOf without trust in the time that word took: it is reckoned from the store's
-// clock, so that neither a datagram nor an answer which lay in a queue, while the process
-// stood still, seems younger than it is.
-func (t *Table) HeldAt() time.Time {
+// ConservativeAsOf is like AsOf, but never too late. It is computed from the store's clock, so
+// that a datagram or an answer that waited in a queue while the process was stopped does not
+// appear younger than it is.
+func (t *Table) ConservativeAsOf() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at, ok := t.link.clock.notBefore(t.heldAt)
-	if !ok || at.Before(t.heldSince) || at.After(clock.Now()) {
-		return t.heldSince
+	at, ok := t.link.clock.earliest(t.asOfStoreTime)
+	if !ok || at.Before(t.lastCallBegan) || at.After(clock.Now()) {
+		return t.lastCallBegan
 	}
 	return at
 }
 
-// ReadClock is ReadAt by the store's clock, or 0 where the store states none. Newest that is
-// read after it is not older.
+// ReadClock returns ReadAt on the store's clock, or 0 if the store does not state its clock. Call
+// it before Newest too.
 func (t *Table) ReadClock() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.readClock
+	return t.readStoreTime
 }
 
-// Heard takes in that another VM's copy, in which version is the highest, held
-// all that the store held at asOf, and when its clock was at: so does this one, if it has
-// read as far.
-func (t *Table) Heard(version uint64, asOf time.Time, at time.Duration) {
-	if version <= t.reached.Load() {
-		t.held(at)
-		t.current(asOf)
+// Heard records that another VM's copy, whose highest row version is version, held all rows of
+// the store at asOf, when the store's clock read storeTime. The same then holds for this copy if
+// it has reached that version.
+func (t *Table) Heard(version uint64, asOf time.Time, storeTime time.Duration) {
+	if version <= t.sharedRevision.Load() {
+		t.raiseStoreTime(storeTime)
+		t.raiseAsOf(asOf)
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ahead <= t.reached.Load() {
+	if t.aheadVersion <= t.sharedRevision.Load() {
 		t.aheadSince = clock.Now()
 	}
-	t.ahead = max(t.ahead, version)
+	t.aheadVersion = max(t.aheadVersion, version)
 	if asOf.After(t.aheadAsOf) {
 		t.aheadAsOf = asOf
 	}
 }
 
-// held takes in that this copy held all that the store held when its clock was at.
-func (t *Table) held(at time.Duration) {
+// raiseStoreTime records that this copy held all rows of the store when the store's clock read
+// storeTime.
+func (t *Table) raiseStoreTime(storeTime time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heldAt = max(t.heldAt, at)
+	t.asOfStoreTime = max(t.asOfStoreTime, storeTime)
 }
 
-// current moves asOf on.
-func (t *Table) current(asOf time.Time) {
+// raiseAsOf advances asOf to the given time, unless it is later already, and wakes the callers
+// that wait for it.
+func (t *Table) raiseAsOf(asOf time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !asOf.After(t.asOf) {
@@ -86,16 +88,15 @@
 	}
 }
 
-// Confirm has the store asked whether this copy is the newest, at most once in
-// askGap. The channel is closed when it was found to be the newest later than
-// before.
+// Confirm requests a call to the store that confirms that this copy is the newest, at most once
+// per pollGap. The returned channel is closed when asOf next advances.
 func (t *Table) Confirm() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if now := clock.Now(); !now.Before(t.nextConfirm) {
-		t.nextConfirm = now.Add(askGap)
+		t.nextConfirm = now.Add(pollGap)
 		t.confirm = true
-		t.askNow()
+		t.triggerPoll()
 	}
 	if t.confirmed == nil {
 		t.confirmed = make(chan struct{})
@@ -103,13 +104,13 @@
 	return t.confirmed
 }
 
-// behind reports whether copies that were the newest less than bound ago hold
-// rows that this one does not, and did for as long, less what a sentinel may take
-// to read them. Until others knew more, this copy was as new as any.
+// behind returns whether copies that were the newest less than bound ago hold rows that this copy
+// lacks, and have held them for bound, less the time that a sentinel may take to read them. Until
+// other VMs had newer rows, this copy was as new as any.
 func (t *Table) behind(bound time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	late := bound - maxCallGap
-	return t.ahead > t.reached.Load() && clock.Since(t.asOf) > late && clock.Since(t.aheadSince) > late &&
-		clock.Since(t.aheadAsOf) <= bound
+	limit := bound - maxCallGap
+	return t.aheadVersion > t.sharedRevision.Load() && clock.Since(t.asOf) > limit &&
+		clock.Since(t.aheadSince) > limit && clock.Since(t.aheadAsOf) <= bound
 }
--- a/internal/watch/keys_test.go
+++ b/internal/watch/keys_test.go
@@ -13,62 +13,63 @@
 	"garnethoist.org/garnethoist/internal/watch"
 )
 
-// revokeBound is within what time a removed key serves no request any more.
+// revokeBound is the time after which no request with a removed key may be served.
 const revokeBound = 5 * time.Second
 
-// clocked is a store with a clock, which can be set anew and answers nothing while it is away.
-type clocked struct {
+// timeStore is a store that states its clock. The clock can be set, and the store does not
+// answer while down.
+type timeStore struct {
 	zero atomic.Int64
-	away atomic.Bool
+	down atomic.Bool
 }
 
-func newClocked() *clocked {
-	c := &clocked{}
+func newTimeStore() *timeStore {
+	c := &timeStore{}
 	c.set(time.Hour)
 	return c
 }
 
 // set sets the store's clock.
-func (c *clocked) set(now time.Duration) { c.zero.Store(clock.Now().Add(-now).UnixNano()) }
+func (c *timeStore) set(now time.Duration) { c.zero.Store(clock.Now().Add(-now).UnixNano()) }
 
-func (c *clocked) now() time.Duration { return clock.Since(time.Unix(0, c.zero.Load())) }
+func (c *timeStore) now() time.Duration { return clock.Since(time.Unix(0, c.zero.Load())) }
 
-func (c *clocked) answer(ctx context.Context) (store.Rows, error) {
-	if c.away.Load() {
+func (c *timeStore) answer(ctx context.Context) (store.Rows, error) {
+	if c.down.Load() {
 		<-ctx.Done()
 		return store.Rows{}, store.ErrUnavailable
 	}
-	rows := at(5).rows
+	rows := stepAt(5).rows
 	rows.Now = c.now()
 	return rows, nil
 }
 
-func (c *clocked) ListRows(ctx context.Context, _ string) (store.Rows, error) { return c.answer(ctx) }
+func (c *timeStore) ListRows(ctx context.Context, _ string) (store.Rows, error) { return c.answer(ctx) }
 
-func (c *clocked) Changes(ctx context.Context, _ string, _ uint64, _ time.Duration) (store.Rows, error) {
+func (c *timeStore) Changes(ctx context.Context, _ string, _ uint64, _ time.Duration) (store.Rows, error) {
 	return c.answer(ctx)
 }
 
-// keyed returns what a VM knows that has read the store once, which is away since.
-func keyed(t *testing.T) (*watch.Table, *watch.Knowledge, *clocked, *clock.Simulated) {
+// startCutOff returns the state of a VM that has read the store once, before the store went down.
+func startCutOff(t *testing.T) (*watch.Table, *watch.Knowledge, *timeStore, *clock.Simulated) {
 	t.Helper()
 	sim := clock.Simulate()
 	t.Cleanup(sim.Restore)
-	c := newClocked()
-	config, a := startTable(t, c, &large{}, (*watch.Table).SetWhole)
+	c := newTimeStore()
+	config, a := startTable(t, c, &largeGroup{}, (*watch.Table).SetWhole)
 	eventually(t, func() bool { return a.last() == 5 })
 	known := watch.NewKnowledge(config, bound)
 	known.SetRevokeBound(revokeBound)
 	eventually(t, known.KeysCurrent)
-	c.away.Store(true)
+	c.down.Store(true)
 	return config, known, c, sim
 }
 
-// A VM that loses the store serves keys until it may have missed a removal, or a VM that
-// reaches the store vouches for what it knows.
-func TestOthersVouchForKeys(t *testing.T) {
+// A VM that loses the store serves keys until it may have missed a removal, or for longer if a VM
+// that reaches the store reports that this VM's configuration is the newest.
+func TestOthersConfirmKeys(t *testing.T) {
 	is := is.New(t)
-	config, known, c, sim := keyed(t)
+	config, known, c, sim := startCutOff(t)
 	sim.Suspend(4 * time.Second)
 	is.True(known.KeysCurrent())
 	sim.Suspend(time.Second)
@@ -76,35 +77,37 @@
 	config.Heard(5, clock.Now(), c.now())
 	is.True(known.KeysCurrent())
 	sim.Suspend(revokeBound)
-	config.Heard(6, clock.Now(), c.now()) // another VM knows more than this one
+	config.Heard(6, clock.Now(), c.now()) // another VM has a newer configuration
 	is.True(!known.KeysCurrent())
 }
 
-// A VM stood still for 10 s with a datagram in its socket that said that all keys were known.
-// Read after that, and taken for as old as it says, it had removed keys served.
-func TestOldWordDoesNotVouchForKeys(t *testing.T) {
+// Guards against serving removed keys after a pause. A VM is stopped for 10 s while a datagram in
+// its socket says that its configuration is the newest. It reads the datagram after the pause and
+// takes it to be as young as it states.
+func TestOldReportDoesNotConfirmKeys(t *testing.T) {
 	is := is.New(t)
-	config, known, c, sim := keyed(t)
-	told := c.now()
+	config, known, c, sim := startCutOff(t)
+	reported := c.now()
 	sim.Suspend(10 * time.Second)
-	config.Heard(5, clock.Now(), told)
+	config.Heard(5, clock.Now(), reported)
 	is.True(known.Confirmed(context.Background())) // by the age that the datagram states
 	is.True(!known.KeysCurrent())
-	config.Heard(5, clock.Now(), 0) // from a VM that knows no clock of the store
+	config.Heard(5, clock.Now(), 0) // from a VM that does not know the store's clock
 	is.True(!known.KeysCurrent())
 }
 
-// A store whose clock is set back, or word of a time that has not been, vouches for nothing.
+// After the store's clock is set back, or on a report with a clock reading in the future, keys
+// are served only for as long as the store's own answers allow.
 func TestKeysAfterTheStoresClockWasSet(t *testing.T) {
 	is := is.New(t)
-	config, known, c, sim := keyed(t)
+	config, known, c, sim := startCutOff(t)
 	sim.Suspend(10 * time.Second)
 	config.Heard(5, clock.Now(), c.now()+time.Hour)
 	is.True(!known.KeysCurrent())
 	c.set(time.Minute)
-	c.away.Store(false)
+	c.down.Store(false)
 	eventually(t, known.KeysCurrent)
-	c.away.Store(true)
+	c.down.Store(true)
 	sim.Suspend(revokeBound)
 	is.True(!known.KeysCurrent())
 }
--- a/internal/watch/knowledge.go
+++ b/internal/watch/knowledge.go
@@ -8,62 +8,63 @@
 )
 
 const (
-	// wordDelay is how long a report of another VM may wait on a full link
-	// before it says that a copy is newer than it is.
-	wordDelay = 500 * time.Millisecond
-	// confirmWait is how long a caller waits for the store to confirm that no
-	// newer configuration is there: a few times what a call takes across data
-	// centres (12 ms each way, 8 ms in the store).
+	// reportDelay is how long another VM's report may be delayed on a full link, and thus appear
+	// younger than it is.
+	reportDelay = 500 * time.Millisecond
+	// confirmWait is how long a request waits for the store to confirm that there is no newer
+	// configuration. It is a few times the duration of a call across data centres (12 ms each
+	// way, 8 ms in the store).
 	confirmWait = 150 * time.Millisecond
 )
 
-// Knowledge says how far the configuration that this VM has read may be trusted.
+// Knowledge tells whether this VM's copy of the configuration is recent enough to act on.
 type Knowledge struct {
 	config *Table
-	// bound is the oldest knowledge that may speak for the present.
-	bound time.Duration
-	// keys is the oldest knowledge on which keys are served; 0 is any.
-	keys time.Duration
+	// maxAge is the age up to which the copy is taken to be the current configuration.
+	maxAge time.Duration
+	// keysMaxAge is the age up to which keys are served from the copy; 0 means any age.
+	keysMaxAge time.Duration
 }
 
-// NewKnowledge returns what is known of the configuration's table. bound is within
-// what time a change must be in force on every VM.
+// NewKnowledge returns the Knowledge of the configuration table. bound is the time within which a
+// change must take effect on every VM.
 func NewKnowledge(config *Table, bound time.Duration) *Knowledge {
-	return &Knowledge{config: config, bound: max(bound-wordDelay, bound/2)}
+	return &Knowledge{config: config, maxAge: max(bound-reportDelay, bound/2)}
 }
 
 const (
-	// keysMargin is the share of the bound on removed keys that is left for requests which
-	// are on their way from here.
-	keysMargin = 0.05
-	// keysAsk is the share of it after which the store is asked: above the time between the
-	// sentinels' looks, so that a VM that hears of them makes no calls of its own.
-	keysAsk = 0.75
+	// inFlightShare is the share of the revocation bound that is reserved for requests which this
+	// VM has already sent on.
+	inFlightShare = 0.05
+	// keysPollShare is the share of keysMaxAge after which the store is polled. It exceeds the
+	// time between the sentinels' polls, so that a VM that receives their reports makes no calls
+	// of its own.
+	keysPollShare = 0.75
 )
 
-// SetRevokeBound sets within what time a removed key serves no request any more; 0 is no
-// such bound. It is called before any request.
+// SetRevokeBound sets the time after which no request with a removed key may be served; 0 means
+// no bound. It must be called before the first request.
 func (k *Knowledge) SetRevokeBound(bound time.Duration) {
-	k.keys = time.Duration((1 - keysMargin) * float64(bound))
+	k.keysMaxAge = time.Duration((1 - inFlightShare) * float64(bound))
 }
 
-// KeysCurrent reports whether the configuration known was the newest one so short a time ago
-// that each key which it holds may be served. Where that was long ago, it has the store asked.
+// KeysCurrent returns whether the configuration was known to be the newest recently enough to
+// serve the keys in it. If that was long ago, it requests a call to the store.
 func (k *Knowledge) KeysCurrent() bool {
-	if k.keys == 0 {
+	if k.keysMaxAge == 0 {
 		return true
 	}
-	age := clock.Since(k.config.HeldAt())
-	if age > time.Duration(keysAsk*float64(k.keys)) {
+	age := clock.Since(k.config.ConservativeAsOf())
+	if age > time.Duration(keysPollShare*float64(k.keysMaxAge)) {
 		k.config.Confirm()
 	}
-	return age <= k.keys
+	return age <= k.keysMaxAge
 }
 
-// Confirmed reports whether the configuration known is the newest one, but for
-// changes so young that they need not be in force. Where that was not known of
-// late, it asks the store and waits shortly. A view that is read after Confirmed
-// holds the configuration that it speaks of.
+// Confirmed returns whether the configuration is the newest one, apart from changes too recent to
+// be required to have taken effect. If that has not been known recently, it asks the store and
+// waits for at most confirmWait. A view that is read after Confirmed contains the confirmed
+// configuration.
 func (k *Knowledge) Confirmed(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, confirmWait)
 	defer cancel()
@@ -77,10 +78,10 @@
 	return true
 }
 
-func (k *Knowledge) recent() bool { return clock.Since(k.config.AsOf()) <= k.bound }
+// recent returns whether the copy is no older than maxAge.
+func (k *Knowledge) recent() bool { return clock.Since(k.config.AsOf()) <= k.maxAge }
 
-// Behind reports whether other VMs, which reach the store, have read a
-// configuration that must be in force by now and that this one has not: callers
-// are better served there. While the store is away from all VMs none is behind,
-// and they serve on with what they know.
-func (k *Knowledge) Behind() bool { return k.config.behind(k.bound) }
+// Behind returns whether other VMs, which reach the store, have read a configuration that must
+// have taken effect by now and that this VM lacks: they serve callers better. While no VM can
+// reach the store, none is behind, and all keep serving with the configuration that they have.
+func (k *Knowledge) Behind() bool { return k.config.behind(k.maxAge) }
--- a/internal/watch/knowledge_test.go
+++ b/internal/watch/knowledge_test.go
@@ -12,45 +12,45 @@
 	"garnethoist.org/garnethoist/internal/watch"
 )
 
-// bound is within what time changes must be in force; what is older than
-// bound - 500 ms is not trusted.
+// bound is the time within which changes must take effect. A copy older than bound - 500 ms is
+// not trusted.
 const bound = 1500 * time.Millisecond
 
-// steady is a store that answers all calls at once, or none.
-type steady struct {
-	away  atomic.Bool
+// fakeStore is a store that answers all calls at once or, while down, none.
+type fakeStore struct {
+	down  atomic.Bool
 	calls atomic.Int64
 }
 
-func (s *steady) answer(ctx context.Context) (store.Rows, error) {
+func (s *fakeStore) answer(ctx context.Context) (store.Rows, error) {
 	s.calls.Add(1)
-	if s.away.Load() {
+	if s.down.Load() {
 		<-ctx.Done()
 		return store.Rows{}, store.ErrUnavailable
 	}
-	return at(5).rows, nil
+	return stepAt(5).rows, nil
 }
 
-func (s *steady) ListRows(ctx context.Context, _ string) (store.Rows, error) { return s.answer(ctx) }
+func (s *fakeStore) ListRows(ctx context.Context, _ string) (store.Rows, error) { return s.answer(ctx) }
 
-func (s *steady) Changes(ctx context.Context, _ string, _ uint64, _ time.Duration) (store.Rows, error) {
+func (s *fakeStore) Changes(ctx context.Context, _ string, _ uint64, _ time.Duration) (store.Rows, error) {
 	return s.answer(ctx)
 }
 
-// resting returns what a VM knows that reads nothing itself, but when asked.
-func resting(t *testing.T) (*watch.Table, *watch.Knowledge, *steady) {
+// startIdle returns the state of a VM that reads the store only on request.
+func startIdle(t *testing.T) (*watch.Table, *watch.Knowledge, *fakeStore) {
 	t.Helper()
-	f := &steady{}
-	config, a := startTable(t, f, &large{}, (*watch.Table).SetWhole)
+	f := &fakeStore{}
+	config, a := startTable(t, f, &largeGroup{}, (*watch.Table).SetWhole)
 	eventually(t, func() bool { return a.last() == 5 })
 	return config, watch.NewKnowledge(config, bound), f
 }
 
-// What a VM knows counts as of when it was the newest, as the store or others
-// say, and is asked for once for all callers that come together.
+// An old copy is confirmed by the store, with one call for all concurrent requests. Without the
+// store it is not confirmed.
 func TestOldKnowledgeIsConfirmedByTheStore(t *testing.T) {
 	is := is.New(t)
-	_, known, f := resting(t)
+	_, known, f := startIdle(t)
 	is.True(known.Confirmed(context.Background()))
 	is.Equal(f.calls.Load(), int64(1))
 	time.Sleep(bound)
@@ -58,34 +58,34 @@
 		is.True(known.Confirmed(context.Background()))
 	}
 	is.Equal(f.calls.Load(), int64(2))
-	f.away.Store(true)
+	f.down.Store(true)
 	time.Sleep(bound)
 	is.True(!known.Confirmed(context.Background()))
 }
 
-// Others' word confirms what a VM knows without a call, if it has read as far.
+// Reports of other VMs confirm an old copy without a call, if it has reached their version.
 func TestOldKnowledgeIsConfirmedByOthers(t *testing.T) {
 	is := is.New(t)
-	config, known, f := resting(t)
-	f.away.Store(true)
+	config, known, f := startIdle(t)
+	f.down.Store(true)
 	time.Sleep(bound)
 	config.Heard(4, time.Now(), 0)
 	is.True(known.Confirmed(context.Background()))
 	time.Sleep(bound)
-	config.Heard(6, time.Now(), 0) // newer than what is known here
+	config.Heard(6, time.Now(), 0) // newer than this VM's copy
 	is.True(!known.Confirmed(context.Background()))
 }
 
-// A VM is behind where others, which reach the store, know more for longer than
-// changes may take; not while the store is away from them too.
+// A VM is behind if other VMs that reach the store have had a newer version for longer than a
+// change may take, but not while the store is unreachable for them too.
 func TestVMIsBehindWhereOthersKnowMore(t *testing.T) {
 	is := is.New(t)
-	config, known, f := resting(t)
-	f.away.Store(true)
+	config, known, f := startIdle(t)
+	f.down.Store(true)
 	config.Heard(6, time.Now(), 0)
-	is.True(!known.Behind()) // the change is young
+	is.True(!known.Behind()) // the change is recent
 	time.Sleep(bound)
-	is.True(!known.Behind()) // nobody has reached the store of late
+	is.True(!known.Behind()) // no VM has reached the store recently
 	config.Heard(6, time.Now(), 0)
 	is.True(known.Behind())
 	config.Offer(delta(5, 6))
@@ -95,12 +95,12 @@
 	is.True(!known.Behind())
 }
 
-// Old knowledge alone does not make a VM that hears of a first change refuse: it
-// has as long as any to read it.
-func TestVMIsNotBehindAtTheFirstWord(t *testing.T) {
+// A VM with an old copy is not behind at once when it first learns of a newer version: it has as
+// long as any other VM to read it.
+func TestVMIsNotBehindAtTheFirstReport(t *testing.T) {
 	is := is.New(t)
-	config, known, f := resting(t)
-	f.away.Store(true)
+	config, known, f := startIdle(t)
+	f.down.Store(true)
 	time.Sleep(bound)
 	config.Heard(6, time.Now(), 0)
 	is.True(!known.Behind())
@@ -109,33 +109,33 @@
 	is.True(known.Behind())
 }
 
-// late is a store whose answers to calls for changes lie on the way for a while.
-type late struct {
+// delayedStore is a store whose answers to calls for changes are in transit for a while.
+type delayedStore struct {
 	started time.Time
 	delay   time.Duration
-	// made is when the last such answer was made.
+	// made is the store's clock reading when the last such answer was made, in ns.
 	made atomic.Int64
 }
 
-func (l *late) ListRows(context.Context, string) (store.Rows, error) {
-	rows := at(5).rows
+func (l *delayedStore) ListRows(context.Context, string) (store.Rows, error) {
+	rows := stepAt(5).rows
 	rows.Now = time.Since(l.started)
 	return rows, nil
 }
 
-func (l *late) Changes(context.Context, string, uint64, time.Duration) (store.Rows, error) {
-	rows := at(6).rows
+func (l *delayedStore) Changes(context.Context, string, uint64, time.Duration) (store.Rows, error) {
+	rows := stepAt(6).rows
 	rows.Now = time.Since(l.started)
 	l.made.Store(int64(rows.Now))
 	time.Sleep(l.delay)
 	return rows, nil
 }
 
-// An answer that was on the way for long counts from when it was made.
+// The age of an answer that was long in transit counts from when the store made it.
 func TestKnowledgeIsAsOldAsTheStoreSays(t *testing.T) {
 	is := is.New(t)
-	f := &late{started: time.Now().Add(-time.Hour), delay: 400 * time.Millisecond}
-	table, a := startTable(t, f, &large{})
+	f := &delayedStore{started: time.Now().Add(-time.Hour), delay: 400 * time.Millisecond}
+	table, a := startTable(t, f, &largeGroup{})
 	eventually(t, func() bool { return a.last() == 5 })
 	table.Newer(6)
 	eventually(t, func() bool { return a.last() == 6 })
@@ -144,11 +144,11 @@
 	is.True(time.Since(table.AsOf()) >= f.delay-50*time.Millisecond)
 }
 
-// Others are told only what the store has answered this VM: word that goes round
-// would never grow old.
-func TestWordOfOthersIsNotToldAgain(t *testing.T) {
+// Only the store's answers to this VM are reported to other VMs. A time that VMs passed back and
+// forth would never grow old.
+func TestReportedTimesAreNotReportedAgain(t *testing.T) {
 	is := is.New(t)
-	config, _, _ := resting(t)
+	config, _, _ := startIdle(t)
 	read := config.ReadAt()
 	heard := time.Now().Add(time.Second)
 	config.Heard(5, heard, 0)
--- a/internal/watch/link.go
+++ b/internal/watch/link.go
@@ -8,79 +8,80 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// Link notes whether the store can be reached, as its followers find.
+// Link tracks whether the store is reachable, from the results of its followers' calls.
 type Link struct {
 	log   *telemetry.Logger
 	clock storeClock
 
-	mu   sync.Mutex
-	away map[string]time.Time
-	// failedAt is when the last call that failed was begun: the store was away
-	// then.
+	mu        sync.Mutex
+	downSince map[string]time.Time
+	// failedAt is when the last failed call began: the store was unreachable then.
 	failedAt   time.Time
 	regainedAt time.Time
 }
 
-// maxNoticing bounds how long the store may be taken to have been away after the
-// begin of a failed call. A VM is held to its bounds 3 s after it was disturbed last
-// (users' pages); a target whose entry has gone must not be kept beyond, and 200 ms
+// maxDetection limits how long after the start of a failed call the store is still assumed to
+// have been unreachable. A VM must meet its bounds 3 s after the last disturbance, according to
+// the user documentation. A target whose entry has gone must not be kept beyond that, and 200 ms
 // are left for requests on their way to it.
-const maxNoticing = 3*time.Second - lapseGrace - 200*time.Millisecond
+const maxDetection = 3*time.Second - lapseGrace - 200*time.Millisecond
 
-// NewLink returns a link that is up.
+// NewLink returns a Link that is up.
 func NewLink(log *telemetry.Logger) *Link {
-	return &Link{log: log, away: make(map[string]time.Time)}
+	return &Link{log: log, downSince: make(map[string]time.Time)}
 }
 
-// down notes that a call begun at a time has failed.
+// down records that a call for a table, begun at began, has failed.
 func (l *Link) down(table string, began time.Time, cause error) {
 	l.mu.Lock()
 	if began.After(l.failedAt) {
 		l.failedAt = began
 	}
-	_, already := l.away[table]
-	if !already {
-		l.away[table] = clock.Now()
+	_, wasDown := l.downSince[table]
+	if !wasDown {
+		l.downSince[table] = clock.Now()
 	}
 	l.mu.Unlock()
-	if !already {
+	if !wasDown {
 		l.log.Warn(telemetry.EventStoreLost, telemetry.F("table", table), telemetry.F("cause", cause))
 	}
 }
 
+// up records that a call for a table has succeeded.
 func (l *Link) up(table string) {
 	l.mu.Lock()
-	since, was := l.away[table]
-	if was {
-		delete(l.away, table)
+	since, wasDown := l.downSince[table]
+	if wasDown {
+		delete(l.downSince, table)
 		l.regainedAt = l.backAt(clock.Now())
 	}
 	l.mu.Unlock()
-	if was {
-		l.log.Info(telemetry.EventStoreRegained, telemetry.F("table", table), telemetry.F("away_ms", clock.Since(since).Milliseconds()))
+	if wasDown {
+		l.log.Info(telemetry.EventStoreRegained, telemetry.F("table", table),
+			telemetry.F("away_ms", clock.Since(since).Milliseconds()))
 	}
 }
 
-// backAt is when the store is taken to have come back, where that is found now: a
-// call that has to time out, and the pause behind it, may have hidden it for long. The
-// caller holds l.mu.
+// backAt returns when the store is assumed to have become reachable if that is noticed at now. A
+// call that had to time out, and the pause after it, may have hidden it for long. The caller must
+// hold l.mu.
 func (l *Link) backAt(now time.Time) time.Time {
-	if latest := l.failedAt.Add(maxNoticing); latest.Before(now) {
+	if latest := l.failedAt.Add(maxDetection); latest.Before(now) {
 		return latest
 	}
 	return now
 }
 
-// lost reports whether a table's last call failed.
-func (l *Link) lost(table string) bool {
+// isDown returns whether the last call for a table failed.
+func (l *Link) isDown(table string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, away := l.away[table]
-	return away
+	_, down := l.downSince[table]
+	return down
 }
 
-// heard takes in that the store is back, as another VM found.
-func (l *Link) heard(sinceBack time.Duration) {
+// peerRegained records that another VM found the store reachable again sinceBack ago.
+func (l *Link) peerRegained(sinceBack time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if at := clock.Now().Add(-sinceBack); at.After(l.regainedAt) {
@@ -88,15 +89,15 @@
 	}
 }
 
-// Since returns how long the store has been back, at least; where a table is still
-// away, how long it would have been if it came back now. It is false where the store
-// has not been away.
-func (l *Link) Since() (time.Duration, bool) {
+// SinceBack returns for at least how long the store has been reachable again. If a table's calls
+// still fail, it returns the time as if they succeeded now. It returns false if the store has not
+// been unreachable.
+func (l *Link) SinceBack() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
 	switch {
-	case len(l.away) > 0:
+	case len(l.downSince) > 0:
 		return now.Sub(l.backAt(now)), true
 	case l.regainedAt.IsZero():
 		return 0, false
--- a/internal/watch/offer.go
+++ b/internal/watch/offer.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// maxOffers bounds the changes passed on that wait to be taken in.
+	// maxOffers limits the queue of forwarded changes.
 	maxOffers = 32
-	// restCheck is how often a VM that rests looks whether it must watch the
-	// store itself, below the time after which a silent VM does not count.
-	restCheck = 200 * time.Millisecond
+	// idleCheck is how often an idle VM checks whether it must watch the store itself. It is
+	// shorter than the time after which a silent VM counts as failed.
+	idleCheck = 200 * time.Millisecond
 )
 
-// Offer takes in changes that a sentinel has read.
+// Offer queues changes that a sentinel has forwarded. If the queue is full, the table polls the
+// store instead.
 func (t *Table) Offer(d store.Delta) {
 	select {
 	case t.offers <- d:
@@ -25,38 +26,38 @@
 	}
 }
 
-// rests reports whether the VM waits for what sentinels pass on.
-func (t *Table) rests() bool { return !t.waits() && !t.asks() }
+// idle returns whether the VM makes no calls and waits for changes that sentinels forward.
+func (t *Table) idle() bool { return !t.watchesStore() && !t.pollDue() }
 
-// rest waits for an offer, or until the VM has to call itself.
-func (t *Table) rest(ctx context.Context) {
-	timer := time.NewTimer(restCheck)
+// waitForOffer waits for an offer, or until this VM may have to call the store itself.
+func (t *Table) waitForOffer(ctx context.Context) {
+	timer := time.NewTimer(idleCheck)
 	defer timer.Stop()
 	select {
 	case d := <-t.offers:
-		t.take(d)
+		t.applyOffer(d)
 	case <-t.wake:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// takeOffers takes in what has been passed on while this VM made a call: where its
-// calls fail, others may still be heard.
-func (t *Table) takeOffers() {
+// applyOffers applies the changes that arrived while this VM made a call. If its own calls fail,
+// other VMs may still be reachable.
+func (t *Table) applyOffers() {
 	for t.listed {
 		select {
 		case d := <-t.offers:
-			t.take(d)
+			t.applyOffer(d)
 		default:
 			return
 		}
 	}
 }
 
-// take applies changes that follow what is known. Where some are missing
-// between, the store is asked.
-func (t *Table) take(d store.Delta) {
+// applyOffer applies changes that continue this copy. If some in between are missing, it requests
+// a poll instead.
+func (t *Table) applyOffer(d store.Delta) {
 	switch {
 	case d.Rows.Revision <= t.revision:
 		return
@@ -64,19 +65,20 @@
 		t.Newer(d.Rows.Revision)
 		return
 	}
-	t.log.Info(telemetry.EventPassedOn, telemetry.F("table", t.name), telemetry.F("from", d.From), telemetry.F("revision", d.Rows.Revision))
+	t.log.Info(telemetry.EventPassedOn, telemetry.F("table", t.name), telemetry.F("from", d.From),
+		telemetry.F("revision", d.Rows.Revision))
 	if d.WasAway {
-		t.link.heard(d.SinceBack)
+		t.link.peerRegained(d.SinceBack)
 	}
-	t.changed = d.Rows.Revision
-	t.note(d.Rows)
+	t.lastChange = d.Rows.Revision
+	t.raiseNewest(d.Rows)
 	t.apply(d.Rows, false)
-	t.reach(d.Rows.Revision)
+	t.setRevision(d.Rows.Revision)
 }
 
-// publish passes changes on to the VMs that rest.
+// publish forwards changes to the idle VMs. from is the revision of the last change before them.
 func (t *Table) publish(from uint64, rows store.Rows) {
 	d := store.Delta{From: from, Rows: rows}
-	d.SinceBack, d.WasAway = t.link.Since()
+	d.SinceBack, d.WasAway = t.link.SinceBack()
 	t.group.Publish(t.name, d)
 }
--- a/internal/watch/offer_test.go
+++ b/internal/watch/offer_test.go
@@ -14,38 +14,38 @@
 	"garnethoist.org/garnethoist/internal/watch"
 )
 
-// large is a group whose sentinels pass on what they read.
-type large struct {
-	sentinel atomic.Bool
-	mu       sync.Mutex
-	passed   []store.Delta
+// largeGroup is a group whose sentinels forward the changes that they read.
+type largeGroup struct {
+	sentinel  atomic.Bool
+	mu        sync.Mutex
+	published []store.Delta
 }
 
-func (*large) Joined() <-chan struct{} { return joined }
+func (*largeGroup) Joined() <-chan struct{} { return joined }
 
-func (g *large) Sentinel() bool { return g.sentinel.Load() }
-func (g *large) Size() int      { return 1 }
-func (g *large) PassesOn() bool { return true }
+func (g *largeGroup) Sentinel() bool { return g.sentinel.Load() }
+func (g *largeGroup) Size() int      { return 1 }
+func (g *largeGroup) PassesOn() bool { return true }
 
-func (g *large) Publish(_ string, d store.Delta) {
+func (g *largeGroup) Publish(_ string, d store.Delta) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.passed = append(g.passed, d)
+	g.published = append(g.published, d)
 }
 
-// applied keeps the revisions that a follower took in.
-type applied struct {
+// recorder records the revisions that a table applied.
+type recorder struct {
 	mu        sync.Mutex
 	revisions []uint64
 }
 
-func (a *applied) apply(rows store.Rows, _ bool) {
+func (a *recorder) apply(rows store.Rows, _ bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.revisions = append(a.revisions, rows.Revision)
 }
 
-func (a *applied) last() uint64 {
+func (a *recorder) last() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.revisions) == 0 {
@@ -54,15 +54,17 @@
 	return a.revisions[len(a.revisions)-1]
 }
 
-func at(revision uint64) step {
-	return step{rows: store.Rows{Revision: revision, Rows: []store.Row{{Key: "k", Value: []byte(`{}`), Version: revision}}}}
+func stepAt(revision uint64) step {
+	return step{rows: store.Rows{Revision: revision,
+		Rows: []store.Row{{Key: "k", Value: []byte(`{}`), Version: revision}}}}
 }
 
-func delta(from, to uint64) store.Delta { return store.Delta{From: from, Rows: at(to).rows} }
+func delta(from, to uint64) store.Delta { return store.Delta{From: from, Rows: stepAt(to).rows} }
 
-func startTable(t *testing.T, f store.Feed, g watch.Group, options ...func(*watch.Table)) (*watch.Table, *applied) {
+func startTable(t *testing.T, f store.Feed, g watch.Group,
+	options ...func(*watch.Table)) (*watch.Table, *recorder) {
 	t.Helper()
-	a := &applied{}
+	a := &recorder{}
 	table := watch.NewTable(f, "t", watch.NewLink(telemetry.Discard()), g, a.apply, telemetry.Discard())
 	for _, option := range options {
 		option(table)
@@ -84,29 +86,30 @@
 	return len(f.calls)
 }
 
-// A VM to which changes are passed on makes no call while none is missing.
-func TestPassedOnChangesNeedNoCall(t *testing.T) {
+// A VM that receives all changes from sentinels makes no call.
+func TestForwardedChangesNeedNoCall(t *testing.T) {
 	is := is.New(t)
-	f := &feed{steps: []step{at(5)}}
-	table, a := startTable(t, f, &large{})
+	f := &feed{steps: []step{stepAt(5)}}
+	table, a := startTable(t, f, &largeGroup{})
 	eventually(t, func() bool { return a.last() == 5 })
 	table.Offer(delta(5, 7))
 	eventually(t, func() bool { return a.last() == 7 })
-	table.Offer(delta(4, 6)) // late: known already
-	table.Offer(delta(6, 9)) // overlaps: what is known comes again
+	table.Offer(delta(4, 6)) // late: already applied
+	table.Offer(delta(6, 9)) // overlaps with changes already applied
 	eventually(t, func() bool { return a.last() == 9 })
 	time.Sleep(300 * time.Millisecond)
 	is.Equal(f.called(), 1)
 	is.Equal(a.revisions, []uint64{5, 7, 9})
 }
 
-// Changes that are missing between are asked for, and nothing goes back.
-func TestMissingChangesAreAskedFor(t *testing.T) {
+// If forwarded changes are lost, the store is polled for them, and the table never goes back to
+// an older revision.
+func TestMissingChangesArePolled(t *testing.T) {
 	is := is.New(t)
-	f := &feed{steps: []step{at(5), at(9)}}
-	table, a := startTable(t, f, &large{})
+	f := &feed{steps: []step{stepAt(5), stepAt(9)}}
+	table, a := startTable(t, f, &largeGroup{})
 	eventually(t, func() bool { return a.last() == 5 })
-	table.Offer(delta(8, 9)) // 6 to 8 were lost on the way
+	table.Offer(delta(8, 9)) // the change to 8 was lost
 	eventually(t, func() bool { return a.last() == 9 })
 	is.Equal(f.called(), 2)
 	table.Offer(delta(5, 8))
@@ -115,11 +118,11 @@
 	is.Equal(a.revisions, []uint64{5, 9, 10})
 }
 
-// Word of a newer row makes a resting VM ask, and a VM that becomes a sentinel
-// watches itself.
-func TestRestingVMAsksWhenTold(t *testing.T) {
-	g := &large{}
-	f := &feed{steps: []step{at(5), at(6), at(7)}}
+// An idle VM polls when told of a newer version, and watches the store itself once it is a
+// sentinel.
+func TestIdleVMPollsWhenTold(t *testing.T) {
+	g := &largeGroup{}
+	f := &feed{steps: []step{stepAt(5), stepAt(6), stepAt(7)}}
 	table, a := startTable(t, f, g)
 	eventually(t, func() bool { return a.last() == 5 })
 	table.Newer(6)
@@ -128,46 +131,48 @@
 	eventually(t, func() bool { return a.last() == 7 })
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	last := g.passed[len(g.passed)-1]
+	last := g.published[len(g.published)-1]
 	is.New(t).Equal(last.From, uint64(6))
 	is.New(t).Equal(last.Rows.Revision, uint64(7))
 }
 
-// A store that cannot be reached when a resting VM asks is asked again.
-func TestRestingVMAsksUntilAnswered(t *testing.T) {
-	f := &feed{steps: []step{at(5), {err: store.ErrUnavailable}, {err: store.ErrUnavailable}, at(8)}}
-	table, a := startTable(t, f, &large{})
+// An idle VM whose poll fails tries again until it gets an answer.
+func TestIdleVMPollsUntilAnswered(t *testing.T) {
+	f := &feed{steps: []step{stepAt(5), {err: store.ErrUnavailable}, {err: store.ErrUnavailable},
+		stepAt(8)}}
+	table, a := startTable(t, f, &largeGroup{})
 	eventually(t, func() bool { return a.last() == 5 })
 	table.Newer(8)
 	eventually(t, func() bool { return a.last() == 8 })
 }
 
-// Revisions without a change of the table leave no gap: a VM that rests has not
-// heard of them.
-func TestPassedOnChangesFollowTheLastChange(t *testing.T) {
+// Published changes follow the last change of the table: idle VMs have not seen revisions without
+// a change, and must not take them for a gap.
+func TestForwardedChangesFollowTheLastChange(t *testing.T) {
 	is := is.New(t)
-	g := &large{}
+	g := &largeGroup{}
 	g.sentinel.Store(true)
-	f := &feed{steps: []step{at(5), {rows: store.Rows{Revision: 8}}, at(9)}}
+	f := &feed{steps: []step{stepAt(5), {rows: store.Rows{Revision: 8}}, stepAt(9)}}
 	_, a := startTable(t, f, g)
 	eventually(t, func() bool { return a.last() == 9 })
 	eventually(t, func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return len(g.passed) > 0
+		return len(g.published) > 0
 	})
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	is.Equal(g.passed[0].From, uint64(5))
+	is.Equal(g.published[0].From, uint64(5))
 }
 
-// narrow is a feed whose answers take a while, as over a narrow link.
-type narrow struct {
+// slowFeed is a feed whose answers take a while, as on a narrow link.
+type slowFeed struct {
 	feed
 	takes time.Duration
 }
 
-func (n *narrow) Changes(ctx context.Context, table string, after uint64, wait time.Duration) (store.Rows, error) {
+func (n *slowFeed) Changes(ctx context.Context, table string, after uint64,
+	wait time.Duration) (store.Rows, error) {
 	select {
 	case <-ctx.Done():
 		return store.Rows{}, ctx.Err()
@@ -176,11 +181,11 @@
 	}
 }
 
-// More word of newer rows does not end a call that is made for them: it would
-// never be answered where an answer takes longer than word takes to come again.
-func TestCallForNewsIsNotEndedByMoreNews(t *testing.T) {
-	f := &narrow{feed: feed{steps: []step{at(5), at(6)}}, takes: 200 * time.Millisecond}
-	table, a := startTable(t, f, &large{})
+// Being told again of newer versions does not cancel the poll that is in progress for them.
+// Otherwise it would never be answered if an answer takes longer than the time between reports.
+func TestPollIsNotCancelledByNewerVersions(t *testing.T) {
+	f := &slowFeed{feed: feed{steps: []step{stepAt(5), stepAt(6)}}, takes: 200 * time.Millisecond}
+	table, a := startTable(t, f, &largeGroup{})
 	eventually(t, func() bool { return a.last() == 5 })
 	table.Newer(6)
 	end := time.Now().Add(2 * time.Second)
@@ -191,54 +196,54 @@
 	is.New(t).Equal(a.last(), uint64(6))
 }
 
-// behind is a store whose reads are older than what others have read.
-type behind struct{ calls atomic.Int64 }
+// lagStore is a store whose reads are older than what other VMs have read.
+type lagStore struct{ calls atomic.Int64 }
 
-func (b *behind) ListRows(context.Context, string) (store.Rows, error) { return at(5).rows, nil }
+func (b *lagStore) ListRows(context.Context, string) (store.Rows, error) { return stepAt(5).rows, nil }
 
-func (b *behind) Changes(context.Context, string, uint64, time.Duration) (store.Rows, error) {
+func (b *lagStore) Changes(context.Context, string, uint64, time.Duration) (store.Rows, error) {
 	b.calls.Add(1)
 	return store.Rows{Revision: 5}, nil
 }
 
-// A store that does not show yet what others have read is asked again, but not
-// without pause: calls are priced, and all VMs would make them at once.
-func TestNewsThatDoesNotComeIsAskedForSeldom(t *testing.T) {
+// A store that does not yet return what other VMs have read is polled again, but not without
+// pause: calls cost money, and all VMs would make them at once.
+func TestPollsForMissingRowsAreRateLimited(t *testing.T) {
 	is := is.New(t)
-	f := &behind{}
-	table, a := startTable(t, f, &large{})
+	f := &lagStore{}
+	table, a := startTable(t, f, &largeGroup{})
 	eventually(t, func() bool { return a.last() == 5 })
 	for range 40 {
 		table.Newer(9)
 		time.Sleep(50 * time.Millisecond)
 	}
 	n := f.calls.Load()
-	is.True(n >= 2) // asked again
-	is.True(n <= 4) // one in 800 ms
+	is.True(n >= 2) // polled again
+	is.True(n <= 4) // one poll per 800 ms
 }
 
-// A table of few, large rows is listed where news is missing: its changes would
-// hold each version.
-func TestTableOfFewRowsIsListedForNews(t *testing.T) {
+// A table of few, large rows is polled by listing it, because its changes would contain every
+// version of a row.
+func TestTableOfFewRowsIsListedOnPoll(t *testing.T) {
 	is := is.New(t)
-	g := &large{}
-	f := &feed{steps: []step{at(5), at(9), at(10)}}
+	g := &largeGroup{}
+	f := &feed{steps: []step{stepAt(5), stepAt(9), stepAt(10)}}
 	table, a := startTable(t, f, g, (*watch.Table).SetWhole)
 	eventually(t, func() bool { return a.last() == 5 })
 	table.Newer(8)
 	eventually(t, func() bool { return a.last() == 9 })
-	g.sentinel.Store(true) // watches for changes itself
+	g.sentinel.Store(true) // now it waits for changes itself
 	eventually(t, func() bool { return a.last() == 10 })
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	is.Equal(f.calls[:3], []string{"list", "list", "changes"})
 }
 
-// A sentinel whose calls fail takes in what another one passes on.
-func TestCutOffSentinelTakesWhatIsPassedOn(t *testing.T) {
-	g := &large{}
+// A sentinel whose own calls fail applies changes that another sentinel forwards.
+func TestCutOffSentinelAppliesForwardedChanges(t *testing.T) {
+	g := &largeGroup{}
 	g.sentinel.Store(true)
-	f := &feed{steps: []step{at(5)}} // all calls after it fail
+	f := &feed{steps: []step{stepAt(5)}} // all later calls fail
 	table, a := startTable(t, f, g)
 	eventually(t, func() bool { return a.last() == 5 })
 	table.Offer(delta(5, 7))
--- a/internal/watch/storeclock.go
+++ b/internal/watch/storeclock.go
@@ -5,55 +5,56 @@
 	"time"
 )
 
-// clockPeriod is how long the least delay of answers counts, once or twice: two
-// clocks that drift by 100 parts in a million differ by 60 ms after it.
+// clockPeriod is the period over which the minimum delay of answers is taken; the previous period
+// counts too. Two clocks that drift by 100 parts per million differ by 60 ms after two periods.
 const clockPeriod = 5 * time.Minute
 
-// storeClock tells when the store answered, by the store's own clock: an answer may
-// lie on the way, or in a process that stands still, for seconds.
+// storeClock maps readings of the store's clock to local times. An answer may be delayed for
+// seconds, in the network or while this process is stopped.
 type storeClock struct {
 	mu sync.Mutex
-	// zero is when the store's clock was zero, later by the least delay of an
-	// answer in this period, and before the same in the period before.
-	zero, before time.Time
-	// floor is the latest time that is known not to be after the store's zero in this period,
-	// and floorBefore the same in the one before: an answer was made after its call began.
-	floor, floorBefore time.Time
-	// until is when the period ends.
-	until time.Time
+	// zero is the estimated local time at which the store's clock was zero. It is too late by the
+	// minimum delay of the answers in this period. prevZero is the same for the previous period.
+	zero, prevZero time.Time
+	// floor is a lower bound of the local time at which the store's clock was zero: an answer is
+	// made after its call began. It is the latest bound of this period, and prevFloor that of the
+	// previous one.
+	floor, prevFloor time.Time
+	// periodEnd is when the period ends.
+	periodEnd time.Time
 }
 
-// driftSlack is above what two clocks drift apart in two periods.
+// driftSlack exceeds the drift between two clocks in two periods.
 const driftSlack = 100 * time.Millisecond
 
-// answered returns when an answer was made that states now and was there at
-// received; its call was made at began.
-func (c *storeClock) answered(now time.Duration, began, received time.Time) time.Time {
+// observe returns the local time at which an answer was made. now is the store's clock reading in
+// it, began when the call began and received when the answer arrived.
+func (c *storeClock) observe(now time.Duration, began, received time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	zero, floor := received.Add(-now), began.Add(-now)
-	if zero.Add(driftSlack).Before(later(c.floor, c.floorBefore)) {
-		// The store's clock has been set anew.
-		c.before, c.zero, c.floorBefore, c.floor, c.until = time.Time{}, zero, time.Time{}, floor, received.Add(clockPeriod)
+	if zero.Add(driftSlack).Before(later(c.floor, c.prevFloor)) {
+		// The store's clock has been set.
+		c.prevZero, c.zero, c.prevFloor, c.floor, c.periodEnd = time.Time{}, zero, time.Time{}, floor, received.Add(clockPeriod)
 	}
-	if received.After(c.until) {
-		c.before, c.zero, c.until = c.zero, zero, received.Add(clockPeriod)
-		c.floorBefore, c.floor = c.floor, floor
+	if received.After(c.periodEnd) {
+		c.prevZero, c.zero, c.periodEnd = c.zero, zero, received.Add(clockPeriod)
+		c.prevFloor, c.floor = c.floor, floor
 	}
 	c.zero, c.floor = earlier(zero, c.zero), later(floor, c.floor)
-	return earlier(c.zero, c.before).Add(now)
+	return earlier(c.zero, c.prevZero).Add(now)
 }
 
-// notBefore returns a time that is not after the one at which the store's clock was now, or
-// false before the store has answered.
-func (c *storeClock) notBefore(now time.Duration) (time.Time, bool) {
+// earliest returns a local time that is not after the moment at which the store's clock read now.
+// It returns false before the first answer.
+func (c *storeClock) earliest(now time.Duration) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	floor := later(c.floor, c.floorBefore)
+	floor := later(c.floor, c.prevFloor)
 	return floor.Add(now - driftSlack), !floor.IsZero()
 }
 
-// earlier returns the earlier of two times, of which b may be none.
+// earlier returns the earlier of two times. A zero b is ignored.
 func earlier(a, b time.Time) time.Time {
 	if b.IsZero() || a.Before(b) {
 		return a
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,6 +1,7 @@
-// Package watch follows tables of the store: it lists a table once and then
-// takes in its changes through one waiting call. While the store is away the
-// last state stays in force.
+// Package watch keeps a local copy of tables in the store. It lists a table once and then follows
+// its changes by long polling. While the store is unreachable, the last state stays in use. In a
+// large group only a few VMs, the sentinels, long-poll the store. They forward changes to the
+// other VMs, which call the store only for what they have missed.
 package watch
 
 import (
@@ -19,42 +20,41 @@
 )
 
 const (
-	// shortWait is how long one call of a sentinel waits for changes. A call on
-	// a dead connection is given up a call's timeout later, so this bounds how
-	// long a healed cut can go unnoticed.
-	shortWait = 2 * time.Second
-	// longWait is the same for the others, whom the sentinels tell of news.
-	longWait = 20 * time.Second
-	// noWait is the same for a VM to which changes are passed on: it calls only
-	// for what it has missed. It is so too after a call that failed, for any VM: a
-	// connection that fell silent would count as the store's absence for a whole
-	// wait else. Zero would mean no bound to some stores.
-	noWait = time.Millisecond
-	// callGapPerVM is the least time between two calls of one VM, for each VM in
-	// the group: changes that come together are taken in one call, and all VMs
-	// together call no oftener as the group grows.
+	// sentinelWait is the long-poll timeout of a sentinel. A call on a dead connection fails one
+	// call timeout after it, so this limits how long the end of a network cut can go unnoticed.
+	sentinelWait = 2 * time.Second
+	// followerWait is the long-poll timeout of other VMs, which sentinels inform of changes.
+	followerWait = 20 * time.Second
+	// pollWait is the timeout of a poll, a call that does not wait for changes. Idle VMs poll
+	// only for what they have missed. Any VM polls after a failed call: in a long poll, a
+	// connection that has gone silent would make the store appear unreachable for the whole
+	// timeout. Some stores take zero as no timeout.
+	pollWait = time.Millisecond
+	// callGapPerVM times the number of VMs in the group is the least time between two calls of
+	// one VM. Changes in quick succession are read in one call, and the number of calls of all
+	// VMs together does not grow with the group.
 	callGapPerVM = 6 * time.Millisecond
-	// maxCallGap keeps news well within the two seconds that they may take.
+	// maxCallGap keeps the delay of changes well within the two seconds allowed.
 	maxCallGap = 400 * time.Millisecond
-	// askGap is the least time between two calls that are made because others
-	// know newer rows: versions that come together are read once. With the
-	// grace of the word and a sentinel's own gap, news still take less than the
-	// two seconds that the strictest installation allows.
-	askGap = 800 * time.Millisecond
-	// joinWait is how long the first call waits for the group to be known: above the
-	// time over which the VMs of a group that starts register.
+	// pollGap is the least time between two polls for newer rows of other VMs: versions in quick succession are read in one call.
+	// Together with the grace period of reports and a sentinel's own
+	// call gap, a change still takes less than the two seconds that the strictest installation
+	// allows.
+	pollGap = 800 * time.Millisecond
+	// joinWait is how long the first call waits until the members of the group are known. It
+	// exceeds the time over which the VMs of a starting group register.
 	joinWait = 3 * time.Second
-	// Waits between calls that fail; a process that has just lost the store
-	// asks soon, one that waits for long asks seldom.
+	// Backoff between failed calls. A process that has just lost the store retries soon, one that
+	// has waited for long retries less often.
 	firstBackoff = 50 * time.Millisecond
 	maxBackoff   = 800 * time.Millisecond
 )
 
-// Apply takes in rows. full says that rows is the whole table, else its
-// changes.
+// Apply applies rows to the local state. If full is true, the rows are the whole table, otherwise
+// its changes.
 type Apply func(rows store.Rows, full bool)
 
-// Table follows one table.
+// Table is the local copy of one table. Its exported methods are safe for concurrent use.
 type Table struct {
 	kernel.Background
 	feed  store.Feed
@@ -64,110 +64,111 @@
 	link  *Link
 	group Group
 
-	// revision is the newest one taken in, and changed the one at which the table
-	// last changed or was listed: no row has changed between them. Only follow
-	// uses them.
-	revision uint64
-	changed  uint64
-	listed   bool
-	// newest is the highest version of a row taken in.
+	// revision is the newest applied revision, and lastChange the revision at which the table
+	// last changed or was listed: no row has changed between the two. Only followLoop uses
+	// revision, lastChange and listed.
+	revision   uint64
+	lastChange uint64
+	listed     bool
+	// newest is the highest version of an applied row.
 	newest atomic.Uint64
-	// reached is revision, for others.
-	reached atomic.Uint64
+	// sharedRevision is revision, for use by other goroutines.
+	sharedRevision atomic.Uint64
 
-	// whole says that news is read by listing the table, see SetWhole.
-	whole bool
+	// listOnPoll says that polls list the table, see SetWhole.
+	listOnPoll bool
 
-	// offers are the changes that sentinels have passed on, and wake tells that
-	// a call must be made.
+	// offers are the changes that sentinels have forwarded. wake signals that a poll is due.
 	offers chan store.Delta
 	wake   chan struct{}
 
 	mu sync.Mutex
-	// cancel ends the call under way where that one waits for changes, and
-	// renewed says that it was ended.
-	cancel  context.CancelFunc
-	renewed bool
-	// wanted is the highest version that another VM is known to have read, and
-	// nextAsk when a call may next be made for it.
-	wanted  uint64
-	nextAsk time.Time
-	// asOf is a time at which this copy of the table held all that the store
-	// held, and readAt the same by the store's answers only.
+	// cancel cancels the long poll in progress, if any. interrupted says that it was cancelled in
+	// order to poll.
+	cancel      context.CancelFunc
+	interrupted bool
+	// wantedVersion is the highest version that another VM is known to have read. nextPoll is
+	// when the next poll for it may be made.
+	wantedVersion uint64
+	nextPoll      time.Time
+	// asOf is a time at which this copy held all rows of the store. readAt is the same by the
+	// store's answers to this VM only.
 	asOf   time.Time
 	readAt time.Time
-	// heldAt is asOf, and readClock readAt, by the store's clock. heldSince is the same as
-	// heldAt for a store without one: when the newest call began.
-	heldAt    time.Duration
-	readClock time.Duration
-	heldSince time.Time
-	// ahead is the highest version that another VM's copy held which this one
-	// does not, aheadAsOf is asOf of such copies, and aheadSince is when the first
-	// such version was heard of.
-	ahead      uint64
-	aheadAsOf  time.Time
-	aheadSince time.Time
-	// confirmed, where a caller has asked for it, is closed when asOf moves on.
+	// asOfStoreTime is asOf, and readStoreTime readAt, on the store's clock. lastCallBegan is
+	// when the last answered call began; it replaces asOfStoreTime if the store states no clock.
+	asOfStoreTime time.Duration
+	readStoreTime time.Duration
+	lastCallBegan time.Time
+	// aheadVersion is the highest version of another VM's copy that this copy has not reached.
+	// aheadAsOf is the latest asOf of such copies, and aheadSince when the first such version was
+	// reported.
+	aheadVersion uint64
+	aheadAsOf    time.Time
+	aheadSince   time.Time
+	// confirmed, if not nil, is closed when asOf advances.
 	confirmed chan struct{}
-	// confirm says that a caller waits for that, and nextConfirm when a call may
-	// next be made for callers.
+	// confirm says that a caller waits for that. nextConfirm is when the next poll for callers
+	// may be made.
 	confirm     bool
 	nextConfirm time.Time
 }
 
-// Group is the VMs that follow the same store.
+// Group is the set of VMs that follow the same store.
 type Group interface {
-	// Joined is closed once the group is known.
+	// Joined returns a channel that is closed once the members of the group are known.
 	Joined() <-chan struct{}
-	// Sentinel reports whether this VM is one of the few that watch closely.
+	// Sentinel returns whether this VM is one of the few that long-poll the store with a short
+	// timeout.
 	Sentinel() bool
-	// Size counts the VMs.
+	// Size returns the number of VMs.
 	Size() int
-	// PassesOn reports whether the sentinels pass on what they read, so that the
-	// others need no calls of their own.
+	// PassesOn returns whether sentinels forward the changes that they read, so that other VMs
+	// need not call the store.
 	PassesOn() bool
-	// Publish passes changes of a table on, where this VM is to do so.
+	// Publish forwards changes of a table to other VMs if this VM is a sentinel and the group
+	// forwards changes.
 	Publish(table string, d store.Delta)
 }
 
-// NewTable returns a follower of the table called name. link is shared by all
-// followers of one store. A sentinel of the group asks again every few seconds;
-// others wait longer and are told of news by Newer.
-func NewTable(feed store.Feed, name string, link *Link, group Group, apply Apply, log *telemetry.Logger) *Table {
+// NewTable returns a Table that follows the store's table of the given name. All tables of one
+// store share a link. apply is called from one goroutine.
+func NewTable(feed store.Feed, name string, link *Link, group Group, apply Apply,
+	log *telemetry.Logger) *Table {
 	return &Table{
 		feed: feed, name: name, link: link, group: group, apply: apply, log: log,
 		offers: make(chan store.Delta, maxOffers), wake: make(chan struct{}, 1),
 	}
 }
 
-// SetWhole makes the table ask for news by listing itself. It is meant for a
-// table of few, large rows: its changes hold each version of a row, and on a
-// narrow link some versions together take longer than news may. It is called
-// before Start.
-func (t *Table) SetWhole() { t.whole = true }
+// SetWhole makes polls list the whole table. It is meant for tables of few, large rows: changes
+// contain every version of a row, and on a narrow link several versions take longer to transfer
+// than a change may take. It must be called before Start.
+func (t *Table) SetWhole() { t.listOnPoll = true }
 
 // Name returns the table's name.
 func (t *Table) Name() string { return t.name }
 
-// Newest returns the highest version of a row taken in.
+// Newest returns the highest version of an applied row.
 func (t *Table) Newest() uint64 { return t.newest.Load() }
 
-// Newer tells that another VM has read a row of a version: unless this one has
-// too, it asks at once. A call that waits is ended, as it may be on a dead
-// connection; one that was made to ask is not, as it ends by itself.
+// Newer reports that another VM has read a row of the given version. If this copy has not reached
+// it, the table polls as soon as pollGap allows. A long poll is cancelled, because it may be on a
+// dead connection; a poll is not, because it ends by itself.
 func (t *Table) Newer(version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.wanted = max(t.wanted, version)
-	if t.mayAsk() {
-		t.askNow()
+	t.wantedVersion = max(t.wantedVersion, version)
+	if t.pollDueLocked() {
+		t.triggerPoll()
 	}
 }
 
-// askNow has a call made that does not wait; the caller holds t.mu.
-func (t *Table) askNow() {
+// triggerPoll wakes the loop for a poll and cancels a long poll in progress. The caller must hold
+// t.mu.
+func (t *Table) triggerPoll() {
 	if t.cancel != nil {
-		t.renewed = true
+		t.interrupted = true
 		t.cancel()
 	}
 	select {
@@ -176,38 +177,38 @@
 	}
 }
 
-// mayAsk reports whether the next call asks at once; the caller holds t.mu.
-func (t *Table) mayAsk() bool {
-	return t.confirm || (t.wanted > t.reached.Load() && !clock.Now().Before(t.nextAsk))
+// pollDueLocked is pollDue for callers that hold t.mu.
+func (t *Table) pollDueLocked() bool {
+	return t.confirm || (t.wantedVersion > t.sharedRevision.Load() && !clock.Now().Before(t.nextPoll))
 }
 
-// asks reports whether the next call asks at once: for what others know, or for
-// callers that wait.
-func (t *Table) asks() bool {
+// pollDue returns whether the next call must be a poll: for a newer version of other VMs, or for
+// callers of Confirm.
+func (t *Table) pollDue() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.mayAsk()
+	return t.pollDueLocked()
 }
 
-// begin is asks for the call that now begins: callers that come later need
-// another one.
-func (t *Table) begin() bool {
+// beginCall returns pollDue for the call that now begins, and clears confirm: callers of Confirm
+// that come later need another call.
+func (t *Table) beginCall() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	asks := t.mayAsk()
+	poll := t.pollDueLocked()
 	t.confirm = false
-	return asks
+	return poll
 }
 
-// asked notes that a call has asked, and been answered.
-func (t *Table) asked() {
+// polled records that a poll has been answered.
+func (t *Table) polled() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.nextAsk = clock.Now().Add(askGap)
+	t.nextPoll = clock.Now().Add(pollGap)
 }
 
-// waitFor makes one call that waits for changes, which Newer can end.
-func (t *Table) waitFor(ctx context.Context, f func(ctx context.Context) (store.Rows, error)) (store.Rows, error) {
+// longPoll makes one call that waits for changes. triggerPoll can cancel it.
+func (t *Table) longPoll(ctx context.Context, f func(ctx context.Context) (store.Rows, error)) (store.Rows, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	t.mu.Lock()
@@ -221,22 +222,23 @@
 	return f(ctx)
 }
 
-func (t *Table) takeRenewed() bool {
+// takeInterrupted returns and clears interrupted.
+func (t *Table) takeInterrupted() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	was := t.renewed
-	t.renewed = false
-	return was
+	interrupted := t.interrupted
+	t.interrupted = false
+	return interrupted
 }
 
-// reach takes in that all changes up to a revision are known.
-func (t *Table) reach(revision uint64) {
+// setRevision records that all changes up to a revision have been applied.
+func (t *Table) setRevision(revision uint64) {
 	t.revision = revision
-	t.reached.Store(revision)
+	t.sharedRevision.Store(revision)
 }
 
-// note raises newest to the rows' versions.
-func (t *Table) note(rows store.Rows) {
+// raiseNewest raises newest to the highest version of the rows.
+func (t *Table) raiseNewest(rows store.Rows) {
 	for _, r := range rows.Rows {
 		if r.Version > t.newest.Load() {
 			t.newest.Store(r.Version)
@@ -244,15 +246,15 @@
 	}
 }
 
-// Start begins to follow.
+// Start starts to follow the table in the background.
 func (t *Table) Start(context.Context) error {
-	t.Run(t.follow)
+	t.Run(t.followLoop)
 	return nil
 }
 
-// awaitGroup waits until the group is known, so that only its sentinels watch the
-// store: every VM would take itself for one else. Where the members cannot be listed the
-// VM goes on alone.
+// awaitGroup waits until the members of the group are known, at most for joinWait, so that only
+// the group's sentinels watch the store. Without it every VM would take itself for a sentinel. If
+// the members cannot be listed, the VM goes on by itself.
 func (t *Table) awaitGroup(ctx context.Context) {
 	timer := time.NewTimer(joinWait)
 	defer timer.Stop()
@@ -263,35 +265,38 @@
 	}
 }
 
-func (t *Table) follow(ctx context.Context) {
+// followLoop lists the table and follows its changes until ctx ends.
+func (t *Table) followLoop(ctx context.Context) {
 	t.awaitGroup(ctx)
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval, wait.MaxInterval = firstBackoff, maxBackoff
 	for ctx.Err() == nil {
-		if t.listed && t.rests() {
-			t.rest(ctx)
+		if t.listed && t.idle() {
+			t.waitForOffer(ctx)
 			continue
 		}
-		t.takeOffers()
-		asks := t.begin()
+		t.applyOffers()
+		poll := t.beginCall()
 		began := clock.Now()
-		err := t.step(ctx, asks || !t.waits())
+		err := t.callStore(ctx, poll || !t.watchesStore())
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
 			wait.Reset()
 			t.link.up(t.name)
-			if asks {
-				t.asked()
+			if poll {
+				t.polled()
 			}
 			kernel.Sleep(ctx, min(maxCallGap, time.Duration(t.group.Size())*callGapPerVM))
 			continue
 		}
-		renewed := t.takeRenewed()
-		t.log.Info(telemetry.EventStoreCallFailed, telemetry.F("table", t.name), telemetry.F("after", t.revision),
-			telemetry.F("ms", clock.Since(began).Milliseconds()), telemetry.F("renewed", renewed), telemetry.F("cause", err))
-		if renewed {
+		interrupted := t.takeInterrupted()
+		t.log.Info(telemetry.EventStoreCallFailed, telemetry.F("table", t.name),
+			telemetry.F("after", t.revision),
+			telemetry.F("ms", clock.Since(began).Milliseconds()), telemetry.F("renewed", interrupted),
+			telemetry.F("cause", err))
+		if interrupted {
 			continue
 		}
 		t.link.down(t.name, began, err)
@@ -299,18 +304,20 @@
 	}
 }
 
-// errStale: a read returned a state older than one known already.
-var errStale = errors.New("watch: the store's answer is older than what is known")
+// errStale is returned when a read returns a revision older than one already applied.
+var errStale = errors.New("watch: the store returned an older revision than the one already applied")
 
-// step makes one call. now says that it asks at once, else it waits for changes.
-func (t *Table) step(ctx context.Context, now bool) error {
-	if !t.listed || (now && t.whole) {
+// callStore makes one call and applies its answer: a poll if poll is true, otherwise a long poll.
+// It lists the table if that has not been done yet, or if polls list it.
+func (t *Table) callStore(ctx context.Context, poll bool) error {
+	if !t.listed || (poll && t.listOnPoll) {
 		return t.list(ctx)
 	}
 	began := clock.Now()
-	rows, err := t.changes(ctx, now)
+	rows, err := t.changes(ctx, poll)
 	if errors.Is(err, store.ErrHistoryGone) {
-		t.log.Warn(telemetry.EventHistoryGone, telemetry.F("table", t.name), telemetry.F("revision", t.revision))
+		t.log.Warn(telemetry.EventHistoryGone, telemetry.F("table", t.name),
+			telemetry.F("revision", t.revision))
 		t.listed = false
 		return t.list(ctx)
 	}
@@ -320,38 +327,39 @@
 	if rows.Revision < t.revision {
 		return errStale
 	}
-	from := t.changed
+	from := t.lastChange
 	if len(rows.Rows) > 0 {
-		t.changed = rows.Revision
-		t.note(rows)
+		t.lastChange = rows.Revision
+		t.raiseNewest(rows)
 		t.apply(rows, false)
 	}
-	t.reach(rows.Revision)
-	t.answered(rows, began)
+	t.setRevision(rows.Revision)
+	t.recordAnswer(rows, began)
 	if len(rows.Rows) > 0 {
 		t.publish(from, rows)
 	}
 	return nil
 }
 
-// changes asks for changes now, or waits for one. After a failed call it does not
-// wait: the next answer says whether the store is back.
-func (t *Table) changes(ctx context.Context, now bool) (store.Rows, error) {
-	if now || t.link.lost(t.name) {
-		return t.feed.Changes(ctx, t.name, t.revision, noWait)
+// changes calls the store for changes. After a failed call it does not wait for one, so that the
+// next answer shows whether the store is back.
+func (t *Table) changes(ctx context.Context, poll bool) (store.Rows, error) {
+	if poll || t.link.isDown(t.name) {
+		return t.feed.Changes(ctx, t.name, t.revision, pollWait)
 	}
-	wait := longWait
+	wait := followerWait
 	if t.group.Sentinel() {
-		wait = shortWait
+		wait = sentinelWait
 	}
-	return t.waitFor(ctx, func(ctx context.Context) (store.Rows, error) {
+	return t.longPoll(ctx, func(ctx context.Context) (store.Rows, error) {
 		return t.feed.Changes(ctx, t.name, t.revision, wait)
 	})
 }
 
-// waits reports whether this VM watches the store itself.
-func (t *Table) waits() bool { return t.group.Sentinel() || !t.group.PassesOn() }
+// watchesStore returns whether this VM long-polls the store itself.
+func (t *Table) watchesStore() bool { return t.group.Sentinel() || !t.group.PassesOn() }
 
+// list reads and applies the whole table.
 func (t *Table) list(ctx context.Context) error {
 	began := clock.Now()
 	rows, err := t.feed.ListRows(ctx, t.name)
@@ -361,31 +369,31 @@
 	if rows.Revision < t.revision {
 		return errStale
 	}
-	t.listed, t.changed = true, rows.Revision
-	t.note(rows)
+	t.listed, t.lastChange = true, rows.Revision
+	t.raiseNewest(rows)
 	t.apply(rows, true)
-	t.reach(rows.Revision)
-	t.answered(rows, began)
+	t.setRevision(rows.Revision)
+	t.recordAnswer(rows, began)
 	return nil
 }
 
-// answered takes in that an answer of the store has been applied.
-func (t *Table) answered(rows store.Rows, began time.Time) {
+// recordAnswer records the time of an answer that has been applied. began is when its call began.
+func (t *Table) recordAnswer(rows store.Rows, began time.Time) {
 	at := began
 	if rows.Now > 0 {
-		at = t.link.clock.answered(rows.Now, began, clock.Now())
-		t.held(rows.Now)
+		at = t.link.clock.observe(rows.Now, began, clock.Now())
+		t.raiseStoreTime(rows.Now)
 	}
 	t.mu.Lock()
 	if at.After(t.readAt) {
 		t.readAt = at
 	}
-	if rows.Now < t.readClock {
-		// The store's clock has been set anew.
-		t.heldAt = rows.Now
+	if rows.Now < t.readStoreTime {
+		// The store's clock has been set back.
+		t.asOfStoreTime = rows.Now
 	}
-	t.readClock = rows.Now
-	t.heldSince = began
+	t.readStoreTime = rows.Now
+	t.lastCallBegan = began
 	t.mu.Unlock()
-	t.current(at)
+	t.raiseAsOf(at)
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -17,12 +17,12 @@
 	"garnethoist.org/garnethoist/internal/watch"
 )
 
-// feed is a scripted store: each call takes the next step; the last one stays.
+// feed is a scripted store: each call returns the next step, and calls after the last step fail.
 type feed struct {
 	mu    sync.Mutex
 	steps []step
 	calls []string
-	// waits is how long each call for changes would have waited.
+	// waits are the timeouts of the calls for changes.
 	waits []time.Duration
 }
 
@@ -66,36 +66,36 @@
 			return
 		}
 	}
-	t.Fatal("not within 5 s")
+	t.Fatal("condition not met within 5 s")
 }
 
-// joined is closed: the group is known.
+// joined is a closed channel: the members of the group are known.
 var joined = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// alone is the group of one VM.
-type alone struct{}
+// soloGroup is a group of one VM.
+type soloGroup struct{}
 
-func (alone) Joined() <-chan struct{} { return joined }
+func (soloGroup) Joined() <-chan struct{} { return joined }
 
-func (alone) Sentinel() bool { return true }
-func (alone) Size() int      { return 1 }
-func (alone) PassesOn() bool { return false }
+func (soloGroup) Sentinel() bool { return true }
+func (soloGroup) Size() int      { return 1 }
+func (soloGroup) PassesOn() bool { return false }
 
-func (alone) Publish(string, store.Delta) {}
+func (soloGroup) Publish(string, store.Delta) {}
 
 func row(key string) store.Row { return store.Row{Key: key, Value: []byte(`{}`)} }
 
-// follow plays the steps and returns what was applied.
+// follow runs a table through the steps and returns what it applied and the calls that it made.
 func follow(t *testing.T, steps []step) (applied []store.Rows, full []bool, calls []string) {
 	t.Helper()
 	f := &feed{steps: steps}
 	var mu sync.Mutex
 	link := watch.NewLink(telemetry.Discard())
-	w := watch.NewTable(f, "t", link, alone{}, func(rows store.Rows, whole bool) {
+	w := watch.NewTable(f, "t", link, soloGroup{}, func(rows store.Rows, whole bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		applied, full = append(applied, rows), append(full, whole)
@@ -117,12 +117,12 @@
 		{rows: store.Rows{Revision: 6}},
 		{rows: store.Rows{Rows: []store.Row{row("b")}, Revision: 8}},
 	})
-	is.Equal(full, []bool{true, false}) // the change without rows is not applied
+	is.Equal(full, []bool{true, false}) // the answer without rows is not applied
 	is.Equal(applied[1].Revision, uint64(8))
 	is.Equal(calls[:3], []string{"list", "changes", "changes"})
 }
 
-func TestFailuresKeepThePlace(t *testing.T) {
+func TestFailuresKeepTheRevision(t *testing.T) {
 	is := is.New(t)
 	_, _, calls := follow(t, []step{
 		{rows: store.Rows{Revision: 5}},
@@ -133,8 +133,8 @@
 	is.Equal(calls[:4], []string{"list", "changes", "changes", "changes"})
 }
 
-// That the store is there again is known at once, not when a wait for changes has
-// passed.
+// The call after a failed one is a poll, so that the store's return is noticed at once and not
+// after a long poll.
 func TestCallAfterAFailureDoesNotWait(t *testing.T) {
 	is := is.New(t)
 	f := &feed{steps: []step{
@@ -142,15 +142,16 @@
 		{err: store.ErrUnavailable}, {err: store.ErrUnavailable},
 		{rows: store.Rows{Revision: 5}}, {rows: store.Rows{Revision: 5}},
 	}}
-	w := watch.NewTable(f, "t", watch.NewLink(telemetry.Discard()), alone{}, func(store.Rows, bool) {}, telemetry.Discard())
+	w := watch.NewTable(f, "t", watch.NewLink(telemetry.Discard()), soloGroup{},
+		func(store.Rows, bool) {}, telemetry.Discard())
 	is.NoErr(w.Start(context.Background()))
 	eventually(t, func() bool { return f.left() == 0 })
 	is.NoErr(w.Stop(context.Background()))
 	const soon = 10 * time.Millisecond
-	is.True(f.waits[0] > soon) // nothing has failed
-	is.True(f.waits[1] > soon) // this one fails
+	is.True(f.waits[0] > soon) // no call has failed
+	is.True(f.waits[1] > soon) // this call fails
 	is.True(f.waits[2] < soon)
-	is.True(f.waits[3] < soon) // this one gets an answer
+	is.True(f.waits[3] < soon) // this call succeeds
 	is.True(f.waits[4] > soon)
 }
 
@@ -166,15 +167,15 @@
 	is.Equal(applied[1].Rows[0].Key, "new")
 }
 
-// lapseWorld is a fleet behind a link.
-type lapseWorld struct {
+// lapseFixture is a fleet with the link that it uses.
+type lapseFixture struct {
 	keeper *fleet.Keeper
 	link   *watch.Link
 	fleet  *watch.Fleet
 }
 
-func newLapseWorld() *lapseWorld {
-	w := &lapseWorld{keeper: fleet.NewKeeper(), link: watch.NewLink(telemetry.Discard())}
+func newLapseFixture() *lapseFixture {
+	w := &lapseFixture{keeper: fleet.NewKeeper(), link: watch.NewLink(telemetry.Discard())}
 	d := watch.Decoder{
 		ConfigKey: "config",
 		Config: func(value []byte) (*fleet.Config, error) {
@@ -189,15 +190,15 @@
 	return w
 }
 
-func (w *lapseWorld) has(id string) bool {
+func (w *lapseFixture) lists(id string) bool {
 	return w.keeper.View().Has(&fleet.Target{ID: id, Service: "s"})
 }
 
-// bounce makes the link go down and come back.
-func (w *lapseWorld) bounce(t *testing.T) {
+// reconnect takes the link down and up again.
+func (w *lapseFixture) reconnect(t *testing.T) {
 	t.Helper()
 	f := &feed{steps: []step{{err: store.ErrUnavailable}, {rows: store.Rows{Revision: 1}}}}
-	table := watch.NewTable(f, "t", w.link, alone{}, func(store.Rows, bool) {}, telemetry.Discard())
+	table := watch.NewTable(f, "t", w.link, soloGroup{}, func(store.Rows, bool) {}, telemetry.Discard())
 	if err := table.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -209,47 +210,48 @@
 
 func TestRemovedTargetGoesAtOnceWhileTheStoreIsThere(t *testing.T) {
 	is := is.New(t)
-	w := newLapseWorld()
+	w := newLapseFixture()
 	w.fleet.ApplyTargets(store.Rows{Rows: []store.Row{{Key: "i-a", Removed: true}}, Revision: 2}, false)
-	is.True(!w.has("i-a"))
-	is.True(w.has("i-b"))
+	is.True(!w.lists("i-a"))
+	is.True(w.lists("i-b"))
 }
 
 func TestLapsedTargetStaysForAWhileAfterTheStoreCameBack(t *testing.T) {
 	is := is.New(t)
-	w := newLapseWorld()
-	w.bounce(t)
+	w := newLapseFixture()
+	w.reconnect(t)
 	w.fleet.ApplyTargets(store.Rows{Rows: []store.Row{row("i-b")}, Revision: 2}, true)
-	is.True(w.has("i-a")) // it may only have lapsed
+	is.True(w.lists("i-a")) // its entry may only have lapsed
 	w.fleet.ApplyTargets(store.Rows{Rows: []store.Row{row("i-a")}, Revision: 3}, false)
 	time.Sleep(2 * time.Second)
-	is.True(w.has("i-a")) // it is back
+	is.True(w.lists("i-a")) // it has registered again
 	w.fleet.ApplyTargets(store.Rows{Rows: []store.Row{{Key: "i-b", Removed: true}}, Revision: 4}, false)
-	is.True(!w.has("i-b")) // the store has been back for long
+	is.True(!w.lists("i-b")) // the store has been back for longer than the grace period
 }
 
 func TestLapsedTargetThatDoesNotComeBackIsGone(t *testing.T) {
 	is := is.New(t)
-	w := newLapseWorld()
-	w.bounce(t)
+	w := newLapseFixture()
+	w.reconnect(t)
 	w.fleet.ApplyTargets(store.Rows{Rows: []store.Row{row("i-b")}, Revision: 2}, true)
-	is.True(w.has("i-a"))
-	eventually(t, func() bool { return !w.has("i-a") })
+	is.True(w.lists("i-a"))
+	eventually(t, func() bool { return !w.lists("i-a") })
 }
 
-// slow is a store whose first call for changes fails after a while, as one on a link
-// that is cut; the next one says that a target is gone.
-type slow struct {
+// failingStore is a store whose first call for changes fails after a while, as on a cut link. The
+// next one says that a target is gone.
+type failingStore struct {
 	takes time.Duration
-	// began is when that call was made, once it has been.
+	// began is when the first call for changes began, once it has.
 	began atomic.Pointer[time.Time]
 }
 
-func (s *slow) ListRows(context.Context, string) (store.Rows, error) {
+func (s *failingStore) ListRows(context.Context, string) (store.Rows, error) {
 	return store.Rows{Rows: []store.Row{row("i-a"), row("i-b")}, Revision: 1}, nil
 }
 
-func (s *slow) Changes(ctx context.Context, _ string, after uint64, _ time.Duration) (store.Rows, error) {
+func (s *failingStore) Changes(ctx context.Context, _ string, after uint64,
+	_ time.Duration) (store.Rows, error) {
 	now := time.Now()
 	switch {
 	case s.began.CompareAndSwap(nil, &now):
@@ -262,25 +264,24 @@
 	return store.Rows{}, ctx.Err()
 }
 
-// Symptom: a VM sends a request to a target 3.4 s after its entry went, when the VM has
-// been undisturbed for 3 s.
-// Sequence: the VM is cut off from the store; the entry goes; the cut heals while a call
-// that has to time out is under way; after it and a pause the VM learns that the entry is
-// gone, and keeps the target for 1.7 s more, as it may only have lapsed.
-// Cause: the store's return was counted from the VM's first answer, up to 1.5 s after it.
-// Seen in: store_call_failed ms=700, then store_regained 1.5 s after the cut's end, then
+// Guards against sending requests to a target 3.4 s after its entry disappeared, although the VM
+// had been undisturbed for 3 s. A VM is cut off from the store, the entry disappears, and the cut
+// ends during a call that must time out. The VM learns of the missing entry after the timeout and
+// a pause, and keeps the target for another 1.7 s because the entry may only have lapsed. The
+// store's return had been counted from the VM's first answer, up to 1.5 s after the cut's end.
+// The logs showed store_call_failed ms=700, store_regained 1.5 s after the cut's end, and
 // gone=true lapsed=true another 1.7 s later.
 func TestLapsedTargetIsKeptFromWhenTheStoreMayHaveBeenBack(t *testing.T) {
 	is := is.New(t)
-	w := newLapseWorld()
-	f := &slow{takes: 1300 * time.Millisecond}
-	table := watch.NewTable(f, "t", w.link, alone{}, w.fleet.ApplyTargets, telemetry.Discard())
+	w := newLapseFixture()
+	f := &failingStore{takes: 1300 * time.Millisecond}
+	table := watch.NewTable(f, "t", w.link, soloGroup{}, w.fleet.ApplyTargets, telemetry.Discard())
 	is.NoErr(table.Start(context.Background()))
 	eventually(t, func() bool { return f.began.Load() != nil })
 	began := *f.began.Load()
 	time.Sleep(time.Until(began.Add(2 * time.Second)))
-	is.True(w.has("i-a")) // it may only have lapsed
+	is.True(w.lists("i-a")) // its entry may only have lapsed
 	time.Sleep(time.Until(began.Add(2900 * time.Millisecond)))
-	is.True(!w.has("i-a"))
+	is.True(!w.lists("i-a"))
 	is.NoErr(table.Stop(context.Background()))
 }
