--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -15,27 +15,28 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// gapSamples is how many of the last gaps between reports the usual one rests on.
+// gapSamples is the weight of the moving average of the time between reports: each new gap counts
+// for one part in gapSamples.
 const gapSamples = 8
 
-// maxDatagram bounds a datagram, below what UDP allows.
+// maxDatagram is the maximum size of a datagram in bytes, below the limit of UDP.
 const maxDatagram = 60 << 10
 
-// sender remembers the last report of one kind, so that one that says the same
-// is sent seldom.
+// sender keeps the last report of one kind, so that unchanged reports are sent less often.
 type sender struct {
 	number uint64
 	last   string
 	lastAt time.Time
 }
 
-// due numbers r and reports whether it must be sent now.
+// due assigns r the next number and returns true if r must be sent now. Uses, ages and store
+// times are left out of the comparison with the last report; a report with uses is always sent.
 func (s *sender) due(r *report) bool {
-	uses, ages, clocks := r.Uses, r.AgesMS, r.ClocksMS
-	r.Uses, r.AgesMS, r.ClocksMS = nil, nil, nil
+	uses, ages, storeTimes := r.Uses, r.AgesMS, r.StoreTimesMS
+	r.Uses, r.AgesMS, r.StoreTimesMS = nil, nil, nil
 	body := string(encode(r))
-	r.Uses, r.AgesMS, r.ClocksMS = uses, ages, clocks
-	if len(uses) == 0 && body == s.last && clock.Since(s.lastAt) < quietInterval {
+	r.Uses, r.AgesMS, r.StoreTimesMS = uses, ages, storeTimes
+	if len(uses) == 0 && body == s.last && clock.Since(s.lastAt) < heartbeatInterval {
 		return false
 	}
 	s.last, s.lastAt = body, clock.Now()
@@ -44,82 +45,84 @@
 	return true
 }
 
-// send reports to the VMs of this data centre and, where this VM is its relay, sends
-// summaries to the other data centres and digests to its own.
-func (p *Peers) send(ctx context.Context) {
+// sendLoop sends reports to the VMs of this data centre. On the relay it also sends summaries to
+// the other data centres and digests to its own.
+func (p *Peers) sendLoop(ctx context.Context) {
 	var own, summary, digest sender
-	var nextSummary, nextDigest, nextEveryone time.Time
-	for ; ctx.Err() == nil; kernel.Sleep(ctx, p.Interval()) {
+	var nextSummary, nextDigest, nextHeartbeat time.Time
+	for ; ctx.Err() == nil; kernel.Sleep(ctx, p.ReportInterval()) {
 		p.expire()
-		p.measureAge()
-		p.tellSuspects(clock.Now())
+		p.updateAge()
+		p.sendSuspects(clock.Now())
 		r := p.ownReport()
-		relays, fans := p.relays(), p.fans()
-		p.follow(!relays && (fans || p.hearsDigests()))
-		p.setPending(r.Uses, relays)
+		relay, digests := p.isRelay(), p.sendsDigests()
+		p.selectSource(!relay && (digests || p.receivesDigests()))
+		p.queueOwnUses(r.Uses, relay)
 		now := clock.Now()
-		if relays && !now.Before(nextSummary) {
+		if relay && !now.Before(nextSummary) {
 			if s := p.summary(r); summary.due(s) {
-				if !p.sendRemote(s) {
-					p.keepPending(s.Uses)
+				if !p.sendSummary(s) {
+					p.requeueUses(s.Uses)
 				}
-				nextSummary = now.Add(p.pause(s))
+				nextSummary = now.Add(p.summaryPause(s))
 			}
 		}
-		if relays && fans && !now.Before(nextDigest) {
+		if relay && digests && !now.Before(nextDigest) {
 			if d := p.digest(r); digest.due(d) {
-				p.toAll(datagram{Report: d}, p.neighbourAddrs())
-				nextDigest = now.Add(p.pauseFor(d, digestShare))
+				p.sendTo(datagram{Report: d}, p.localAddrs())
+				nextDigest = now.Add(p.linkPause(d, digestLinkShare))
 			}
 		}
 		if own.due(r) {
-			everyone := !now.Before(nextEveryone)
-			p.sendOwn(r, everyone)
-			if everyone {
-				nextEveryone = now.Add(quietInterval)
+			heartbeat := !now.Before(nextHeartbeat)
+			p.sendOwnReport(r, heartbeat)
+			if heartbeat {
+				nextHeartbeat = now.Add(heartbeatInterval)
 			}
 		}
 	}
 }
 
-// sendOwn sends this VM's report.
-func (p *Peers) sendOwn(r *report, everyone bool) {
+// sendOwnReport sends this VM's report. If heartbeat is true, the VMs that send heartbeats send
+// it to the whole data centre.
+func (p *Peers) sendOwnReport(r *report, heartbeat bool) {
 	p.mu.Lock()
-	p.keepTold(workOf(r.Work))
+	p.recordSent(decodeWork(r.Work))
 	p.mu.Unlock()
-	p.toAll(datagram{Report: r}, p.reportTo(everyone))
+	p.sendTo(datagram{Report: r}, p.reportAddrs(heartbeat))
 }
 
-// ownReport returns this VM's report. It takes the uses from the placer.
+// ownReport returns this VM's report, unnumbered. It removes the new uses from the placer.
 func (p *Peers) ownReport() *report {
 	r := &report{
-		From: p.self, Incarnation: p.incarnation, Work: itemsOf(p.placer.Own()),
-		Uses: usesOf(p.placer.TakeUses(), mark(p.self.VM)), Changing: p.orders.Open(),
+		From: p.self, Incarnation: p.incarnation, Work: encodeWork(p.placer.Own()),
+		Uses: encodeUses(p.placer.TakeUses(), originHash(p.self.VM)), Changing: p.orders.Open(),
 	}
-	r.Holds = p.duty != nil && p.duty() != 0
-	var readAt []time.Time
+	r.HoldsDuties = p.dutyFence != nil && p.dutyFence() != 0
+	var readTimes []time.Time
 	for _, f := range p.followed {
-		readAt = append(readAt, f.ReadAt())
-		r.ClocksMS = append(r.ClocksMS, uint64(f.ReadClock().Milliseconds()))
+		readTimes = append(readTimes, f.ReadAt())
+		r.StoreTimesMS = append(r.StoreTimesMS, uint64(f.ReadClock().Milliseconds()))
 		r.Newest = append(r.Newest, f.Newest())
 	}
-	r.AgesMS = agesOf(readAt, clock.Now())
+	r.AgesMS = agesMS(readTimes, clock.Now())
 	return r
 }
 
-// neighbourAddrs returns the addresses of the other VMs of this data centre.
-func (p *Peers) neighbourAddrs() []netip.AddrPort {
+// localAddrs returns the addresses of the other VMs of this data centre.
+func (p *Peers) localAddrs() []netip.AddrPort {
 	return p.addrsOf(p.self.DataCentre)
 }
 
+// addrsOf returns the addresses of the other VMs of a data centre.
 func (p *Peers) addrsOf(dataCentre string) []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.addrs(dataCentre)
+	return p.addrsLocked(dataCentre)
 }
 
-// addrs is addrsOf for a caller that holds p.mu.
-func (p *Peers) addrs(dataCentre string) []netip.AddrPort {
+// addrsLocked is addrsOf for callers that hold p.mu.
+func (p *Peers) addrsLocked(dataCentre string) []netip.AddrPort {
 	to := make([]netip.AddrPort, 0, len(p.members))
 	for vm, m := range p.members {
 		if vm != p.self.VM && m.DataCentre == dataCentre {
@@ -129,21 +132,23 @@
 	return to
 }
 
-func (p *Peers) toAll(d datagram, to []netip.AddrPort) {
+// sendTo sends a datagram to each address. It logs and drops one that is too large.
+func (p *Peers) sendTo(d datagram, to []netip.AddrPort) {
 	data := encode(d)
 	if len(data) > maxDatagram {
-		// News that is not sent is asked for; a report that is not sent lapses.
-		p.log.Warn(telemetry.EventBadDatagram, telemetry.F("bytes", len(data)), telemetry.F("limit", maxDatagram))
+		// Receivers poll the store for a delta that they miss, and the load of a report that is
+		// not sent expires.
+		p.log.Warn(telemetry.EventBadDatagram, telemetry.F("bytes", len(data)),
+			telemetry.F("limit", maxDatagram))
 		return
 	}
 	for _, addr := range to {
-		// A datagram that cannot be sent is followed by the next report.
+		// Errors are ignored: the next report replaces a datagram that could not be sent.
 		_, _ = p.conn.WriteToUDPAddrPort(data, addr)
 	}
 }
 
-// encode returns v as CBOR. Only this package's types are encoded, which cannot
-// fail.
+// encode returns v as CBOR. It panics on an error, which the types of this package cannot cause.
 func encode(v any) []byte {
 	data, err := cbor.Marshal(v)
 	if err != nil {
@@ -152,7 +157,8 @@
 	return data
 }
 
-func (p *Peers) receive(ctx context.Context) {
+// receiveLoop handles datagrams until the socket is closed. It logs and skips invalid ones.
+func (p *Peers) receiveLoop(ctx context.Context) {
 	buf := make([]byte, maxDatagram)
 	for ctx.Err() == nil {
 		n, _, err := p.conn.ReadFromUDPAddrPort(buf)
@@ -170,96 +176,97 @@
 		}
 		switch {
 		case d.Hello != nil:
-			p.takeHello(*d.Hello)
-		case d.News != nil:
-			p.takeNews(d.News)
-		case d.Question != nil:
-			p.takeQuestion(d.Question)
-		case d.Answer != nil:
-			p.takeAnswer(d.Answer)
-		case d.Words != nil:
-			p.takeWords(d.Words)
+			p.handleHello(*d.Hello)
+		case d.Delta != nil:
+			p.handleDelta(d.Delta)
+		case d.UsageQuestion != nil:
+			p.handleUsageQuestion(d.UsageQuestion)
+		case d.UsageAnswer != nil:
+			p.handleUsageAnswer(d.UsageAnswer)
+		case d.Suspects != nil:
+			p.handleSuspects(d.Suspects)
 		case d.Report != nil && d.Report.From.VM != p.self.VM:
-			p.takeReport(d.Report)
+			p.handleReport(d.Report)
 		}
 	}
 }
 
-// takeReport takes in a report, and passes a summary of another data centre on
-// where this VM is its own data centre's relay.
-func (p *Peers) takeReport(r *report) {
+// handleReport stores a report, passes its content on to the placer and the followed tables, and
+// forwards a summary of another data centre within this one.
+func (p *Peers) handleReport(r *report) {
 	addr, err := netip.ParseAddrPort(r.From.Address)
 	if err != nil {
 		p.log.Warn(telemetry.EventBadDatagram, telemetry.F("peer", r.From.VM), telemetry.F("cause", err))
 		return
 	}
 	if own := r.From.DataCentre == p.self.DataCentre; own == r.Summary {
-		// Reports and digests are for the own data centre, summaries for the others.
+		// Reports and digests are for VMs of the sender's data centre, summaries for those of
+		// others.
 		return
 	}
-	taken, counts := p.note(r, addr)
-	if !taken {
+	stored, included := p.storeReport(r, addr)
+	if !stored {
 		return
 	}
-	if counts {
-		p.placer.Observe(placeUses(r.Uses, mark(p.self.VM)), clock.Now())
+	if included {
+		p.placer.Observe(decodeUses(r.Uses, originHash(p.self.VM)), clock.Now())
 	}
-	p.learn(r.From, addr)
-	p.compare(r)
+	p.addMember(r.From, addr)
+	p.compareVersions(r)
 	if r.Summary && !r.Forwarded {
-		p.passOn(r)
+		p.forwardSummary(r)
 	}
 }
 
-// passOn passes a summary of another data centre on to the VMs of this one. Where
-// this VM is not the relay, as its sender believes, the relay gets it.
-func (p *Peers) passOn(r *report) {
+// forwardSummary forwards a summary of another data centre to the VMs of this one. If its sender
+// mistook this VM for the relay, it goes to the relay instead.
+func (p *Peers) forwardSummary(r *report) {
 	if relay, ok := p.relayAddr(); ok {
-		p.toAll(datagram{Report: r}, []netip.AddrPort{relay})
+		p.sendTo(datagram{Report: r}, []netip.AddrPort{relay})
 		return
 	}
-	if p.fans() {
-		// The next digest holds it.
+	if p.sendsDigests() {
+		// The next digest will contain it.
 		return
 	}
 	r.Forwarded = true
-	p.toAll(datagram{Report: r}, p.neighbourAddrs())
+	p.sendTo(datagram{Report: r}, p.localAddrs())
 }
 
-// note remembers a report unless a newer one is known. It returns whether it was taken, and
-// whether it counts for what is known of the others' work.
-func (p *Peers) note(r *report, addr netip.AddrPort) (taken, counts bool) {
+// storeReport stores a report unless a newer one of the same sender is known. It returns whether
+// the report was stored, and whether it is included in the sums of the other VMs' work.
+func (p *Peers) storeReport(r *report, addr netip.AddrPort) (stored, included bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all, key := p.heard, r.From.VM
+	all, key := p.vmReports, r.From.VM
 	if r.Summary || r.Digest {
-		all, key = p.centres, r.From.DataCentre
+		all, key = p.dataCentreReports, r.From.DataCentre
 	}
 	s := all[key]
-	if s != nil && s.fresh() && s.from.VM == r.From.VM &&
+	if s != nil && s.isFresh() && s.from.VM == r.From.VM &&
 		(r.Incarnation < s.incarnation || (r.Incarnation == s.incarnation && r.Number <= s.number)) {
 		return false, false
 	}
-	next := &heardState{
-		from: r.From, addr: addr, incarnation: r.Incarnation, number: r.Number, at: clock.Now(), digest: r.Digest,
-		work: workOf(r.Work), newest: r.Newest, changing: r.Changing, readAt: r.readAt(clock.Now()),
-		clocks: r.ClocksMS, holds: r.Holds,
+	next := &receivedReport{
+		from: r.From, addr: addr, incarnation: r.Incarnation, number: r.Number, receivedAt: clock.Now(), digest: r.Digest,
+		work: decodeWork(r.Work), newest: r.Newest, changing: r.Changing, readTimes: r.readTimes(clock.Now()),
+		storeTimesMS: r.StoreTimesMS, holdsDuties: r.HoldsDuties,
 	}
 	var before map[string]place.Work
 	if s != nil {
 		before = s.work
-		next.gap = s.gap + (next.at.Sub(s.at)-s.gap)/gapSamples
+		next.gap = s.gap + (next.receivedAt.Sub(s.receivedAt)-s.gap)/gapSamples
 	}
 	if r.Digest {
-		p.noteRelay(r, addr)
-		next.work = p.others(next.work)
+		p.recordRelay(r, addr)
+		next.work = p.subtractOwn(next.work)
 	} else {
-		p.keepUses(r.Uses, !r.Summary)
+		p.queueUses(r.Uses, !r.Summary)
 	}
-	p.mostListed = max(p.mostListed, r.Listed)
-	if p.counts(next) {
-		p.replace(before, next.work)
+	p.maxListed = max(p.maxListed, r.KnownVMs)
+	if p.inSums(next) {
+		p.replaceWork(before, next.work)
 	}
 	all[key] = next
-	return true, p.counts(next)
+	return true, p.inSums(next)
 }
--- a/internal/peers/fan.go
+++ b/internal/peers/fan.go
@@ -10,79 +10,81 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// In a large data centre the VMs send their reports to the relay and its standby only, and
-// the relay sends every VM one digest of the work of all data centres. If each VM reported to
-// each, 60 VMs would exchange 47,000 datagrams a second (by their interval). Measured with 99
-// VMs, 21 a data centre, over 28 s: the processes took 35.9 s of processor time with digests
-// and 43.9 s without.
+// In a large data centre the VMs send their reports only to the relay and its standby, and the
+// relay sends every VM one digest of the work of all data centres. If every VM reported to every
+// other one, 60 VMs would exchange 47,000 datagrams a second, as computed from their report
+// interval. Measured with 99 VMs, 21 per data centre, over 28 s: the processes used 35.9 s of CPU
+// time with digests and 43.9 s without.
 
 const (
-	// fanFrom is the size of a data centre from which its relay sends digests. Below it
-	// each VM hears each other one every 40 ms or more often.
-	fanFrom = 32
-	// fanMbpsPerVM is the bandwidth that the relay needs for each VM: half of it carries a
+	// digestMinVMs is the number of VMs in a data centre from which its relay sends digests. In
+	// smaller ones each VM receives a report of each other VM at least every 40 ms.
+	digestMinVMs = 32
+	// digestMbpsPerVM is the relay bandwidth in Mbit/s required for each VM. Half of it carries a
 	// digest of 10 KB every 80 ms.
-	fanMbpsPerVM = 2.0
-	// duties is the number of VMs that receive all reports: the relay and its standby.
-	// heardByAll VMs send heartbeats to the whole data centre, so that a successor is known
-	// when the relay and its standby fail together.
-	duties     = 2
-	heardByAll = duties + 1
-	// fanInterval is the time between reports, and between digests, in such a data centre.
-	fanInterval = 20 * time.Millisecond
-	// digestShare is the part of the relay's link that digests may take.
-	digestShare = 0.5
+	digestMbpsPerVM = 2.0
+	// reportReceivers is the number of VMs that receive all reports: the relay and its standby.
+	// heartbeatSenders is the number of VMs that send heartbeats to the whole data centre, so
+	// that the VMs know a successor when the relay and its standby fail together.
+	reportReceivers  = 2
+	heartbeatSenders = reportReceivers + 1
+	// digestInterval is the time between reports, and the shortest time between digests, in a
+	// data centre whose relay sends digests.
+	digestInterval = 20 * time.Millisecond
+	// digestLinkShare is the share of the relay's link that digests may use.
+	digestLinkShare = 0.5
 )
 
-// first returns the live VMs of this data centre, this one included, in the order in which
-// they become relay; the caller holds p.mu.
-func (p *Peers) first() []listed {
-	up := []listed{{Member: p.self}}
+// liveByRank returns the live VMs of this data centre, this one included, in the order in which
+// they become relay. The caller must hold p.mu.
+func (p *Peers) liveByRank() []listedMember {
+	live := []listedMember{{Member: p.self}}
 	for _, m := range p.members {
-		if m.VM != p.self.VM && m.DataCentre == p.self.DataCentre && p.up(m) {
-			up = append(up, m)
+		if m.VM != p.self.VM && m.DataCentre == p.self.DataCentre && p.isLive(m) {
+			live = append(live, m)
 		}
 	}
-	slices.SortFunc(up, func(a, b listed) int { return order(a.Member, b.Member) })
-	return up
+	slices.SortFunc(live, func(a, b listedMember) int { return compareRank(a.Member, b.Member) })
+	return live
 }
 
-// fans reports whether the relay of this data centre sends digests, as far as this VM can
-// tell from the members it knows.
-func (p *Peers) fans() bool {
-	n := p.neighbours()
-	if n < fanFrom {
+// sendsDigests returns whether the relay of this data centre sends digests, judged by the members
+// that this VM knows.
+func (p *Peers) sendsDigests() bool {
+	n := p.localVMs()
+	if n < digestMinVMs {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.first()[0].LinkMbps >= fanMbpsPerVM*float64(n)
+	return p.liveByRank()[0].LinkMbps >= digestMbpsPerVM*float64(n)
 }
 
-// hearsDigests reports whether a recent digest has arrived. A VM whose member list is
-// incomplete must use it too, because nothing else tells it about the other VMs.
-func (p *Peers) hearsDigests() bool {
+// receivesDigests returns whether a recent digest has arrived. A VM whose member list is
+// incomplete must use digests too, because nothing else tells it about the other VMs.
+func (p *Peers) receivesDigests() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.centres[p.self.DataCentre]
-	return s != nil && s.fresh()
+	s := p.dataCentreReports[p.self.DataCentre]
+	return s != nil && s.isFresh()
 }
 
-// reportTo returns the destinations of this VM's report: the relay and its standby, or the
-// whole data centre where no digests are sent. If everyone is true, the VMs that are heard by
-// all report to the whole data centre as a heartbeat.
-func (p *Peers) reportTo(everyone bool) []netip.AddrPort {
-	if !p.fans() && !p.hearsDigests() {
-		return p.neighbourAddrs()
+// reportAddrs returns the destinations of this VM's report: the relay and its standby, or the
+// whole data centre where no digests are sent. If heartbeat is true, the heartbeatSenders VMs of
+// highest rank report to the whole data centre.
+func (p *Peers) reportAddrs(heartbeat bool) []netip.AddrPort {
+	if !p.sendsDigests() && !p.receivesDigests() {
+		return p.localAddrs()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	up := p.first()
-	if everyone && slices.ContainsFunc(up[:min(heardByAll, len(up))], func(m listed) bool { return m.VM == p.self.VM }) {
-		return p.addrs(p.self.DataCentre)
+	live := p.liveByRank()
+	if heartbeat && slices.ContainsFunc(live[:min(heartbeatSenders, len(live))],
+		func(m listedMember) bool { return m.VM == p.self.VM }) {
+		return p.addrsLocked(p.self.DataCentre)
 	}
 	var to []netip.AddrPort
-	for _, m := range up[:min(duties, len(up))] {
+	for _, m := range live[:min(reportReceivers, len(live))] {
 		if m.VM != p.self.VM {
 			to = append(to, m.addr)
 		}
@@ -90,20 +92,20 @@
 	return to
 }
 
-// digest returns the work of all VMs of all data centres; own is this VM's report.
+// digest returns the total work of all VMs of all data centres. own is this VM's report.
 func (p *Peers) digest(own *report) *report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.sumOf(own, append(slices.Collect(maps.Values(p.heard)), p.elsewhere()...))
+	r := p.aggregate(own, append(slices.Collect(maps.Values(p.vmReports)), p.remoteReports()...))
 	r.Digest, r.Uses = true, p.digestUses
 	p.digestUses = nil
 	return r
 }
 
-// elsewhere returns the last summary of each other data centre; the caller holds p.mu.
-func (p *Peers) elsewhere() []*heardState {
-	var out []*heardState
-	for dataCentre, s := range p.centres {
+// remoteReports returns the last summary of each other data centre. The caller must hold p.mu.
+func (p *Peers) remoteReports() []*receivedReport {
+	var out []*receivedReport
+	for dataCentre, s := range p.dataCentreReports {
 		if dataCentre != p.self.DataCentre {
 			out = append(out, s)
 		}
@@ -111,30 +113,32 @@
 	return out
 }
 
-// told is a recent report of this VM. Digests contain it, so it is subtracted from them.
-type told struct {
+// sentReport is a recent report of this VM. Digests include its work, so it is subtracted from
+// them.
+type sentReport struct {
 	at   time.Time
 	work map[string]place.Work
 }
 
-// keepTold records a report that is being sent; the caller holds p.mu.
-func (p *Peers) keepTold(work map[string]place.Work) {
-	p.told = append(p.told, told{clock.Now(), work})
-	if len(p.told) > maxTold {
-		p.told = p.told[1:]
+// recordSent keeps a report that is being sent. The caller must hold p.mu.
+func (p *Peers) recordSent(work map[string]place.Work) {
+	p.sentReports = append(p.sentReports, sentReport{clock.Now(), work})
+	if len(p.sentReports) > maxSentReports {
+		p.sentReports = p.sentReports[1:]
 	}
 }
 
-// maxTold is the number of own reports kept: more than are sent while a digest is on its way.
-const maxTold = 16
+// maxSentReports is the number of own reports kept. It exceeds the number of reports sent while a
+// digest is in transit.
+const maxSentReports = 16
 
-// others subtracts this VM's own work, as reported before the digest was made, from the work
-// of a digest. The caller holds p.mu.
-func (p *Peers) others(work map[string]place.Work) map[string]place.Work {
+// subtractOwn subtracts this VM's own work, as reported before the digest was made, from the work
+// of a digest. The caller must hold p.mu.
+func (p *Peers) subtractOwn(work map[string]place.Work) map[string]place.Work {
 	var own map[string]place.Work
-	made := clock.Now().Add(-fanInterval / 2)
-	for _, t := range p.told {
-		if t.at.Before(made) {
+	madeAt := clock.Now().Add(-digestInterval / 2)
+	for _, t := range p.sentReports {
+		if t.at.Before(madeAt) {
 			own = t.work
 		}
 	}
@@ -146,35 +150,35 @@
 	return work
 }
 
-// follow selects the source of the others' work: the relay's digests, or the reports and
-// summaries of the VMs themselves.
-func (p *Peers) follow(digests bool) {
+// selectSource selects the source of the other VMs' work: the relay's digests, or the reports and
+// summaries themselves.
+func (p *Peers) selectSource(digests bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.digested == digests {
+	if p.usesDigests == digests {
 		return
 	}
-	p.digested = digests
+	p.usesDigests = digests
 	clear(p.sums)
-	for _, all := range []map[string]*heardState{p.heard, p.centres} {
+	for _, all := range []map[string]*receivedReport{p.vmReports, p.dataCentreReports} {
 		for _, s := range all {
-			if p.counts(s) {
-				p.replace(nil, s.work)
+			if p.inSums(s) {
+				p.replaceWork(nil, s.work)
 			}
 		}
 	}
 }
 
-// counts reports whether s is added to the sums. A digest already contains all reports and
-// summaries, so only one of the two kinds is added. The caller holds p.mu.
-func (p *Peers) counts(s *heardState) bool { return s.digest == p.digested }
+// inSums returns whether the work of s is included in the sums. A digest already contains all
+// reports and summaries, so only one of the two kinds is added. The caller must hold p.mu.
+func (p *Peers) inSums(s *receivedReport) bool { return s.digest == p.usesDigests }
 
-// noteRelay records that the sender of a digest is alive; the caller holds p.mu.
-func (p *Peers) noteRelay(r *report, addr netip.AddrPort) {
-	s := p.heard[r.From.VM]
+// recordRelay records that the sender of a digest is alive. The caller must hold p.mu.
+func (p *Peers) recordRelay(r *report, addr netip.AddrPort) {
+	s := p.vmReports[r.From.VM]
 	if s == nil {
-		s = &heardState{from: r.From, addr: addr, incarnation: r.Incarnation}
-		p.heard[r.From.VM] = s
+		s = &receivedReport{from: r.From, addr: addr, incarnation: r.Incarnation}
+		p.vmReports[r.From.VM] = s
 	}
-	s.at = clock.Now()
+	s.receivedAt = clock.Now()
 }
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -14,82 +14,84 @@
 )
 
 const (
-	// KeyPrefix is where members stand in the store.
+	// KeyPrefix is the prefix of the keys of member records in the store.
 	KeyPrefix = "vm/"
-	// registerSpread is the time over which the VMs of a group that starts for the
-	// first time write their records. The store carries out some 150 writes a second,
-	// one after another, and refuses those that would wait for over a second: 300 VMs
-	// at once would be refused several times each.
+	// registerSpread is the time over which the VMs of a group that starts for the first time
+	// write their records. The store executes about 150 writes a second, one after another, and
+	// rejects writes that would wait for more than a second: 300 VMs writing at once would each
+	// be rejected several times.
 	registerSpread = 2 * time.Second
-	// How often the members are listed: soon after the start, when others start
-	// too, and seldom later, as a new VM tells all that it has listed.
-	firstList = 3 * time.Second
-	laterList = 30 * time.Second
-	// listPerVM makes it seldomer in a large group: all VMs together list once in it.
-	listPerVM = time.Second
+	// Members are listed soon after the start, when other VMs start too, and rarely after that,
+	// because a new VM announces itself to all members that it has listed.
+	firstListDelay = 3 * time.Second
+	listInterval   = 30 * time.Second
+	// listIntervalPerVM scales the interval with the group: all VMs together list about once in
+	// this time.
+	listIntervalPerVM = time.Second
 )
 
-// registering spreads calls that fail: a store that refuses too many calls would be called as
-// often again by as many VMs.
-var registering = kernel.Retrying{First: 300 * time.Millisecond, Most: 3 * time.Second, Timeout: 2 * time.Second}
+// registerRetry spreads retries over time. Without it, a store that rejects calls because of
+// their number would receive just as many again.
+var registerRetry = kernel.Retrying{First: 300 * time.Millisecond, Most: 3 * time.Second,
+	Timeout: 2 * time.Second}
 
-// register sees to it that this VM's record stands, and lists the others', again and
-// again.
-func (p *Peers) register(ctx context.Context) {
+// registerLoop registers this VM in the store and then lists the members periodically.
+func (p *Peers) registerLoop(ctx context.Context) {
 	p.join(ctx)
 	close(p.joined)
-	p.hello()
-	kernel.Sleep(ctx, firstList)
+	p.sendHello()
+	kernel.Sleep(ctx, firstListDelay)
 	if !p.PassesOn() {
 		p.relist(ctx)
 	}
 	for ctx.Err() == nil {
-		kernel.Sleep(ctx, max(laterList, time.Duration(p.Size())*listPerVM))
+		kernel.Sleep(ctx, max(listInterval, time.Duration(p.Size())*listIntervalPerVM))
 		p.relist(ctx)
 	}
 }
 
-// join writes this VM's record, unless it stands, and lists the members after that: of
-// two VMs that register at once, one at least finds the other.
+// join writes this VM's record unless it already exists, and lists the members after that: if two
+// VMs register at the same time, at least one of them sees the other.
 func (p *Peers) join(ctx context.Context) {
 	if p.firstStart {
 		kernel.Sleep(ctx, rand.N(registerSpread))
 	} else {
-		kernel.Until(ctx, registering, p.list)
+		kernel.Until(ctx, registerRetry, p.listMembers)
 		if p.registered() {
 			return
 		}
 	}
-	kernel.Until(ctx, registering, p.write)
-	kernel.Until(ctx, registering, p.list)
+	kernel.Until(ctx, registerRetry, p.writeRecord)
+	kernel.Until(ctx, registerRetry, p.listMembers)
 }
 
+// relist lists the members and announces this VM to them.
 func (p *Peers) relist(ctx context.Context) {
-	kernel.Until(ctx, registering, p.list)
-	p.hello()
+	kernel.Until(ctx, registerRetry, p.listMembers)
+	p.sendHello()
 }
 
-// registered reports whether this VM's record was listed as it must stand: a restarted
-// process finds the one of the process before.
+// registered returns whether the store lists this VM's record unchanged. A restarted process
+// finds the record of its predecessor.
 func (p *Peers) registered() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.members[p.self.VM].Member == p.self
 }
 
-// write writes this VM's record.
-func (p *Peers) write(ctx context.Context) error {
+// writeRecord writes this VM's record to the store.
+func (p *Peers) writeRecord(ctx context.Context) error {
 	value, err := json.Marshal(p.self)
 	if err != nil {
-		// Only strings and numbers are encoded.
+		// Strings and numbers always encode.
 		panic("peers: encode member: " + err.Error())
 	}
 	_, err = p.table.Commit(ctx, store.Txn{Puts: []store.Put{{Key: KeyPrefix + p.self.VM, Value: value}}})
 	return err
 }
 
-// list reads the members' records.
-func (p *Peers) list(ctx context.Context) error {
+// listMembers reads the member records of all VMs. It logs and skips invalid ones.
+func (p *Peers) listMembers(ctx context.Context) error {
 	records, err := p.table.List(ctx, KeyPrefix)
 	if err != nil {
 		return err
@@ -97,7 +99,8 @@
 	for _, r := range records {
 		var m Member
 		if err := json.Unmarshal(r.Value, &m); err != nil {
-			p.log.Warn(telemetry.EventBadRow, telemetry.F("key", r.Key), telemetry.F("revision", r.Version), telemetry.F("cause", err))
+			p.log.Warn(telemetry.EventBadRow, telemetry.F("key", r.Key),
+				telemetry.F("revision", r.Version), telemetry.F("cause", err))
 			continue
 		}
 		addr, err := netip.ParseAddrPort(m.Address)
@@ -105,14 +108,14 @@
 			p.log.Warn(telemetry.EventBadRow, telemetry.F("peer", m.VM), telemetry.F("cause", err))
 			continue
 		}
-		p.learn(m, addr)
+		p.addMember(m, addr)
 	}
 	return nil
 }
 
-// hello tells the listed VMs of this one, as reports do not reach all of them: shares of
-// common limits count it at once.
-func (p *Peers) hello() {
+// sendHello announces this VM to all listed VMs. Reports do not reach all of them, and they must
+// count this VM at once for their shares of common limits.
+func (p *Peers) sendHello() {
 	p.mu.Lock()
 	var to []netip.AddrPort
 	for _, m := range p.members {
@@ -121,27 +124,28 @@
 		}
 	}
 	p.mu.Unlock()
-	p.toAll(datagram{Hello: &p.self}, to)
+	p.sendTo(datagram{Hello: &p.self}, to)
 }
 
-func (p *Peers) takeHello(m Member) {
+// handleHello adds a VM that has announced itself.
+func (p *Peers) handleHello(m Member) {
 	addr, err := netip.ParseAddrPort(m.Address)
 	if err != nil {
 		p.log.Warn(telemetry.EventBadRow, telemetry.F("peer", m.VM), telemetry.F("cause", err))
 		return
 	}
-	p.learn(m, addr)
+	p.addMember(m, addr)
 }
 
-// learn takes in a member.
-func (p *Peers) learn(m Member, addr netip.AddrPort) {
+// addMember adds or updates a member.
+func (p *Peers) addMember(m Member, addr netip.AddrPort) {
 	p.mu.Lock()
 	known, ok := p.members[m.VM]
 	since := known.since
 	if known.addr != addr {
 		since = clock.Now()
 	}
-	p.members[m.VM] = listed{Member: m, addr: addr, since: since}
+	p.members[m.VM] = listedMember{Member: m, addr: addr, since: since}
 	p.mu.Unlock()
 	if !ok || known.addr != addr {
 		p.log.Info(telemetry.EventPeerState, telemetry.F("peer", m.VM), telemetry.F("address", m.Address))
--- a/internal/peers/news.go
+++ b/internal/peers/news.go
@@ -8,51 +8,52 @@
 )
 
 const (
-	// newsGrace is how long after another VM's word the own call, or the
-	// sentinel's datagram, may bring the same news.
-	newsGrace = 600 * time.Millisecond
-	// passOnFrom is the size of a group from which its sentinels pass on what
-	// they read, and the other VMs make no calls of their own: below it the
-	// calls saved are worth less than what each VM knows from the store itself.
-	// 19 VMs made 803 calls on a calm day as each watched for itself, 476 so.
-	passOnFrom = 12
+	// changeGrace is how long compareVersions waits for a change that another VM has reported:
+	// this VM's own call or a sentinel's datagram may be about to deliver it.
+	changeGrace = 600 * time.Millisecond
+	// forwardMinVMs is the group size from which sentinels forward the changes that they read,
+	// and the other VMs do not poll the store themselves. In smaller groups the calls saved are
+	// worth less than reading the store directly. On a quiet day 19 VMs made 803 calls when each
+	// watched the store itself, and 476 with forwarding.
+	forwardMinVMs = 12
 )
 
-// PassesOn reports whether the sentinels of the group pass on what they read.
-func (p *Peers) PassesOn() bool { return p.Size() >= passOnFrom }
+// PassesOn returns whether the sentinels of the group forward the changes that they read.
+func (p *Peers) PassesOn() bool { return p.Size() >= forwardMinVMs }
 
-// Publish passes changes of a followed table on to the VMs of this data centre,
-// where this VM is a sentinel of a large group.
+// Publish sends changes of a followed table to the VMs of this data centre, if this VM is a
+// sentinel of a group that forwards changes.
 func (p *Peers) Publish(table string, d store.Delta) {
 	if !p.PassesOn() || !p.Sentinel() {
 		return
 	}
 	for i, f := range p.followed {
 		if f.Name() == table {
-			p.toAll(datagram{News: newsOf(i, d)}, p.neighbourAddrs())
+			p.sendTo(datagram{Delta: encodeDelta(i, d)}, p.localAddrs())
 		}
 	}
 }
 
-func (p *Peers) takeNews(n *news) {
-	if n.Table >= 0 && n.Table < len(p.followed) {
-		p.followed[n.Table].Offer(n.delta())
+// handleDelta hands forwarded changes to their table.
+func (p *Peers) handleDelta(n *tableDelta) {
+	if n.TableIndex >= 0 && n.TableIndex < len(p.followed) {
+		p.followed[n.TableIndex].Offer(n.decode())
 	}
 }
 
-// compare tells the followed tables what another VM knows, and that it is a newer
-// row where this VM does not learn it within the grace.
-func (p *Peers) compare(r *report) {
-	newest, asOf := r.Newest, r.readAt(clock.Now())
+// compareVersions passes the versions in a report to the followed tables. If another VM has a
+// newer row that does not arrive here within changeGrace, the table is told to read it.
+func (p *Peers) compareVersions(r *report) {
+	newest, asOf := r.Newest, r.readTimes(clock.Now())
 	for i, f := range p.followed {
 		if i < min(len(newest), len(asOf)) {
-			f.Heard(newest[i], asOf[i], r.clock(i))
+			f.Heard(newest[i], asOf[i], r.storeTime(i))
 		}
-		if i >= len(newest) || newest[i] <= f.Newest() || !p.beginGrace(i) {
+		if i >= len(newest) || newest[i] <= f.Newest() || !p.startGrace(i) {
 			continue
 		}
 		version := newest[i]
-		time.AfterFunc(newsGrace, func() {
+		time.AfterFunc(changeGrace, func() {
 			p.endGrace(i)
 			if f.Newest() < version {
 				f.Newer(version)
@@ -61,9 +62,9 @@
 	}
 }
 
-// beginGrace begins the grace for news of a followed table, or returns false
-// while one runs: reports that say the same come many times a second.
-func (p *Peers) beginGrace(i int) bool {
+// startGrace starts the grace period of a followed table. It returns false while one is running,
+// as equal reports arrive many times a second.
+func (p *Peers) startGrace(i int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.inGrace[i] {
@@ -73,6 +74,7 @@
 	return true
 }
 
+// endGrace ends the grace period of a followed table.
 func (p *Peers) endGrace(i int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -17,7 +17,7 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// placer is one VM's own state.
+// placer holds the work and uses of one VM.
 type placer struct {
 	mu       sync.Mutex
 	own      map[string]place.Work
@@ -51,23 +51,24 @@
 	p.observed = append(p.observed, uses...)
 }
 
-func (p *placer) seen() int {
+func (p *placer) observedUses() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.observed)
 }
 
-// orders are this VM's open orders.
+// orders holds the open stage changes of a VM.
 type orders map[string]fleet.Stage
 
 func (o orders) Open() map[string]fleet.Stage { return o }
 
-// followed is a table of which a version has been taken in.
+// followed is a fake FollowedTable.
 type followed struct {
-	newest atomic.Uint64
-	nudges atomic.Int64
-	offers atomic.Int64
-	// readAt is said to others, heard what was heard of them.
+	newest     atomic.Uint64
+	newerCalls atomic.Int64
+	offers     atomic.Int64
+	// readTimes is reported to other VMs, and heard holds the latest time reported by them for each
+	// version.
 	mu     sync.Mutex
 	readAt time.Time
 	heard  map[uint64]time.Time
@@ -98,8 +99,8 @@
 	}
 }
 
-// heardOf returns the latest time at which version was said to be the newest.
-func (f *followed) heardOf(version uint64) time.Time {
+// confirmedAt returns the latest time at which another VM reported version as the newest.
+func (f *followed) confirmedAt(version uint64) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.heard[version]
@@ -107,7 +108,7 @@
 
 func (f *followed) Name() string   { return "t" }
 func (f *followed) Newest() uint64 { return f.newest.Load() }
-func (f *followed) Newer(uint64)   { f.nudges.Add(1) }
+func (f *followed) Newer(uint64)   { f.newerCalls.Add(1) }
 
 func (f *followed) Offer(d store.Delta) {
 	f.offers.Add(1)
@@ -122,7 +123,7 @@
 	followed *followed
 }
 
-// ports serves all tests.
+// ports allocates ports for all tests of the package.
 var ports = proc.NewPorts()
 
 func address(t *testing.T) string {
@@ -159,14 +160,14 @@
 	}
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatal(what)
+	t.Fatal(condition)
 }
 
 func TestVMsHearOfEachOther(t *testing.T) {
@@ -179,12 +180,13 @@
 	c := start(t, "c", address(t), 1, table, nil)
 	defer c.stop(t)
 	eventually(t, "all are counted", func() bool { return a.peers.Size() == 3 && b.peers.Size() == 3 && c.peers.Size() == 3 })
-	a.placer.set(map[string]place.Work{"e1": {Prefill: 30 * time.Millisecond, Running: 2, Streams: 1, Tokens: 900}}, place.Use{Target: "e1", Parts: []uint64{1 << 63}, Missing: 5})
+	a.placer.set(map[string]place.Work{"e1": {Prefill: 30 * time.Millisecond, Running: 2,
+		Streams: 1, Tokens: 900}}, place.Use{Target: "e1", Parts: []uint64{1 << 63}, Missing: 5})
 	b.placer.set(map[string]place.Work{"e1": {Running: 1}})
 	want := place.Work{Prefill: 30 * time.Millisecond, Running: 3, Streams: 1, Tokens: 900}
 	eventually(t, "c knows the work of both", func() bool { return c.peers.Work("e1") == want })
-	eventually(t, "uses reach all others", func() bool { return b.placer.seen() == 1 && c.placer.seen() == 1 })
-	is.Equal(a.placer.seen(), 0)
+	eventually(t, "uses reach all others", func() bool { return b.placer.observedUses() == 1 && c.placer.observedUses() == 1 })
+	is.Equal(a.placer.observedUses(), 0)
 	stage, ok := c.peers.Changing("e1")
 	is.True(ok)
 	is.Equal(stage, fleet.Prefill)
@@ -197,13 +199,14 @@
 	defer a.stop(t)
 	b := start(t, "b", address(t), 1, table, nil)
 	b.placer.set(map[string]place.Work{"e1": {Running: 7}})
-	eventually(t, "a hears b", func() bool { return a.peers.Work("e1").Running == 7 })
+	eventually(t, "a knows b's work", func() bool { return a.peers.Work("e1").Running == 7 })
 	b.stop(t)
-	eventually(t, "b's work is forgotten", func() bool { return a.peers.Work("e1").Running == 0 })
-	is.Equal(a.peers.Size(), 2) // shares of common limits stay as they were
+	eventually(t, "a drops b's work", func() bool { return a.peers.Work("e1").Running == 0 })
+	is.Equal(a.peers.Size(), 2) // keeps the shares of common limits as they were
 }
 
-// A restarted VM is heard at once, also where the time of day has gone back.
+// Reports of a restarted VM are accepted at once, even if its wall clock, and thus its
+// incarnation, has gone back.
 func TestRestartedVMIsHeard(t *testing.T) {
 	table := store.NewMemory()
 	addr := address(t)
@@ -211,16 +214,18 @@
 	defer a.stop(t)
 	b := start(t, "b", addr, 100, table, nil)
 	b.placer.set(map[string]place.Work{"e1": {Running: 7}})
-	eventually(t, "a hears b", func() bool { return a.peers.Work("e1").Running == 7 })
+	eventually(t, "a knows b's work", func() bool { return a.peers.Work("e1").Running == 7 })
 	b.stop(t)
 	b = start(t, "b", addr, 50, table, nil)
 	defer b.stop(t)
 	b.placer.set(map[string]place.Work{"e1": {Running: 2}})
-	eventually(t, "a hears the new b", func() bool { return a.peers.Work("e1").Running == 2 })
+	eventually(t, "a knows the work of the restarted b",
+		func() bool { return a.peers.Work("e1").Running == 2 })
 }
 
-// News of the store makes a VM that has not heard it ask again, not too often.
-func TestNewsMakesTheCallAnew(t *testing.T) {
+// When a peer reports a newer version that does not arrive, the table is told to read it, but not
+// for every report.
+func TestNewerVersionTriggersPoll(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	a := start(t, "a", address(t), 1, table, nil)
@@ -228,16 +233,17 @@
 	b := start(t, "b", address(t), 1, table, nil)
 	defer b.stop(t)
 	b.followed.newest.Store(9)
-	eventually(t, "a asks anew", func() bool { return a.followed.nudges.Load() > 0 })
-	is.Equal(b.followed.nudges.Load(), int64(0))
-	n := a.followed.nudges.Load()
+	eventually(t, "a is told of the newer version",
+		func() bool { return a.followed.newerCalls.Load() > 0 })
+	is.Equal(b.followed.newerCalls.Load(), int64(0))
+	n := a.followed.newerCalls.Load()
 	time.Sleep(300 * time.Millisecond)
-	is.True(a.followed.nudges.Load() <= n+1)
+	is.True(a.followed.newerCalls.Load() <= n+1)
 	a.followed.newest.Store(9)
 	time.Sleep(time.Second)
-	n = a.followed.nudges.Load()
+	n = a.followed.newerCalls.Load()
 	time.Sleep(1500 * time.Millisecond)
-	is.Equal(a.followed.nudges.Load(), n)
+	is.Equal(a.followed.newerCalls.Load(), n)
 }
 
 func TestFewVMsAreSentinels(t *testing.T) {
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -13,89 +13,85 @@
 )
 
 const (
-	// maxPendingUses bounds the uses that wait to be told to other data centres:
-	// those of about half a second at the grown sites.
+	// maxPendingUses limits the uses queued for other data centres. It covers about half
+	// a second of uses at fully grown installations.
 	maxPendingUses = 512
-	// sentinels is how many VMs of all data centres watch the store closely.
-	sentinels = 4
-	// relayShare is the part of a relay's link that summaries may take, and
-	// maxPause the longest pause between them, well below maxAge.
-	relayShare = 0.2
-	maxPause   = 400 * time.Millisecond
-	// largeCentre is the number of VMs from which a data centre has two
-	// sentinels at least, so that the loss of one leaves the other.
-	largeCentre = 5
+	// sentinelCount is the intended number of sentinels in all data centres together.
+	sentinelCount = 4
+	// summaryLinkShare is the share of a relay's link that summaries may use. maxSummaryPause is
+	// the longest time between summaries, well below maxReportAge.
+	summaryLinkShare = 0.2
+	maxSummaryPause  = 400 * time.Millisecond
+	// twoSentinelsMinVMs is the number of VMs from which a data centre has at least two
+	// sentinels, so that one remains if the other fails.
+	twoSentinelsMinVMs = 5
 )
 
-// order compares the VMs of a data centre for its duties: those with the faster
-// link come first, then by name.
-func order(a, b Member) int {
+// compareRank orders the VMs of a data centre by rank: faster links first, then by name.
+func compareRank(a, b Member) int {
 	return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(a.VM, b.VM))
 }
 
-// rank is this VM's place among those of its data centre that are up, as far as is
-// known; the caller holds p.mu.
+// rank returns this VM's index among the live VMs of its data centre. The caller must hold p.mu.
 func (p *Peers) rank() int {
-	return slices.IndexFunc(p.first(), func(m listed) bool { return m.VM == p.self.VM })
+	return slices.IndexFunc(p.liveByRank(), func(m listedMember) bool { return m.VM == p.self.VM })
 }
 
-// up reports whether a VM of this data centre is taken for up: it is heard, or has been
-// listed so short a time ago that it need not have been heard. Else each VM of a group
-// that starts would take the duties of all, and call the store for them. The caller
-// holds p.mu.
-func (p *Peers) up(m listed) bool {
-	if s := p.heard[m.VM]; s != nil {
-		return s.fresh()
+// isLive returns whether a VM of this data centre is considered live: a recent report has
+// arrived, or the VM was listed so recently that none need have arrived yet. Without the second
+// rule each VM of a starting group would consider itself relay and sentinel and call the store on
+// behalf of all. The caller must hold p.mu.
+func (p *Peers) isLive(m listedMember) bool {
+	if s := p.vmReports[m.VM]; s != nil {
+		return s.isFresh()
 	}
-	return clock.Since(m.since) <= maxAge
+	return clock.Since(m.since) <= maxReportAge
 }
 
-// relays reports whether this VM is its data centre's relay.
-func (p *Peers) relays() bool {
+// isRelay returns whether this VM is the relay of its data centre.
+func (p *Peers) isRelay() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rank() == 0
 }
 
-// relayAddr returns the address of this data centre's relay, or false where that
-// is this VM.
+// relayAddr returns the address of this data centre's relay, or false if this VM is the relay.
 func (p *Peers) relayAddr() (netip.AddrPort, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	addr := p.first()[0].addr
+	addr := p.liveByRank()[0].addr
 	return addr, addr.IsValid()
 }
 
-// Sentinel reports whether this VM is one of the few that watch the store
-// closely.
+// Sentinel returns whether this VM is one of the few that long-poll the store with a short timeout,
+// in a large group on behalf of the other VMs.
 func (p *Peers) Sentinel() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rank() < p.sentinelsHere()
+	return p.rank() < p.localSentinels()
 }
 
-// sentinelsHere is the number of sentinels of this data centre; the caller holds
-// p.mu.
-func (p *Peers) sentinelsHere() int {
-	centres := map[string]bool{p.self.DataCentre: true}
-	own := 1
+// localSentinels returns the number of sentinels in this data centre. The caller must hold p.mu.
+func (p *Peers) localSentinels() int {
+	dataCentres := map[string]bool{p.self.DataCentre: true}
+	local := 1
 	for vm, m := range p.members {
-		centres[m.DataCentre] = true
+		dataCentres[m.DataCentre] = true
 		if vm != p.self.VM && m.DataCentre == p.self.DataCentre {
-			own++
+			local++
 		}
 	}
-	n := max(int(math.Round(sentinels/float64(len(centres)))), 1)
-	if own >= largeCentre {
+	n := max(int(math.Round(sentinelCount/float64(len(dataCentres)))), 1)
+	if local >= twoSentinelsMinVMs {
 		n = max(n, 2)
 	}
 	return n
 }
 
-// keepUses keeps uses for the next summary, where they are of this data centre, and for the
-// next digest. The caller holds p.mu.
-func (p *Peers) keepUses(uses []use, here bool) {
-	if here && len(p.pendingUses) < maxPendingUses {
+// queueUses adds uses to the next digest and, if local is true, to the next summary. The caller
+// must hold p.mu.
+func (p *Peers) queueUses(uses []use, local bool) {
+	if local && len(p.pendingUses) < maxPendingUses {
 		p.pendingUses = append(p.pendingUses, uses...)
 	}
 	if len(p.digestUses) < maxPendingUses {
@@ -103,57 +99,58 @@
 	}
 }
 
-// setPending keeps this VM's uses for the next summary and digest where this VM makes them.
-// Else all are dropped: the relay has them too.
-func (p *Peers) setPending(uses []use, relays bool) {
+// queueOwnUses queues this VM's uses for the next summary and digest if this VM is the relay.
+// Otherwise it drops all queued uses, because the relay has received them too.
+func (p *Peers) queueOwnUses(uses []use, relay bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !relays {
+	if !relay {
 		p.pendingUses, p.digestUses = nil, nil
 		return
 	}
-	p.keepUses(uses, true)
+	p.queueUses(uses, true)
 }
 
-// pause is how long after a summary the next one waits: the relay of the other
-// data centre passes it on to each of its VMs, which may take a part of its link
-// only. In a large fleet summaries are large.
-func (p *Peers) pause(r *report) time.Duration { return p.pauseFor(r, relayShare) }
+// summaryPause returns how long to wait after sending summary r. The relay of the other data
+// centre forwards it to each of its VMs, and summaries of a large fleet are large, so their share
+// of its link is limited.
+func (p *Peers) summaryPause(r *report) time.Duration { return p.linkPause(r, summaryLinkShare) }
 
-// pauseFor is how long a report to as many VMs as there are in this data centre takes up a
-// share of this VM's link.
-func (p *Peers) pauseFor(r *report, share float64) time.Duration {
+// linkPause returns the time that sending r to all VMs of this data centre takes on the given
+// share of this VM's link, at most maxSummaryPause. It is 0 if the bandwidth is unknown.
+func (p *Peers) linkPause(r *report, share float64) time.Duration {
 	if p.self.LinkMbps <= 0 {
 		return 0
 	}
-	bits := 8 * float64(len(encode(r))) * float64(p.neighbours())
+	bits := 8 * float64(len(encode(r))) * float64(p.localVMs())
 	us := bits / (share * p.self.LinkMbps)
-	return min(time.Duration(us*float64(time.Microsecond)), maxPause)
+	return min(time.Duration(us*float64(time.Microsecond)), maxSummaryPause)
 }
 
-// summary returns the sums of this data centre, own being this VM's report.
+// summary returns the totals of this data centre. own is this VM's report.
 func (p *Peers) summary(own *report) *report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.sumOf(own, slices.Collect(maps.Values(p.heard)))
+	r := p.aggregate(own, slices.Collect(maps.Values(p.vmReports)))
 	r.Summary, r.Uses = true, p.pendingUses
 	p.pendingUses = nil
 	return r
 }
 
-// sumOf returns the sums of this VM's report and what others said; the caller holds p.mu.
-func (p *Peers) sumOf(own *report, others []*heardState) *report {
-	work := workOf(own.Work)
+// aggregate returns the totals of this VM's report and the recent ones among others. The caller
+// must hold p.mu.
+func (p *Peers) aggregate(own *report, others []*receivedReport) *report {
+	work := decodeWork(own.Work)
 	newest := append([]uint64(nil), own.Newest...)
-	// No row was newer than a copy's newest at its time, and none of the copies is
-	// newer than the sum's: the latest of the times holds for that.
+	// Each copy held all rows of the store at its read time, and the maximum of the newest
+	// versions is at least that copy's. The latest read time is therefore valid for the maximum.
 	now := clock.Now()
-	holds := own.Holds
-	readAt, clocks := own.readAt(now), slices.Clone(own.ClocksMS)
+	holdsDuties := own.HoldsDuties
+	readTimes, storeTimes := own.readTimes(now), slices.Clone(own.StoreTimesMS)
 	changing := make(map[string]fleet.Stage, len(own.Changing))
 	maps.Copy(changing, own.Changing)
 	for _, s := range others {
-		if !s.fresh() {
+		if !s.isFresh() {
 			continue
 		}
 		for target, more := range s.work {
@@ -163,20 +160,21 @@
 			newest[i] = max(newest[i], s.newest[i])
 		}
 		maps.Copy(changing, s.changing)
-		holds = holds || s.holds
-		readAt = latest(readAt, s.readAt)
-		for i := range min(len(clocks), len(s.clocks)) {
-			clocks[i] = max(clocks[i], s.clocks[i])
+		holdsDuties = holdsDuties || s.holdsDuties
+		readTimes = latestTimes(readTimes, s.readTimes)
+		for i := range min(len(storeTimes), len(s.storeTimesMS)) {
+			storeTimes[i] = max(storeTimes[i], s.storeTimesMS[i])
 		}
 	}
-	r := &report{From: p.self, Incarnation: p.incarnation, Work: itemsOf(work), Newest: newest, Changing: changing}
-	r.Holds = holds
-	r.AgesMS, r.ClocksMS, r.Listed = agesOf(readAt, now), clocks, p.count()
+	r := &report{From: p.self, Incarnation: p.incarnation, Work: encodeWork(work), Newest: newest,
+		Changing: changing}
+	r.HoldsDuties = holdsDuties
+	r.AgesMS, r.StoreTimesMS, r.KnownVMs = agesMS(readTimes, now), storeTimes, p.knownVMs()
 	return r
 }
 
-// latest returns the later one of each two times.
-func latest(a, b []time.Time) []time.Time {
+// latestTimes sets each element of a to the later one of a and b, and returns a.
+func latestTimes(a, b []time.Time) []time.Time {
 	for i := range min(len(a), len(b)) {
 		if b[i].After(a[i]) {
 			a[i] = b[i]
@@ -185,18 +183,18 @@
 	return a
 }
 
-// sendRemote sends a summary to the relay of each other data centre, or to all
-// of its VMs where none has been heard of late. It returns false where there are others and
-// none was sent to.
-func (p *Peers) sendRemote(r *report) bool {
+// sendSummary sends a summary to the relay of each other data centre, or to all VMs of one whose
+// relay has not been heard recently. It returns false if there are other data centres and none
+// was sent to.
+func (p *Peers) sendSummary(r *report) bool {
 	d, relays := datagram{Report: r}, p.remoteRelays()
 	sent := len(relays) == 0
 	for dataCentre, relay := range relays {
 		switch {
 		case relay != nil:
-			p.toAll(d, []netip.AddrPort{relay.addr})
-		case p.mayAnnounce(dataCentre):
-			p.toAll(d, p.addrsOf(dataCentre))
+			p.sendTo(d, []netip.AddrPort{relay.addr})
+		case p.allowBroadcast(dataCentre):
+			p.sendTo(d, p.addrsOf(dataCentre))
 		default:
 			continue
 		}
@@ -205,9 +203,9 @@
 	return sent
 }
 
-// keepPending keeps uses for the next summary: what is told once only is not to be lost while
-// no other data centre's relay has been heard yet.
-func (p *Peers) keepPending(uses []use) {
+// requeueUses queues uses of a summary that was not sent for the next one. Uses are sent only
+// once and must not be lost before another data centre's relay has been heard.
+func (p *Peers) requeueUses(uses []use) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.pendingUses) < maxPendingUses {
@@ -215,32 +213,32 @@
 	}
 }
 
-// remoteRelays returns the relay of each other data centre that has members, nil
-// where none is heard.
-func (p *Peers) remoteRelays() map[string]*heardState {
+// remoteRelays returns the last report of the relay of each other data centre that has members,
+// or nil where none is recent.
+func (p *Peers) remoteRelays() map[string]*receivedReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[string]*heardState)
+	out := make(map[string]*receivedReport)
 	for _, m := range p.members {
 		if m.DataCentre == p.self.DataCentre {
 			continue
 		}
 		out[m.DataCentre] = nil
-		if s := p.centres[m.DataCentre]; s != nil && s.fresh() {
+		if s := p.dataCentreReports[m.DataCentre]; s != nil && s.isFresh() {
 			out[m.DataCentre] = s
 		}
 	}
 	return out
 }
 
-// mayAnnounce bounds how often all VMs of a data centre without a known relay are
-// sent a summary.
-func (p *Peers) mayAnnounce(dataCentre string) bool {
+// allowBroadcast limits how often a summary is sent to all VMs of a data centre whose relay is
+// not known. It returns true at most once every heartbeatInterval.
+func (p *Peers) allowBroadcast(dataCentre string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if clock.Since(p.announced[dataCentre]) < quietInterval {
+	if clock.Since(p.lastBroadcast[dataCentre]) < heartbeatInterval {
 		return false
 	}
-	p.announced[dataCentre] = clock.Now()
+	p.lastBroadcast[dataCentre] = clock.Now()
 	return true
 }
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -15,10 +15,11 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
-// startIn starts a VM of a data centre.
+// startIn starts a VM in a data centre. link is its bandwidth in Mbit/s.
 func startIn(t *testing.T, dataCentre, name string, link float64, table store.Table, o orders) *vm {
 	t.Helper()
-	return startMember(t, peers.Member{VM: name, Address: address(t), DataCentre: dataCentre, LinkMbps: link}, 1, table, o)
+	return startMember(t, peers.Member{VM: name, Address: address(t), DataCentre: dataCentre,
+		LinkMbps: link}, 1, table, o)
 }
 
 func TestDataCentresHearOfEachOther(t *testing.T) {
@@ -26,7 +27,7 @@
 	table := store.NewMemory()
 	a1 := startIn(t, "a", "a1", 10, table, orders{"e1": fleet.Prefill})
 	defer a1.stop(t)
-	a2 := startIn(t, "a", "a2", 200, table, nil) // the faster link: the relay
+	a2 := startIn(t, "a", "a2", 200, table, nil) // has the faster link and becomes the relay
 	defer a2.stop(t)
 	b1 := startIn(t, "b", "b1", 10, table, nil)
 	defer b1.stop(t)
@@ -35,7 +36,8 @@
 	for _, v := range []*vm{a1, a2, b1, b2} {
 		eventually(t, "all are counted", func() bool { return v.peers.Size() == 4 })
 	}
-	a1.placer.set(map[string]place.Work{"e1": {Running: 2, Prefill: 5 * time.Millisecond}}, place.Use{Target: "e1", Parts: []uint64{7}, Missing: 5})
+	a1.placer.set(map[string]place.Work{"e1": {Running: 2, Prefill: 5 * time.Millisecond}},
+		place.Use{Target: "e1", Parts: []uint64{7}, Missing: 5})
 	a2.placer.set(map[string]place.Work{"e1": {Running: 1}})
 	b1.placer.set(map[string]place.Work{"e1": {Running: 4}})
 	for name, v := range map[string]*vm{"b1": b1, "b2": b2} {
@@ -43,16 +45,17 @@
 		if name == "b2" {
 			want.Running += 4
 		}
-		eventually(t, name+" knows the other data centre's sum, once", func() bool { return v.peers.Work("e1") == want })
-		eventually(t, name+" hears of uses", func() bool { return v.placer.seen() > 0 })
+		eventually(t, name+" knows the other data centre's work, counted once",
+			func() bool { return v.peers.Work("e1") == want })
+		eventually(t, name+" receives uses", func() bool { return v.placer.observedUses() > 0 })
 	}
-	eventually(t, "a1 knows of b1", func() bool { return a1.peers.Work("e1").Running == 5 })
+	eventually(t, "a1 knows b1's work", func() bool { return a1.peers.Work("e1").Running == 5 })
 	stage, ok := b2.peers.Changing("e1")
 	is.True(ok)
 	is.Equal(stage, fleet.Prefill)
 }
 
-// A data centre whose relay is lost is heard through another VM.
+// When the relays of two data centres fail, summaries arrive through their successors.
 func TestLostRelayIsReplaced(t *testing.T) {
 	table := store.NewMemory()
 	a1 := startIn(t, "a", "a1", 200, table, nil)
@@ -62,15 +65,16 @@
 	b2 := startIn(t, "b", "b2", 10, table, nil)
 	defer b2.stop(t)
 	a2.placer.set(map[string]place.Work{"e1": {Running: 3}})
-	eventually(t, "b2 hears of a2", func() bool { return b2.peers.Work("e1").Running == 3 })
-	// Both relays go at once: neither data centre knows the other's next one.
+	eventually(t, "b2 knows a2's work", func() bool { return b2.peers.Work("e1").Running == 3 })
+	// Both relays fail at once, so neither data centre knows the other's successor.
 	a1.stop(t)
 	b1.stop(t)
 	a2.placer.set(map[string]place.Work{"e1": {Running: 9}})
-	eventually(t, "b2 hears of a2 again", func() bool { return b2.peers.Work("e1").Running == 9 })
+	eventually(t, "b2 knows a2's new work", func() bool { return b2.peers.Work("e1").Running == 9 })
 }
 
-// A VM that is added is counted in other data centres before they list again.
+// An added VM announces itself, so that other data centres count it before they list the members
+// again.
 func TestAddedVMIsCountedElsewhere(t *testing.T) {
 	table := store.NewMemory()
 	a := startIn(t, "a", "a", 10, table, nil)
@@ -83,8 +87,8 @@
 	is.New(t).True(time.Since(began) < 2*time.Second)
 }
 
-// enter lists VMs that do not run, so that the group is large.
-func enter(t *testing.T, table store.Table, n int) {
+// addMemberRecords adds the records of n VMs that do not run, to make the group large.
+func addMemberRecords(t *testing.T, table store.Table, n int) {
 	t.Helper()
 	var txn store.Txn
 	for i := range n {
@@ -100,18 +104,18 @@
 	}
 }
 
-func TestSentinelsOfALargeGroupPassOn(t *testing.T) {
+func TestSentinelsOfALargeGroupForwardChanges(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	const others = 30
-	enter(t, table, others)
+	addMemberRecords(t, table, others)
 	var vms []*vm
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		v := startIn(t, "a", name, 10, table, nil)
 		defer v.stop(t)
 		vms = append(vms, v)
 	}
-	// A VM that has not heard of another cannot pass anything on to it.
+	// A VM forwards only to the VMs that it has listed.
 	for _, v := range vms {
 		eventually(t, "all are counted", func() bool { return v.peers.Size() == others+len(vms) })
 	}
@@ -125,15 +129,16 @@
 		return n == 2
 	})
 	d := store.Delta{From: 3, Rows: store.Rows{Revision: 4, Rows: []store.Row{{Key: "k", Version: 4}}}}
-	vms[4].peers.Publish("t", d) // no sentinel
+	vms[4].peers.Publish("t", d) // not a sentinel
 	vms[0].peers.Publish("t", d)
 	for _, v := range vms[1:] {
-		eventually(t, "news arrives", func() bool { return v.followed.offers.Load() == 1 })
+		eventually(t, "the published change arrives",
+			func() bool { return v.followed.offers.Load() == 1 })
 	}
 	is.Equal(vms[0].followed.offers.Load(), int64(0))
 }
 
-func TestSmallGroupsDoNotPassOn(t *testing.T) {
+func TestSmallGroupsDoNotForwardChanges(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	a := startIn(t, "a", "a", 10, table, nil)
@@ -147,8 +152,8 @@
 	is.Equal(b.followed.offers.Load(), int64(0))
 }
 
-// What the store confirmed to one VM of a data centre is known to all VMs, with
-// its age, and a copy that is newer is told from one that is as new.
+// The time at which the store confirmed a version to one VM reaches the VMs of all data centres
+// with its age. Only reports of the same version count for it.
 func TestConfirmationsReachAllDataCentres(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
@@ -166,9 +171,9 @@
 	}
 	a1.followed.setReadAt(at)
 	for _, v := range []*vm{a2, b1, b2} {
-		eventually(t, "the time is known", func() bool {
-			return v.followed.heardOf(7).Sub(at).Abs() < 100*time.Millisecond
+		eventually(t, "the read time arrives", func() bool {
+			return v.followed.confirmedAt(7).Sub(at).Abs() < 100*time.Millisecond
 		})
 	}
-	is.True(a1.followed.heardOf(7).Before(at.Add(-time.Hour))) // the others know nothing themselves
+	is.True(a1.followed.confirmedAt(7).Before(at.Add(-time.Hour))) // the other VMs have no read time of their own
 }
--- a/internal/peers/report.go
+++ b/internal/peers/report.go
@@ -12,56 +12,54 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
-// datagram is what one VM sends another: one of its fields is set.
+// datagram is the message between VMs. Exactly one of its fields is set.
 type datagram struct {
-	Report *report `cbor:"1,keyasint,omitempty"`
-	News   *news   `cbor:"2,keyasint,omitempty"`
-	// Hello is a VM that has just listed the receiver.
+	Report *report     `cbor:"1,keyasint,omitempty"`
+	Delta  *tableDelta `cbor:"2,keyasint,omitempty"`
+	// Hello introduces the sender to a VM that it has just listed.
 	Hello *Member `cbor:"3,keyasint,omitempty"`
-	// Question asks for the runs of client accounts, and Answer tells them.
-	Question *question   `cbor:"5,keyasint,omitempty"`
-	Answer   *answerFrom `cbor:"6,keyasint,omitempty"`
-	// Words are of requests that end their targets.
-	Words *wordsFrom `cbor:"4,keyasint,omitempty"`
+	// UsageQuestion asks for a VM's run counts of client accounts, and UsageAnswer returns them.
+	UsageQuestion *usageQuestion `cbor:"5,keyasint,omitempty"`
+	UsageAnswer   *usageAnswer   `cbor:"6,keyasint,omitempty"`
+	// Suspects describes requests that are suspected of crashing their targets.
+	Suspects *suspectsMessage `cbor:"4,keyasint,omitempty"`
 }
 
-// report is the work in hand of one VM or, as a summary, of all VMs of one data
-// centre. Its keys on the wire are numbers, as reports are sent often and some
-// VMs have narrow links.
+// report is the work of one VM or, as a summary, the total of all VMs of one data centre. Its
+// CBOR keys are numbers because reports are sent often and some VMs have narrow links.
 type report struct {
 	// From is the VM that made the report.
 	From Member `cbor:"1,keyasint"`
-	// Incarnation and Number order the reports of one VM.
+	// Incarnation and Number order the reports of one VM. Incarnation identifies its process.
 	Incarnation int64  `cbor:"2,keyasint"`
 	Number      uint64 `cbor:"3,keyasint"`
-	// Summary says that the report is about From's whole data centre, and
-	// Forwarded that the receiver's own relay has passed it on.
+	// Summary says that the report covers all VMs of From's data centre. Forwarded says that a VM
+	// of the receiver's data centre has already forwarded it.
 	Summary bool `cbor:"4,keyasint,omitempty"`
-	// Digest says that the report is about all VMs, those of From's data centre that it is
-	// sent to included.
-	Digest    bool   `cbor:"11,keyasint,omitempty"`
-	Forwarded bool   `cbor:"5,keyasint,omitempty"`
-	Work      []item `cbor:"6,keyasint"`
-	// Uses are the prompts given to targets since the last report.
+	// Digest says that the report covers all VMs of all data centres, its receivers included.
+	Digest    bool       `cbor:"11,keyasint,omitempty"`
+	Forwarded bool       `cbor:"5,keyasint,omitempty"`
+	Work      []workItem `cbor:"6,keyasint"`
+	// Uses are the prompts sent to targets since the last report.
 	Uses []use `cbor:"7,keyasint,omitempty"`
-	// Newest is the highest row version taken in of each followed table.
+	// Newest is the highest applied row version of each followed table.
 	Newest []uint64 `cbor:"8,keyasint"`
-	// Changing is the engines that have been ordered to change their stage.
+	// Changing holds the engines that have been ordered to change their stage.
 	Changing map[string]fleet.Stage `cbor:"9,keyasint,omitempty"`
-	// AgesMS is how long ago the store answered From, or a VM of its data centre,
-	// that no row of a followed table is newer than Newest.
+	// AgesMS is, for each followed table, how many ms ago the store told From, or a VM of its
+	// data centre, that no row is newer than Newest.
 	AgesMS []uint32 `cbor:"10,keyasint,omitempty"`
-	// ClocksMS is what the store's clock was then. Unlike an age it stays true however long
-	// the report is on its way.
-	ClocksMS []uint64 `cbor:"13,keyasint,omitempty"`
-	// Holds says that From, or a VM of its data centre, is holder of the duties.
-	Holds bool `cbor:"14,keyasint,omitempty"`
-	// Listed is how many VMs From knows.
-	Listed int `cbor:"12,keyasint,omitempty"`
+	// StoreTimesMS is what the store's clock read at those times, in ms. Unlike an age, it stays
+	// correct however long the report is in transit.
+	StoreTimesMS []uint64 `cbor:"13,keyasint,omitempty"`
+	// HoldsDuties says that From, or a VM of its data centre, holds the duties.
+	HoldsDuties bool `cbor:"14,keyasint,omitempty"`
+	// KnownVMs is the number of VMs that From has listed.
+	KnownVMs int `cbor:"12,keyasint,omitempty"`
 }
 
-// agesOf returns how long ago times were, in milliseconds.
-func agesOf(times []time.Time, now time.Time) []uint32 {
+// agesMS returns the ages of times in ms, limited to the range of uint32.
+func agesMS(times []time.Time, now time.Time) []uint32 {
 	ages := make([]uint32, 0, len(times))
 	for _, t := range times {
 		ms := max(now.Sub(t).Milliseconds(), 0)
@@ -70,8 +68,8 @@
 	return ages
 }
 
-// readAt is the reverse of agesOf, for a report that came now.
-func (r *report) readAt(now time.Time) []time.Time {
+// readTimes converts AgesMS back to times, for a report received at now.
+func (r *report) readTimes(now time.Time) []time.Time {
 	times := make([]time.Time, 0, len(r.AgesMS))
 	for _, ms := range r.AgesMS {
 		times = append(times, now.Add(-time.Duration(ms)*time.Millisecond))
@@ -79,18 +77,19 @@
 	return times
 }
 
-// clock returns what the store's clock was as of the report's copy of a followed table, or 0.
-func (r *report) clock(table int) time.Duration {
-	if table >= len(r.ClocksMS) {
+// storeTime returns the store's clock reading for the followed table with the given index, or 0
+// if the report has none.
+func (r *report) storeTime(table int) time.Duration {
+	if table >= len(r.StoreTimesMS) {
 		return 0
 	}
-	return time.Duration(min(r.ClocksMS[table], maxClockMS)) * time.Millisecond
+	return time.Duration(min(r.StoreTimesMS[table], maxStoreTimeMS)) * time.Millisecond
 }
 
-// maxClockMS is the longest time of the store's clock that a time.Duration holds.
-const maxClockMS = uint64(math.MaxInt64 / int64(time.Millisecond))
+// maxStoreTimeMS is the largest clock reading in ms that a time.Duration can hold.
+const maxStoreTimeMS = uint64(math.MaxInt64 / int64(time.Millisecond))
 
-// use is a place.Use on the wire.
+// use is the wire form of place.Use.
 type use struct {
 	_       struct{} `cbor:",toarray"`
 	Target  string
@@ -98,12 +97,13 @@
 	Missing int
 	Failed  bool
 	Reads   bool
-	// By tells the VM that gave it the prompt from others: digests come back to it.
-	By uint16
+	// Origin is the originHash of the VM that sent the prompt. Digests return a VM's own uses to
+	// it, and it skips them by this hash.
+	Origin uint16
 }
 
-// item is a place.Work on the wire.
-type item struct {
+// workItem is the wire form of place.Work.
+type workItem struct {
 	_         struct{} `cbor:",toarray"`
 	Target    string
 	PrefillUS int64
@@ -113,68 +113,74 @@
 	Tokens    int
 }
 
-func itemsOf(work map[string]place.Work) []item {
-	items := make([]item, 0, len(work))
+func encodeWork(work map[string]place.Work) []workItem {
+	items := make([]workItem, 0, len(work))
 	for id, w := range work {
-		items = append(items, item{Target: id, PrefillUS: w.Prefill.Microseconds(), Prefills: w.Prefills, Running: w.Running, Streams: w.Streams, Tokens: w.Tokens})
+		items = append(items, workItem{Target: id, PrefillUS: w.Prefill.Microseconds(),
+			Prefills: w.Prefills, Running: w.Running, Streams: w.Streams, Tokens: w.Tokens})
 	}
-	// The same work makes the same report, which is then not sent again.
-	slices.SortFunc(items, func(a, b item) int { return cmp.Compare(a.Target, b.Target) })
+	// Sorting gives equal work equal encodings, so that an unchanged report is recognised and not
+	// sent.
+	slices.SortFunc(items, func(a, b workItem) int { return cmp.Compare(a.Target, b.Target) })
 	return items
 }
 
-func workOf(items []item) map[string]place.Work {
+func decodeWork(items []workItem) map[string]place.Work {
 	work := make(map[string]place.Work, len(items))
 	for _, i := range items {
-		work[i.Target] = place.Work{Prefill: time.Duration(i.PrefillUS) * time.Microsecond, Prefills: i.Prefills, Running: i.Running, Streams: i.Streams, Tokens: i.Tokens}
+		work[i.Target] = place.Work{Prefill: time.Duration(i.PrefillUS) * time.Microsecond,
+			Prefills: i.Prefills, Running: i.Running, Streams: i.Streams, Tokens: i.Tokens}
 	}
 	return work
 }
 
-func usesOf(uses []place.Use, by uint16) []use {
+func encodeUses(uses []place.Use, origin uint16) []use {
 	out := make([]use, 0, len(uses))
 	for _, u := range uses {
-		out = append(out, use{Target: u.Target, Parts: u.Parts, Missing: u.Missing, Failed: u.Failed, Reads: u.Reads, By: by})
+		out = append(out, use{Target: u.Target, Parts: u.Parts, Missing: u.Missing,
+			Failed: u.Failed, Reads: u.Reads, Origin: origin})
 	}
 	return out
 }
 
-// mark is a short mark of a VM in uses. Two VMs with one mark do not hear of each other's
-// uses in digests.
-func mark(vm string) uint16 {
+// originHash returns a short hash of a VM's name. Two VMs whose hashes collide do not see each
+// other's uses in digests.
+func originHash(vm string) uint16 {
 	h := fnv.New32a()
-	// A hash's Write returns no error.
+	// Write of a hash.Hash never returns an error.
 	_, _ = h.Write([]byte(vm))
 	return uint16(h.Sum32())
 }
 
-// placeUses returns the uses of other VMs than the one marked by own.
-func placeUses(uses []use, own uint16) []place.Use {
+// decodeUses returns the uses whose origin is not own, the hash of this VM.
+func decodeUses(uses []use, own uint16) []place.Use {
 	out := make([]place.Use, 0, len(uses))
 	for _, u := range uses {
-		if u.By == own {
+		if u.Origin == own {
 			continue
 		}
-		out = append(out, place.Use{Target: u.Target, Parts: u.Parts, Missing: u.Missing, Failed: u.Failed, Reads: u.Reads})
+		out = append(out, place.Use{Target: u.Target, Parts: u.Parts, Missing: u.Missing,
+			Failed: u.Failed, Reads: u.Reads})
 	}
 	return out
 }
 
-// news is a store.Delta on the wire.
-type news struct {
+// tableDelta is the wire form of store.Delta.
+type tableDelta struct {
 	_ struct{} `cbor:",toarray"`
-	// Table is the place of the table among those followed.
-	Table int
-	// The rows are the changes after revision From, up to revision To.
+	// TableIndex is the index of the table among the followed tables.
+	TableIndex int
+	// Rows are the changes after revision From, up to revision To.
 	From uint64
 	To   uint64
-	// SinceBackMS is how long the store had been back, or -1 where it has not
-	// been away.
+	// SinceBackMS is how many ms ago the store became reachable again, or -1 if it has not been
+	// unreachable.
 	SinceBackMS int64
-	Rows        []newsRow
+	Rows        []deltaRow
 }
 
-type newsRow struct {
+// deltaRow is the wire form of store.Row.
+type deltaRow struct {
 	_       struct{} `cbor:",toarray"`
 	Key     string
 	Value   []byte
@@ -182,24 +188,26 @@
 	Removed bool
 }
 
-func newsOf(table int, d store.Delta) *news {
-	n := &news{Table: table, From: d.From, To: d.Rows.Revision, SinceBackMS: -1}
+func encodeDelta(index int, d store.Delta) *tableDelta {
+	n := &tableDelta{TableIndex: index, From: d.From, To: d.Rows.Revision, SinceBackMS: -1}
 	if d.WasAway {
 		n.SinceBackMS = d.SinceBack.Milliseconds()
 	}
 	for _, r := range d.Rows.Rows {
-		n.Rows = append(n.Rows, newsRow{Key: r.Key, Value: r.Value, Version: r.Version, Removed: r.Removed})
+		n.Rows = append(n.Rows, deltaRow{Key: r.Key, Value: r.Value, Version: r.Version,
+			Removed: r.Removed})
 	}
 	return n
 }
 
-func (n *news) delta() store.Delta {
+func (n *tableDelta) decode() store.Delta {
 	d := store.Delta{From: n.From, Rows: store.Rows{Revision: n.To}}
 	if n.SinceBackMS >= 0 {
 		d.WasAway, d.SinceBack = true, time.Duration(n.SinceBackMS)*time.Millisecond
 	}
 	for _, r := range n.Rows {
-		d.Rows.Rows = append(d.Rows.Rows, store.Row{Key: r.Key, Value: r.Value, Version: r.Version, Removed: r.Removed})
+		d.Rows.Rows = append(d.Rows.Rows, store.Row{Key: r.Key, Value: r.Value, Version: r.Version,
+			Removed: r.Removed})
 	}
 	return d
 }
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -11,77 +11,81 @@
 )
 
 const (
-	// wordsPerDatagram keeps words of about 60 bytes for each end well below maxDatagram.
-	wordsPerDatagram = 150
-	// wordsAgain is how many words are told again, and wordsInterval how often, to
-	// wordsTo VMs that are drawn: datagrams are lost, and VMs start later, or were cut off,
-	// frozen or suspended when the word came. Each VM is told by three others a second on
-	// average, whatever the size of the group, so that one in eight thousand hears nothing
-	// for 3 s.
-	wordsAgain    = wordsPerDatagram
-	wordsInterval = time.Second
-	wordsTo       = 3
+	// suspectsPerDatagram keeps datagrams well below maxDatagram, at about 60 bytes for each
+	// crash of a suspect.
+	suspectsPerDatagram = 150
+	// Every resendInterval, resendCount suspects are sent again to resendVMs random VMs, because
+	// datagrams get lost and VMs start later, or were cut off, frozen or suspended when a suspect
+	// was first sent. Each VM receives three such datagrams a second on average, whatever the
+	// size of the group, so that one in eight thousand receives none for 3 s.
+	resendCount    = suspectsPerDatagram
+	resendInterval = time.Second
+	resendVMs      = 3
 )
 
-// Suspects knows the requests that end their targets.
+// Suspects holds the requests that are suspected of crashing their targets.
 type Suspects interface {
-	// News returns what has not been told, and Words what matters most of all.
-	News(now time.Time) []quarantine.Word
-	Words(n int, now time.Time) []quarantine.Word
-	// Hear takes in what another VM knows.
-	Hear(from string, words []quarantine.Word)
+	// TakeChanged returns the entries that have changed since its last call, and Top the n
+	// most severe ones.
+	TakeChanged(now time.Time) []quarantine.Snapshot
+	Top(n int, now time.Time) []quarantine.Snapshot
+	// MergeFrom merges the entries that another VM has sent.
+	MergeFrom(from string, snapshots []quarantine.Snapshot)
 }
 
-// SetSuspects sets whose words are exchanged; it is called before Start.
+// SetSuspects sets the suspects to exchange. It must be called before Start.
 func (p *Peers) SetSuspects(s Suspects) { p.suspects = s }
 
-// tellSuspects tells all VMs, of all data centres, what is new, and some again what they may
-// have missed. Words go straight to each VM, not by the relays: they are few, and are needed
-// where a relay has just been lost, too.
-func (p *Peers) tellSuspects(now time.Time) {
+// sendSuspects sends changed suspects to all VMs of all data centres, and periodically resends
+// the most severe ones to some. Suspects are sent directly and not through relays: they are few,
+// and they must also arrive just after a relay has failed.
+func (p *Peers) sendSuspects(now time.Time) {
 	if p.suspects == nil {
 		return
 	}
-	if news := p.suspects.News(now); len(news) > 0 {
-		p.sendWords(news, p.everybody())
+	if changed := p.suspects.TakeChanged(now); len(changed) > 0 {
+		p.sendSnapshots(changed, p.allAddrs())
 	}
-	if now.Before(p.wordsAt) {
+	if now.Before(p.nextResend) {
 		return
 	}
-	p.wordsAt = now.Add(wordsInterval)
-	if words := p.suspects.Words(wordsAgain, now); len(words) > 0 {
-		p.sendWords(words, p.some(wordsTo))
+	p.nextResend = now.Add(resendInterval)
+	if snapshots := p.suspects.Top(resendCount, now); len(snapshots) > 0 {
+		p.sendSnapshots(snapshots, p.randomAddrs(resendVMs))
 	}
 }
 
-// Owns reports whether this VM is the one of the listed VMs that does what one is to do for a
-// key: that with the highest hash of both, so that another one's coming or going moves few keys.
+// Owns returns whether this VM is the owner of a key, by rendezvous hashing over the listed VMs:
+// when a VM joins or leaves, few keys change their owner.
 func (p *Peers) Owns(key []byte) bool {
-	own := weightOf(p.self.VM, key)
+	own := ownerWeight(p.self.VM, key)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for vm := range p.members {
-		if weightOf(vm, key) > own {
+		if ownerWeight(vm, key) > own {
 			return false
 		}
 	}
 	return true
 }
 
-func weightOf(vm string, key []byte) uint64 {
+// ownerWeight returns the weight of a VM for a key. The VM with the highest weight owns the key.
+func ownerWeight(vm string, key []byte) uint64 {
 	return xxhash.Sum64(append([]byte(vm), key...))
 }
 
-func (p *Peers) sendWords(words []quarantine.Word, to []netip.AddrPort) {
-	for len(words) > 0 {
-		n := min(len(words), wordsPerDatagram)
-		p.toAll(datagram{Words: &wordsFrom{From: p.self.VM, Words: wordsOf(words[:n])}}, to)
-		words = words[n:]
+// sendSnapshots sends snapshots to each address, in as many datagrams as they need.
+func (p *Peers) sendSnapshots(snapshots []quarantine.Snapshot, to []netip.AddrPort) {
+	for len(snapshots) > 0 {
+		n := min(len(snapshots), suspectsPerDatagram)
+		p.sendTo(datagram{Suspects: &suspectsMessage{From: p.self.VM,
+			Entries: encodeSuspects(snapshots[:n])}}, to)
+		snapshots = snapshots[n:]
 	}
 }
 
-// everybody returns the addresses of all other VMs.
-func (p *Peers) everybody() []netip.AddrPort {
+// allAddrs returns the addresses of all other VMs.
+func (p *Peers) allAddrs() []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	to := make([]netip.AddrPort, 0, len(p.members))
@@ -93,68 +97,73 @@
 	return to
 }
 
-// some returns the addresses of n other VMs that are drawn.
-func (p *Peers) some(n int) []netip.AddrPort {
-	all := p.everybody()
+// randomAddrs returns the addresses of n random other VMs, or of all if there are fewer.
+func (p *Peers) randomAddrs(n int) []netip.AddrPort {
+	all := p.allAddrs()
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(n, len(all))]
 }
 
-// wordsFrom is what a VM tells of requests that end their targets.
-type wordsFrom struct {
-	From  string `cbor:"1,keyasint"`
-	Words []word `cbor:"2,keyasint"`
+// suspectsMessage carries entries of suspects from one VM to others.
+type suspectsMessage struct {
+	From    string         `cbor:"1,keyasint"`
+	Entries []suspectEntry `cbor:"2,keyasint"`
 }
 
-// word is a quarantine.Word on the wire.
-type word struct {
-	_      struct{} `cbor:",toarray"`
-	Source uint64
-	Key    uint64
-	Print  []byte
-	Ends   []wordEnd
+// suspectEntry is the wire form of quarantine.Snapshot.
+type suspectEntry struct {
+	_           struct{} `cbor:",toarray"`
+	Source      uint64
+	Key         uint64
+	Fingerprint []byte
+	Crashes     []suspectCrash
 }
 
-type wordEnd struct {
-	_      struct{} `cbor:",toarray"`
-	Target uint64
-	AgeMS  int64
-	RanMS  int64
-	Void   bool
+// suspectCrash is the wire form of quarantine.SnapshotCrash.
+type suspectCrash struct {
+	_       struct{} `cbor:",toarray"`
+	RunHash uint64
+	AgeMS   int64
+	RanMS   int64
+	Cleared bool
 }
 
-func wordsOf(words []quarantine.Word) []word {
-	out := make([]word, 0, len(words))
-	for _, w := range words {
-		o := word{Source: w.Source, Key: w.ID.Key, Print: w.ID.Print[:], Ends: make([]wordEnd, 0, len(w.Ends))}
-		for _, e := range w.Ends {
-			o.Ends = append(o.Ends, wordEnd{Target: e.Target, AgeMS: e.Age.Milliseconds(), RanMS: e.Ran.Milliseconds(), Void: e.Void})
+func encodeSuspects(snapshots []quarantine.Snapshot) []suspectEntry {
+	out := make([]suspectEntry, 0, len(snapshots))
+	for _, s := range snapshots {
+		o := suspectEntry{Source: s.Source, Key: s.ID.Key, Fingerprint: s.ID.Print[:],
+			Crashes: make([]suspectCrash, 0, len(s.Crashes))}
+		for _, c := range s.Crashes {
+			o.Crashes = append(o.Crashes, suspectCrash{RunHash: c.RunHash,
+				AgeMS: c.Age.Milliseconds(), RanMS: c.RanFor.Milliseconds(), Cleared: c.Cleared})
 		}
 		out = append(out, o)
 	}
 	return out
 }
 
-func (w *wordsFrom) words() []quarantine.Word {
-	out := make([]quarantine.Word, 0, len(w.Words))
-	for _, in := range w.Words {
-		o := quarantine.Word{ID: quarantine.ID{Key: in.Key}, Source: in.Source}
-		if copy(o.ID.Print[:], in.Print) != len(o.ID.Print) {
+// decode returns the entries as snapshots. It skips entries whose fingerprint is too short.
+func (m *suspectsMessage) decode() []quarantine.Snapshot {
+	out := make([]quarantine.Snapshot, 0, len(m.Entries))
+	for _, in := range m.Entries {
+		o := quarantine.Snapshot{ID: quarantine.ID{Key: in.Key}, Source: in.Source}
+		if copy(o.ID.Print[:], in.Fingerprint) != len(o.ID.Print) {
 			continue
 		}
-		for _, e := range in.Ends {
-			o.Ends = append(o.Ends, quarantine.WordEnd{Target: e.Target, Age: millis(e.AgeMS), Ran: millis(e.RanMS), Void: e.Void})
+		for _, c := range in.Crashes {
+			o.Crashes = append(o.Crashes, quarantine.SnapshotCrash{RunHash: c.RunHash,
+				Age: milliseconds(c.AgeMS), RanFor: milliseconds(c.RanMS), Cleared: c.Cleared})
 		}
 		out = append(out, o)
 	}
 	return out
 }
 
-// millis returns a time of so many milliseconds, which another VM has sent.
-func millis(ms int64) time.Duration { return time.Duration(max(ms, 0)) * time.Millisecond }
+// milliseconds converts a number of ms received from another VM. It treats negative numbers as 0.
+func milliseconds(ms int64) time.Duration { return time.Duration(max(ms, 0)) * time.Millisecond }
 
-func (p *Peers) takeWords(w *wordsFrom) {
+func (p *Peers) handleSuspects(m *suspectsMessage) {
 	if p.suspects != nil {
-		p.suspects.Hear(w.From, w.words())
+		p.suspects.MergeFrom(m.From, m.decode())
 	}
 }
--- a/internal/peers/suspects_test.go
+++ b/internal/peers/suspects_test.go
@@ -14,29 +14,30 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// heardWithin is how soon word of a request that ends its targets must be everywhere: the
-// users' pages allow 3 s.
-const heardWithin = 3 * time.Second
+// spreadBound is how soon all VMs must know a request that crashes its targets. The user
+// documentation allows 3 s.
+const spreadBound = 3 * time.Second
 
-// suspectVM is a VM that tells what it knows of requests.
+// suspectVM is a VM with a quarantine table.
 type suspectVM struct {
 	*vm
 	known *quarantine.Table
 }
 
-// Hear implements peers.Suspects.
-func (v *suspectVM) Hear(_ string, words []quarantine.Word) { v.known.Merge(words, time.Now()) }
+// MergeFrom implements peers.Suspects.
+func (v *suspectVM) MergeFrom(_ string, s []quarantine.Snapshot) { v.known.Merge(s, time.Now()) }
 
-// News implements peers.Suspects.
-func (v *suspectVM) News(now time.Time) []quarantine.Word { return v.known.News(now) }
+// TakeChanged implements peers.Suspects.
+func (v *suspectVM) TakeChanged(now time.Time) []quarantine.Snapshot { return v.known.TakeChanged(now) }
 
-// Words implements peers.Suspects.
-func (v *suspectVM) Words(n int, now time.Time) []quarantine.Word { return v.known.Words(n, now) }
+// Top implements peers.Suspects.
+func (v *suspectVM) Top(n int, now time.Time) []quarantine.Snapshot { return v.known.Top(n, now) }
 
-func startSuspecting(t *testing.T, dataCentre, name, addr string, table store.Table) *suspectVM {
+func startWithSuspects(t *testing.T, dataCentre, name, addr string, table store.Table) *suspectVM {
 	t.Helper()
 	v := &suspectVM{vm: &vm{placer: &placer{}, followed: &followed{}}, known: quarantine.NewTable()}
-	v.peers = peers.New(peers.Member{VM: name, Address: addr, DataCentre: dataCentre, LinkMbps: 10}, time.Now().UnixNano(), table, telemetry.Discard())
+	v.peers = peers.New(peers.Member{VM: name, Address: addr, DataCentre: dataCentre, LinkMbps: 10},
+		time.Now().UnixNano(), table, telemetry.Discard())
 	v.peers.SetPlacer(v.placer)
 	v.peers.SetOrders(orders{})
 	v.peers.Follow(v.followed)
@@ -45,24 +46,25 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		// It may have been stopped by the test.
+		// The test may have stopped it already.
 		_ = v.peers.Stop(context.Background())
 	})
 	return v
 }
 
-func (v *suspectVM) knows(r quarantine.Request) bool {
+func (v *suspectVM) quarantines(r quarantine.Request) bool {
 	return v.known.Judge(&r, time.Now()).Quarantined(time.Now(), false)
 }
 
-// Word of a request reaches all VMs of all data centres, though its targets ended at different
-// VMs, and those that start later, whose restart is not listed anew.
-func TestWordOfARequestReachesAllVMs(t *testing.T) {
+// A suspect whose crashes were seen by different VMs reaches all VMs of all data centres. It also
+// reaches a VM that starts later and one that restarts, which the other VMs do not see as new.
+func TestSuspectsReachAllVMs(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	var vms []*suspectVM
 	for i := range 9 {
-		vms = append(vms, startSuspecting(t, fmt.Sprint("dc", i%3), fmt.Sprint("vm", i), address(t), table))
+		vms = append(vms, startWithSuspects(t, fmt.Sprint("dc", i%3), fmt.Sprint("vm", i),
+			address(t), table))
 	}
 	for _, v := range vms {
 		eventually(t, "all are counted", func() bool { return v.peers.Size() == len(vms) })
@@ -70,45 +72,51 @@
 	deadly := quarantine.Request{Account: "a", Method: "POST", URI: "/x", Body: []byte("deadly")}
 	for i := range 3 {
 		now := time.Now()
-		vms[i].known.Ended(&deadly, quarantine.End{Run: fmt.Sprint("run", i), Began: now.Add(-10 * time.Millisecond), At: now})
+		vms[i].known.Ended(&deadly, quarantine.End{Run: fmt.Sprint("run", i),
+			Began: now.Add(-10 * time.Millisecond), At: now})
 		time.Sleep(50 * time.Millisecond)
 	}
 	began := time.Now()
 	for i, v := range vms {
-		eventually(t, fmt.Sprint("vm", i, " knows of it"), func() bool { return v.knows(deadly) })
+		eventually(t, fmt.Sprint("vm", i, " knows of the suspect"),
+			func() bool { return v.quarantines(deadly) })
 	}
-	is.True(time.Since(began) < heardWithin)
+	is.True(time.Since(began) < spreadBound)
 
-	late := startSuspecting(t, "dc1", "late", address(t), table)
+	late := startWithSuspects(t, "dc1", "late", address(t), table)
 	began = time.Now()
-	eventually(t, "one that starts later knows of it", func() bool { return late.knows(deadly) })
-	is.True(time.Since(began) < heardWithin)
+	eventually(t, "the VM that starts later knows of the suspect",
+		func() bool { return late.quarantines(deadly) })
+	is.True(time.Since(began) < spreadBound)
 
 	addr := address(t)
-	again := startSuspecting(t, "dc2", "again", addr, table)
-	eventually(t, "it knows of it", func() bool { return again.knows(deadly) })
+	again := startWithSuspects(t, "dc2", "again", addr, table)
+	eventually(t, "the VM to be restarted knows of the suspect",
+		func() bool { return again.quarantines(deadly) })
 	again.stop(t)
-	again = startSuspecting(t, "dc2", "again", addr, table)
+	again = startWithSuspects(t, "dc2", "again", addr, table)
 	began = time.Now()
-	eventually(t, "one that starts again knows of it", func() bool { return again.knows(deadly) })
-	is.True(time.Since(began) < heardWithin)
+	eventually(t, "the restarted VM knows of the suspect",
+		func() bool { return again.quarantines(deadly) })
+	is.True(time.Since(began) < spreadBound)
 
-	// A good end anywhere is heard as well.
+	// A successful run at any VM clears it everywhere.
 	is.True(vms[8].known.Served(&deadly))
 	began = time.Now()
 	for i, v := range vms {
-		eventually(t, fmt.Sprint("vm", i, " clears it"), func() bool { return !v.knows(deadly) })
+		eventually(t, fmt.Sprint("vm", i, " clears the suspect"),
+			func() bool { return !v.quarantines(deadly) })
 	}
-	is.True(time.Since(began) < heardWithin)
+	is.True(time.Since(began) < spreadBound)
 }
 
-// Each key is one VM's, and the keys are spread over all.
+// Each key has exactly one owner, and every VM owns some keys.
 func TestOneVMOwnsAKey(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	var vms []*suspectVM
 	for i := range 5 {
-		vms = append(vms, startSuspecting(t, "a", fmt.Sprint("vm", i), address(t), table))
+		vms = append(vms, startWithSuspects(t, "a", fmt.Sprint("vm", i), address(t), table))
 	}
 	for _, v := range vms {
 		eventually(t, "all are counted", func() bool { return v.peers.Size() == len(vms) })
--- a/internal/peers/usage.go
+++ b/internal/peers/usage.go
@@ -8,51 +8,54 @@
 	"garnethoist.org/garnethoist/internal/usage"
 )
 
-// Usage counts the runs of client accounts.
+// Usage holds the run counts of client accounts.
 type Usage interface {
-	// Answer returns this VM's counts, and Hear takes in another VM's.
+	// Answer returns this VM's counts, and Hear takes in those of another VM.
 	Answer(q usage.Question) usage.Answer
 	Hear(vm string, a usage.Answer)
 }
 
-// SetUsage sets whose counts are exchanged; it is called before Start.
+// SetUsage sets the counts to exchange. It must be called before Start.
 func (p *Peers) SetUsage(u Usage) { p.usage = u }
 
-// SetDuty sets where it is read whether this VM holds the duties; it is called before Start.
-func (p *Peers) SetDuty(fence func() uint64) { p.duty = fence }
+// SetDuty sets the function that returns this VM's fence while it holds the duties, and 0
+// otherwise. It must be called before Start.
+func (p *Peers) SetDuty(fence func() uint64) { p.dutyFence = fence }
 
-// question is a usage.Question on the wire.
-type question struct {
+// usageQuestion is the wire form of usage.Question.
+type usageQuestion struct {
 	From        string `cbor:"1,keyasint"`
 	Incarnation int64  `cbor:"2,keyasint"`
 	Revision    uint64 `cbor:"3,keyasint"`
 	Number      uint64 `cbor:"4,keyasint"`
 }
 
-// answerFrom is a usage.Answer on the wire.
-type answerFrom struct {
-	From        string      `cbor:"1,keyasint"`
-	Incarnation int64       `cbor:"2,keyasint"`
-	Since       uint64      `cbor:"3,keyasint"`
-	Revision    uint64      `cbor:"4,keyasint"`
-	Number      uint64      `cbor:"5,keyasint"`
-	More        bool        `cbor:"6,keyasint,omitempty"`
-	Counts      []usedCount `cbor:"7,keyasint,omitempty"`
+// usageAnswer is the wire form of usage.Answer.
+type usageAnswer struct {
+	From        string       `cbor:"1,keyasint"`
+	Incarnation int64        `cbor:"2,keyasint"`
+	Since       uint64       `cbor:"3,keyasint"`
+	Revision    uint64       `cbor:"4,keyasint"`
+	Number      uint64       `cbor:"5,keyasint"`
+	More        bool         `cbor:"6,keyasint,omitempty"`
+	Counts      []usageCount `cbor:"7,keyasint,omitempty"`
 }
 
-type usedCount struct {
+// usageCount is the wire form of usage.Count.
+type usageCount struct {
 	_       struct{} `cbor:",toarray"`
 	Window  int64
 	Account string
 	Runs    int
 }
 
-// AskUsage implements usage.Group.
+// AskUsage implements usage.Group. It sends a question to a VM.
 func (p *Peers) AskUsage(vm string, q usage.Question) {
-	p.toVM(vm, datagram{Question: &question{From: p.self.VM, Incarnation: q.Incarnation, Revision: q.Revision, Number: q.Number}})
+	p.sendToVM(vm, datagram{UsageQuestion: &usageQuestion{From: p.self.VM,
+		Incarnation: q.Incarnation, Revision: q.Revision, Number: q.Number}})
 }
 
-// Others implements usage.Group.
+// Others implements usage.Group. It returns the sorted names of the other VMs.
 func (p *Peers) Others() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,41 +69,46 @@
 	return names
 }
 
-// toVM sends a datagram to one VM, if it is listed.
-func (p *Peers) toVM(vm string, d datagram) {
+// sendToVM sends a datagram to a VM, or does nothing if the VM is not listed.
+func (p *Peers) sendToVM(vm string, d datagram) {
 	p.mu.Lock()
 	m, ok := p.members[vm]
 	p.mu.Unlock()
 	if ok {
-		p.toAll(d, []netip.AddrPort{m.addr})
+		p.sendTo(d, []netip.AddrPort{m.addr})
 	}
 }
 
-func (p *Peers) takeQuestion(q *question) {
+func (p *Peers) handleUsageQuestion(q *usageQuestion) {
 	if p.usage == nil {
 		return
 	}
-	a := p.usage.Answer(usage.Question{Incarnation: q.Incarnation, Revision: q.Revision, Number: q.Number})
-	out := &answerFrom{From: p.self.VM, Incarnation: a.Incarnation, Since: a.From, Revision: a.Revision, Number: a.Number, More: a.More}
+	a := p.usage.Answer(usage.Question{Incarnation: q.Incarnation, Revision: q.Revision,
+		Number: q.Number})
+	out := &usageAnswer{From: p.self.VM, Incarnation: a.Incarnation, Since: a.From,
+		Revision: a.Revision, Number: a.Number, More: a.More}
 	for _, c := range a.Counts {
-		out.Counts = append(out.Counts, usedCount{Window: int64(c.Window), Account: c.Account, Runs: c.Runs})
+		out.Counts = append(out.Counts, usageCount{Window: int64(c.Window), Account: c.Account,
+			Runs: c.Runs})
 	}
-	p.toVM(q.From, datagram{Answer: out})
+	p.sendToVM(q.From, datagram{UsageAnswer: out})
 }
 
-func (p *Peers) takeAnswer(in *answerFrom) {
+func (p *Peers) handleUsageAnswer(in *usageAnswer) {
 	if p.usage == nil {
 		return
 	}
-	a := usage.Answer{Incarnation: in.Incarnation, From: in.Since, Revision: in.Revision, Number: in.Number, More: in.More}
+	a := usage.Answer{Incarnation: in.Incarnation, From: in.Since, Revision: in.Revision,
+		Number: in.Number, More: in.More}
 	for _, c := range in.Counts {
-		a.Counts = append(a.Counts, usage.Count{Window: usage.Window(c.Window), Account: c.Account, Runs: c.Runs})
+		a.Counts = append(a.Counts, usage.Count{Window: usage.Window(c.Window), Account: c.Account,
+			Runs: c.Runs})
 	}
 	p.usage.Hear(in.From, a)
 }
 
-// Candidate implements duty.Group: in a large group few VMs contend, those that watch the
-// store anyway.
+// Candidate implements duty.Group. In a large group only the sentinels compete for the duties,
+// because they watch the store anyway.
 func (p *Peers) Candidate() bool {
 	select {
 	case <-p.joined:
@@ -110,13 +118,14 @@
 	return !p.PassesOn() || p.Sentinel()
 }
 
-// HolderHeard implements duty.Group.
+// HolderHeard implements duty.Group. It returns whether a recent report says that another VM
+// holds the duties.
 func (p *Peers) HolderHeard() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, all := range []map[string]*heardState{p.heard, p.centres} {
+	for _, all := range []map[string]*receivedReport{p.vmReports, p.dataCentreReports} {
 		for _, s := range all {
-			if s.holds && s.fresh() && s.from.VM != p.self.VM {
+			if s.holdsDuties && s.isFresh() && s.from.VM != p.self.VM {
 				return true
 			}
 		}
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -8,102 +8,105 @@
 )
 
 const (
-	// suspectEnds is after how many ended targets a request counts as a suspect, and
-	// quarantineEnds after how many it is kept from all targets: with two, a request
-	// that stood twice beside the one at fault would be refused.
-	suspectEnds    = 2
-	quarantineEnds = 3
-	// Onset is how long after a request's first event an end of its target may be its doing:
-	// one that runs on for longer is not at fault, and a target that ends then, with others at
-	// work, tells nothing of it.
+	// suspectCrashes is the number of crashes from which a request is a suspect, and
+	// quarantineCrashes the number from which it is quarantined, that is, kept from all targets.
+	// With two, a request that twice happened to run beside the one at fault would be refused.
+	suspectCrashes    = 2
+	quarantineCrashes = 3
+	// Onset is how long after a request's first event a crash of its target may be blamed on it.
+	// A request that runs for longer is not at fault, and a target that crashes later, with other
+	// requests running, says nothing about it.
 	Onset = 500 * time.Millisecond
-	// othersWait is how many times longer all other VMs wait than the one that tries a
-	// request: it may be down, or the request not come to it.
-	othersWait = 12
-	// maxTerm is the longest wait, once all trials have failed.
+	// othersFactor is how many times longer all other VMs wait than the VM that runs the trial:
+	// that VM may be down, or may not receive the request.
+	othersFactor = 12
+	// maxTerm is the longest quarantine, used once all trials have failed.
 	maxTerm = 24 * time.Hour
-	// endMemory is how long the ends of a request that is in no quarantine are remembered.
-	endMemory = 10 * time.Minute
-	// maxEnds bounds the ends kept of one request: more would not lengthen its term.
-	maxEnds = 16
+	// minRetention is how long the crashes of a request that is not quarantined are remembered.
+	minRetention = 10 * time.Minute
+	// maxCrashes limits the crashes kept for one request. More would not lengthen its quarantine.
+	maxCrashes = 16
 )
 
-// ID names a request in the table.
+// ID identifies a request in the table.
 type ID struct {
 	Key   uint64
-	Print Print
+	Print Fingerprint
 }
 
-// End is the end of a target's run under a request.
+// End describes the unexpected end of a target's run, soon after the target began to run a request.
 type End struct {
-	// Run names the target's run.
+	// Run identifies the target's run.
 	Run string
-	// Began is when the request was sent there, and At when the target ended.
+	// Began is when the request was sent to the target, and At when the target crashed.
 	Began time.Time
 	At    time.Time
 }
 
-// end is an End, by the hash of its run.
-type end struct {
+// crash is a crash of a target under a request.
+type crash struct {
 	began time.Time
 	at    time.Time
-	// void is set once the request has had a good end elsewhere: it was not at fault.
-	void bool
+	// cleared is set once the request has run successfully on another target, so it was not at
+	// fault.
+	cleared bool
 }
 
-// entry is what is known of one request. ends is by the hash of the target's run.
+// entry is the state of one request. crashes is keyed by the hash of the target's run. All
+// methods require that the caller holds Table.mu.
 type entry struct {
-	id     ID
-	source uint64
-	ends   map[uint64]end
-	// count is the ends that count against the request, and newest when the last target ended.
-	count  int
-	newest time.Time
-	// trials counts the sends of the request that are under way from here.
+	id      ID
+	source  uint64
+	crashes map[uint64]crash
+	// crashCount is the number of successive crashes that are not cleared. lastCrash is the time of
+	// the latest crash, cleared or not.
+	crashCount int
+	lastCrash  time.Time
+	// trials is the number of sends of the request that this VM has in progress.
 	trials int
 }
 
-// weigh reckons count and newest anew.
-func (e *entry) weigh() {
-	e.newest = time.Time{}
-	valid := make([]end, 0, len(e.ends))
-	for _, end := range e.ends {
-		if end.at.After(e.newest) {
-			e.newest = end.at
+// recount updates crashCount and lastCrash from crashes.
+func (e *entry) recount() {
+	e.lastCrash = time.Time{}
+	counted := make([]crash, 0, len(e.crashes))
+	for _, c := range e.crashes {
+		if c.at.After(e.lastCrash) {
+			e.lastCrash = c.at
 		}
-		if !end.void {
-			valid = append(valid, end)
+		if !c.cleared {
+			counted = append(counted, c)
 		}
 	}
-	e.count = countEnds(valid)
+	e.crashCount = countSuccessive(counted)
 }
 
-// countEnds counts the ends that came one after the other: of those whose runs were under way
-// at the same time one counts. Copies of one request run at many targets, and where these end
-// together, as with their power, that tells of what they share. A request that ends each target
-// will end the next one that it is sent to after that.
-func countEnds(ends []end) int {
-	slices.SortFunc(ends, func(a, b end) int { return a.at.Compare(b.at) })
+// countSuccessive counts crashes that happened one after another. Of crashes whose runs
+// overlapped in time, only one counts: copies of one request run on many targets, and when these
+// crash together, as in a power failure, the cause is something that they share. A request that
+// crashes its targets will also crash the next target that it is sent to.
+func countSuccessive(crashes []crash) int {
+	slices.SortFunc(crashes, func(a, b crash) int { return a.at.Compare(b.at) })
 	n := 0
 	var last time.Time
-	for _, e := range ends {
-		if n == 0 || !e.began.Before(last) {
+	for _, c := range crashes {
+		if n == 0 || !c.began.Before(last) {
 			n++
-			last = e.at
+			last = c.at
 		}
 	}
 	return n
 }
 
-// trialTerms is how long, at least, after the last of three, four and five ends a request is
-// tried again, by one VM. A request that many callers send alike may have stood beside another
-// one at each of the ends: the first trial soon finds that out. One that ends its targets ends
-// three more; after these it is tried once in maxTerm.
+// trialTerms are the shortest times after the third, fourth and fifth crash until one VM sends
+// the request again. A request that many callers send alike may have run beside another one at
+// each of its crashes, and the first trial soon shows that. A request that does crash its targets
+// crashes three more; after these it is tried once every maxTerm.
 var trialTerms = []time.Duration{5 * time.Second, time.Minute, 10 * time.Minute}
 
-// trialTerm is how long a request is kept from all targets after the last of n ends.
+// trialTerm returns how long a request is kept from all targets after the last of n crashes.
 func trialTerm(n int) time.Duration {
-	switch i := n - quarantineEnds; {
+	switch i := n - quarantineCrashes; {
 	case i < 0:
 		return 0
 	case i < len(trialTerms):
@@ -112,34 +115,36 @@
 	return maxTerm
 }
 
-// term is how long VMs keep a request from all targets that are not the one to try it.
-func term(n int) time.Duration { return min(othersWait*trialTerm(n), maxTerm) }
+// term returns how long VMs other than the one that runs the trial keep a request from all
+// targets after the last of n crashes.
+func term(n int) time.Duration { return min(othersFactor*trialTerm(n), maxTerm) }
 
-// until is when the quarantine ends.
-func (e *entry) until() time.Time { return e.newest.Add(term(e.count)) }
+// quarantineEnd returns when the quarantine ends for all VMs.
+func (e *entry) quarantineEnd() time.Time { return e.lastCrash.Add(term(e.crashCount)) }
 
-// forgotten is when the entry may be dropped: a request that comes again within as long
-// after its quarantine as it lasted goes on where it was.
-func (e *entry) forgotten() time.Time { return e.newest.Add(max(2*term(e.count), endMemory)) }
+// expiry returns when the entry may be removed. It is kept for as long after its quarantine as
+// the quarantine lasted, so that a request that comes again in that time continues with its
+// count.
+func (e *entry) expiry() time.Time { return e.lastCrash.Add(max(2*term(e.crashCount), minRetention)) }
 
-// Verdict is what is known of a request.
+// Verdict is the table's assessment of a request.
 type Verdict struct {
-	// ID is set where something is known.
+	// ID is set only if the table has an entry of the request.
 	ID ID
-	// Ends is how many targets ended as they began to run the request.
+	// Ends is the number of targets that crashed as they began to run the request.
 	Ends int
-	// TrialAt is when the one VM that is to try it may do so, and Until when all may. Both are
-	// zero where it is in no quarantine.
+	// TrialAt is when the VM that runs the trial may send the request, and Until when all VMs
+	// may. Both are zero if the request is not quarantined.
 	TrialAt time.Time
 	Until   time.Time
 }
 
-// Suspect reports whether the request may end its target: it is sent on its own, and not
-// again by this system.
-func (v Verdict) Suspect() bool { return v.Ends >= suspectEnds }
+// Suspect returns whether the request may crash its target. A suspect is sent by itself, and this
+// system does not retry it.
+func (v Verdict) Suspect() bool { return v.Ends >= suspectCrashes }
 
-// Quarantined reports whether the request must not be sent at now by a VM that is the one to try
-// it, or is not.
+// Quarantined returns whether the request must not be sent at now. tries says whether this VM is
+// the one that runs the trial.
 func (v Verdict) Quarantined(now time.Time, tries bool) bool {
 	if tries {
 		return now.Before(v.TrialAt)
@@ -148,52 +153,53 @@
 }
 
 func (e *entry) verdict() Verdict {
-	v := Verdict{ID: e.id, Ends: e.count}
-	if e.count >= quarantineEnds {
-		v.TrialAt, v.Until = e.trialAt(), e.until()
+	v := Verdict{ID: e.id, Ends: e.crashCount}
+	if e.crashCount >= quarantineCrashes {
+		v.TrialAt, v.Until = e.trialAt(), e.quarantineEnd()
 	}
 	return v
 }
 
-// trialAt is when the request may be tried by one VM.
+// trialAt returns when one VM may try the request.
 func (e *entry) trialAt() time.Time {
-	return e.newest.Add(min(spread(trialTerm(e.count), e.id.Print), term(e.count)))
+	return e.lastCrash.Add(min(jitter(trialTerm(e.crashCount), e.id.Print), term(e.crashCount)))
 }
 
-// spread lengthens a term by up to as long again, by the request's print: those that stood at
-// the same ends are not tried at the same time.
-func spread(term time.Duration, p Print) time.Duration {
+// jitter lengthens a term by up to its own length, depending on the request's fingerprint:
+// requests that were involved in the same crashes are not tried at the same time.
+func jitter(term time.Duration, p Fingerprint) time.Duration {
 	return term + time.Duration(float64(term)*float64(p[0])/math.MaxUint8)
 }
 
-// note takes in an end; the earliest word of it holds.
-func (e *entry) note(target uint64, n end) {
-	if known, ok := e.ends[target]; ok {
-		n.void = n.void || known.void
-		if known.at.Before(n.at) {
-			n.began, n.at = known.began, known.at
+// addCrash adds a crash, or merges it with the known one of the same run: the earlier time and
+// the cleared mark win. It drops the oldest crash beyond maxCrashes.
+func (e *entry) addCrash(runHash uint64, c crash) {
+	if known, ok := e.crashes[runHash]; ok {
+		c.cleared = c.cleared || known.cleared
+		if known.at.Before(c.at) {
+			c.began, c.at = known.began, known.at
 		}
 	}
-	e.ends[target] = n
-	if len(e.ends) > maxEnds {
-		delete(e.ends, e.oldest())
+	e.crashes[runHash] = c
+	if len(e.crashes) > maxCrashes {
+		delete(e.crashes, e.oldestCrash())
 	}
-	e.weigh()
+	e.recount()
 }
 
-// oldest returns the end that counts least.
-func (e *entry) oldest() uint64 {
+// oldestCrash returns the run hash of the oldest crash.
+func (e *entry) oldestCrash() uint64 {
 	var oldest uint64
 	var at time.Time
-	for target, end := range e.ends {
-		if at.IsZero() || end.at.Before(at) {
-			oldest, at = target, end.at
+	for runHash, c := range e.crashes {
+		if at.IsZero() || c.at.Before(at) {
+			oldest, at = runHash, c.at
 		}
 	}
 	return oldest
 }
 
-// matters orders entries: those with more ends matter more, then newer ones.
-func matters(a, b *entry) int {
-	return cmp.Or(cmp.Compare(a.count, b.count), a.newest.Compare(b.newest))
+// compareSeverity orders entries by the number of their crashes, then by the time of the latest.
+func compareSeverity(a, b *entry) int {
+	return cmp.Or(cmp.Compare(a.crashCount, b.crashCount), a.lastCrash.Compare(b.lastCrash))
 }
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -15,40 +15,44 @@
 )
 
 const (
-	// KeyPrefix is where quarantined requests stand in the store.
+	// KeyPrefix is the prefix of the keys of quarantined requests in the store.
 	KeyPrefix = "quarantine/"
-	// expireInterval is how often old entries are dropped.
+	// expireInterval is how often old entries are removed.
 	expireInterval = 10 * time.Second
-	// maxUnsaved bounds the changes that wait for the store.
+	// maxUnsaved limits the queue of records to write to the store.
 	maxUnsaved = 256
 )
 
-// calling bounds the calls to the store. A quarantine is in force here and told to the others
-// without them: the store's record is for VMs that start when no other VM is left to tell them.
-var calling = kernel.Retrying{First: 300 * time.Millisecond, Most: 3 * time.Second, Timeout: 2 * time.Second}
+// storeRetry limits the calls to the store. A quarantine takes effect here and is sent to the
+// other VMs without the store: the stored record is for VMs that start when no other VM is left
+// to inform them.
+var storeRetry = kernel.Retrying{First: 300 * time.Millisecond, Most: 3 * time.Second,
+	Timeout: 2 * time.Second}
 
-// Keeper is a Table whose quarantines last beyond all processes: they stand in the store.
+// Keeper is a Table that also persists quarantines in the store, so that they outlive all
+// processes.
 type Keeper struct {
 	*Table
 	kernel.Background
 	store store.Table
 	log   *telemetry.Logger
 	clock func() time.Time
-	// changed holds the requests whose records are to be written.
-	changed chan ID
+	// unsaved queues the requests whose records must be written.
+	unsaved chan ID
 }
 
-// NewKeeper returns a keeper that knows nothing before Start. clock also counts the time for
-// which the machine is suspended.
+// NewKeeper returns a Keeper that is empty until Start loads it. clock must also count the time
+// for which the machine is suspended.
 func NewKeeper(s store.Table, log *telemetry.Logger, clock func() time.Time) *Keeper {
-	return &Keeper{Table: NewTable(), store: s, log: log, clock: clock, changed: make(chan ID, maxUnsaved)}
+	return &Keeper{Table: NewTable(), store: s, log: log, clock: clock,
+		unsaved: make(chan ID, maxUnsaved)}
 }
 
-// Start begins to read and write the records.
+// Start starts to load, save and expire the records in the background.
 func (k *Keeper) Start(context.Context) error {
 	k.Run(
-		func(ctx context.Context) { kernel.Until(ctx, calling, k.load) },
-		k.save,
+		func(ctx context.Context) { kernel.Until(ctx, storeRetry, k.load) },
+		k.saveLoop,
 		func(ctx context.Context) {
 			kernel.Every(ctx, expireInterval, func(context.Context) { k.Expire(k.clock()) })
 		},
@@ -56,71 +60,76 @@
 	return nil
 }
 
-// Ended notes that a run of a target ended as it began to run a request.
-func (k *Keeper) Ended(r *Request, n End) {
-	v, begins := k.Table.Ended(r, n)
-	k.log.Warn(telemetry.EventTargetEnded, telemetry.F("target", n.Run), telemetry.F("ran_ms", n.At.Sub(n.Began).Milliseconds()), telemetry.F("print", v.ID.Print),
+// Ended records that a target crashed as it began to run a request.
+func (k *Keeper) Ended(r *Request, end End) {
+	v, starts := k.Table.Ended(r, end)
+	k.log.Warn(telemetry.EventTargetEnded, telemetry.F("target", end.Run),
+		telemetry.F("ran_ms", end.At.Sub(end.Began).Milliseconds()), telemetry.F("print", v.ID.Print),
 		telemetry.F("caller", r.Source), telemetry.F("ends", v.Ends))
-	if begins {
-		k.logBegun(v, "here")
-		k.write(v.ID)
+	if starts {
+		k.logQuarantined(v, "here")
+		k.queueSave(v.ID)
 	}
 }
 
-// Served notes that a target has run a request to its end.
+// Served records that a target has run a request successfully.
 func (k *Keeper) Served(r *Request) {
 	before := k.Judge(r, k.clock())
 	if !k.Table.Served(r) {
 		return
 	}
-	k.log.Info(telemetry.EventCleared, telemetry.F("print", before.ID.Print), telemetry.F("ends", before.Ends))
-	if before.Ends >= quarantineEnds {
-		k.write(before.ID)
+	k.log.Info(telemetry.EventCleared, telemetry.F("print", before.ID.Print),
+		telemetry.F("ends", before.Ends))
+	if before.Ends >= quarantineCrashes {
+		k.queueSave(before.ID)
 	}
 }
 
-// Hear takes in what another VM knows.
-func (k *Keeper) Hear(from string, words []Word) {
-	for _, v := range k.Merge(words, k.clock()) {
-		k.logBegun(v, from)
+// MergeFrom merges entries that another VM, or the store, has sent.
+func (k *Keeper) MergeFrom(from string, snapshots []Snapshot) {
+	for _, v := range k.Merge(snapshots, k.clock()) {
+		k.logQuarantined(v, from)
 	}
 }
 
-func (k *Keeper) logBegun(v Verdict, from string) {
+func (k *Keeper) logQuarantined(v Verdict, from string) {
 	k.log.Warn(telemetry.EventQuarantined, telemetry.F("print", v.ID.Print), telemetry.F("ends", v.Ends),
-		telemetry.F("trial_s", int(v.TrialAt.Sub(k.clock()).Seconds())), telemetry.F("until_s", int(v.Until.Sub(k.clock()).Seconds())), telemetry.F("from", from))
+		telemetry.F("trial_s", int(v.TrialAt.Sub(k.clock()).Seconds())),
+		telemetry.F("until_s", int(v.Until.Sub(k.clock()).Seconds())), telemetry.F("from", from))
 }
 
-// write has a request's record written. While the store is away as many wait as fit; the
-// others are known to the VMs that are up.
-func (k *Keeper) write(id ID) {
+// queueSave queues a request's record for writing. If the queue is full because the store is
+// unreachable, the record is not written, but the running VMs know it.
+func (k *Keeper) queueSave(id ID) {
 	select {
-	case k.changed <- id:
+	case k.unsaved <- id:
 	default:
-		k.log.Warn(telemetry.EventStoreCallFailed, telemetry.F("what", KeyPrefix), telemetry.F("cause", "too many records wait"))
+		k.log.Warn(telemetry.EventStoreCallFailed, telemetry.F("what", KeyPrefix),
+			telemetry.F("cause", "the queue of records to save is full"))
 	}
 }
 
-func (k *Keeper) save(ctx context.Context) {
+// saveLoop writes the queued records, one after another, until ctx ends.
+func (k *Keeper) saveLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case id := <-k.changed:
-			kernel.Until(ctx, calling, func(ctx context.Context) error { return k.saveOne(ctx, id) })
+		case id := <-k.unsaved:
+			kernel.Until(ctx, storeRetry, func(ctx context.Context) error { return k.saveRecord(ctx, id) })
 		}
 	}
 }
 
-// saveOne writes the record of a request that is in quarantine, and removes that of one that
-// is not any more.
-func (k *Keeper) saveOne(ctx context.Context, id ID) error {
+// saveRecord writes the record of a request that is quarantined, and deletes that of one that is
+// no longer.
+func (k *Keeper) saveRecord(ctx context.Context, id ID) error {
 	now := k.clock()
 	txn := store.Txn{Deletes: []string{id.storeKey()}}
-	if w, ok := k.Word(id, now); ok && w.count() >= quarantineEnds {
-		value, err := json.Marshal(recordOf(w, time.Now()))
+	if s, ok := k.Snapshot(id, now); ok && s.crashCount() >= quarantineCrashes {
+		value, err := json.Marshal(encodeRecord(s, time.Now()))
 		if err != nil {
-			// Only numbers are encoded.
+			// Numbers always encode.
 			panic("quarantine: encode record: " + err.Error())
 		}
 		txn = store.Txn{Puts: []store.Put{{Key: id.storeKey(), Value: value}}}
@@ -129,90 +138,95 @@
 	return err
 }
 
-// load reads all records, and removes those that are too old.
+// load reads all records and deletes expired ones.
 func (k *Keeper) load(ctx context.Context) error {
 	records, err := k.store.List(ctx, KeyPrefix)
 	if err != nil {
 		return err
 	}
-	var words []Word
-	var old []string
+	var snapshots []Snapshot
+	var expiredKeys []string
 	for _, r := range records {
-		w, err := decodeRecord(r, time.Now())
+		s, err := decodeRecord(r, time.Now())
 		if err != nil {
-			k.log.Warn(telemetry.EventBadRow, telemetry.F("key", r.Key), telemetry.F("revision", r.Version), telemetry.F("cause", err))
+			k.log.Warn(telemetry.EventBadRow, telemetry.F("key", r.Key),
+				telemetry.F("revision", r.Version), telemetry.F("cause", err))
 			continue
 		}
-		if tooOld(w) {
-			old = append(old, r.Key)
+		if expired(s) {
+			expiredKeys = append(expiredKeys, r.Key)
 			continue
 		}
-		words = append(words, w)
+		snapshots = append(snapshots, s)
 	}
-	k.Hear("store", words)
-	if len(old) == 0 {
+	k.MergeFrom("store", snapshots)
+	if len(expiredKeys) == 0 {
 		return nil
 	}
-	_, err = k.store.Commit(ctx, store.Txn{Deletes: old[:min(len(old), maxDeletes)]})
+	_, err = k.store.Commit(ctx, store.Txn{Deletes: expiredKeys[:min(len(expiredKeys), maxDeletes)]})
 	return err
 }
 
-// maxDeletes is how many records one transaction removes: the store takes 100 entries. The
-// rest goes at the next start of a VM.
+// maxDeletes is the number of records deleted in one transaction: the store accepts 100 entries.
+// The rest is deleted when a VM starts the next time.
 const maxDeletes = 100
 
-// record is a quarantined request in the store. Its times are Unix times: records outlast
-// every process, and a quarantine is long against what VMs' clocks differ by.
+// record is a quarantined request in the store. It holds Unix times because records outlive every
+// process; a quarantine is long compared with the differences between the VMs' clocks.
 type record struct {
-	Source uint64      `json:"source,string"`
-	Ends   []recordEnd `json:"ends"`
+	Source uint64        `json:"source,string"`
+	Ends   []recordCrash `json:"ends"`
 }
 
-type recordEnd struct {
+type recordCrash struct {
 	Target uint64 `json:"target,string"`
 	UnixMS int64  `json:"unix_ms"`
 	RanMS  int64  `json:"ran_ms"`
 	Void   bool   `json:"void,omitempty"`
 }
 
-func recordOf(w Word, wall time.Time) record {
-	r := record{Source: w.Source, Ends: make([]recordEnd, 0, len(w.Ends))}
-	for _, e := range w.Ends {
-		r.Ends = append(r.Ends, recordEnd{Target: e.Target, UnixMS: wall.Add(-e.Age).UnixMilli(), RanMS: e.Ran.Milliseconds(), Void: e.Void})
+func encodeRecord(s Snapshot, wallNow time.Time) record {
+	r := record{Source: s.Source, Ends: make([]recordCrash, 0, len(s.Crashes))}
+	for _, e := range s.Crashes {
+		r.Ends = append(r.Ends, recordCrash{Target: e.RunHash, UnixMS: wallNow.Add(-e.Age).UnixMilli(),
+			RanMS: e.RanFor.Milliseconds(), Void: e.Cleared})
 	}
 	return r
 }
 
-var errNoEnds = errors.New("quarantine: a record without ends")
+var errNoCrashes = errors.New("quarantine: record contains no crashes")
 
-func decodeRecord(r store.Record, wall time.Time) (Word, error) {
+func decodeRecord(r store.Record, wallNow time.Time) (Snapshot, error) {
 	id, err := parseStoreKey(r.Key)
 	if err != nil {
-		return Word{}, err
+		return Snapshot{}, err
 	}
 	var stored record
 	if err := json.Unmarshal(r.Value, &stored); err != nil {
-		return Word{}, errors.Wrap(err, "decode record")
+		return Snapshot{}, errors.Wrap(err, "decode record")
 	}
 	if len(stored.Ends) == 0 {
-		return Word{}, errNoEnds
+		return Snapshot{}, errNoCrashes
 	}
-	w := Word{ID: id, Source: stored.Source, Ends: make([]WordEnd, 0, len(stored.Ends))}
+	s := Snapshot{ID: id, Source: stored.Source, Crashes: make([]SnapshotCrash, 0, len(stored.Ends))}
 	for _, e := range stored.Ends {
-		w.Ends = append(w.Ends, WordEnd{Target: e.Target, Age: max(wall.Sub(time.UnixMilli(e.UnixMS)), 0), Ran: time.Duration(max(e.RanMS, 0)) * time.Millisecond, Void: e.Void})
+		s.Crashes = append(s.Crashes, SnapshotCrash{RunHash: e.Target,
+			Age:    max(wallNow.Sub(time.UnixMilli(e.UnixMS)), 0),
+			RanFor: time.Duration(max(e.RanMS, 0)) * time.Millisecond, Cleared: e.Void})
 	}
-	return w, nil
+	return s, nil
 }
 
 // hashDigits is the number of hexadecimal digits of a hash in a key.
 const hashDigits = 16
 
-// storeKey is where the request's record stands: key and print in hexadecimal.
+// storeKey returns the key of the request's record: the prefix, then ID.Key and the fingerprint
+// in hexadecimal.
 func (id ID) storeKey() string {
-	return KeyPrefix + hexOf(id.Key) + hex.EncodeToString(id.Print[:])
+	return KeyPrefix + hex64(id.Key) + hex.EncodeToString(id.Print[:])
 }
 
-func hexOf(n uint64) string {
+func hex64(n uint64) string {
 	s := strconv.FormatUint(n, 16)
 	for len(s) < hashDigits {
 		s = "0" + s
@@ -222,8 +236,8 @@
 
 func parseStoreKey(key string) (ID, error) {
 	digits := key[min(len(KeyPrefix), len(key)):]
-	if len(digits) != hashDigits+2*printBytes {
-		return ID{}, errors.Errorf("quarantine: key %q has a wrong length", key)
+	if len(digits) != hashDigits+2*fingerprintBytes {
+		return ID{}, errors.Errorf("quarantine: key %q has an invalid length", key)
 	}
 	var id ID
 	var err error
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -13,8 +13,8 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// keep starts a keeper on a store. Its clock stands at now.
-func keep(t *testing.T, s store.Table, now time.Time) *quarantine.Keeper {
+// startKeeper starts a keeper on a store, with its clock fixed at now.
+func startKeeper(t *testing.T, s store.Table, now time.Time) *quarantine.Keeper {
 	t.Helper()
 	k := quarantine.NewKeeper(s, telemetry.Discard(), func() time.Time { return now })
 	if err := k.Start(context.Background()); err != nil {
@@ -28,17 +28,17 @@
 	return k
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatal(what)
+	t.Fatal(condition)
 }
 
-func records(t *testing.T, s store.Table) int {
+func countRecords(t *testing.T, s store.Table) int {
 	t.Helper()
 	rows, err := s.List(context.Background(), quarantine.KeyPrefix)
 	if err != nil {
@@ -47,31 +47,32 @@
 	return len(rows)
 }
 
-// A quarantine stands in the store from its begin until a good end lifts it, and the next
-// process reads it there.
+// A quarantine is stored when it starts, loaded by the next process, and deleted from the store
+// after a successful run.
 func TestQuarantineStandsInTheStore(t *testing.T) {
 	is := is.New(t)
 	s := store.NewMemory()
 	now := time.Now()
-	k := keep(t, s, now)
-	r := numbered("a", 1)
+	k := startKeeper(t, s, now)
+	r := newRequest("a", 1)
 	for i := range 3 {
 		at := now.Add(time.Duration(i-3) * time.Second)
 		k.Ended(&r, quarantine.End{Run: fmt.Sprint("run", i), Began: at.Add(-time.Millisecond), At: at})
 		if i < 2 {
-			is.Equal(records(t, s), 0)
+			is.Equal(countRecords(t, s), 0)
 		}
 	}
-	eventually(t, "it stands in the store", func() bool { return records(t, s) == 1 })
+	eventually(t, "the quarantine is stored", func() bool { return countRecords(t, s) == 1 })
 
-	next := keep(t, s, now)
-	eventually(t, "the next process knows of it", func() bool { return next.Judge(&r, now).Quarantined(now, true) })
+	next := startKeeper(t, s, now)
+	eventually(t, "the next process loads the quarantine",
+		func() bool { return next.Judge(&r, now).Quarantined(now, true) })
 	is.Equal(next.Judge(&r, now).Ends, 3)
 	next.Served(&r)
-	eventually(t, "it is lifted in the store", func() bool { return records(t, s) == 0 })
+	eventually(t, "the record is deleted", func() bool { return countRecords(t, s) == 0 })
 }
 
-// Rows that another program wrote, and old ones, keep nobody from starting.
+// Records that are malformed or expired do not keep a VM from starting.
 func TestForeignRecordsAreLeftOut(t *testing.T) {
 	is := is.New(t)
 	s := store.NewMemory()
@@ -84,11 +85,12 @@
 		quarantine.KeyPrefix + "00000000000000030102030405060708090a0b0c0d0e0f10": `{"ends":[]}`,
 		old: `{"source":"1","ends":[{"target":"1","unix_ms":1000,"ran_ms":-5}]}`,
 	} {
-		_, err := s.Commit(context.Background(), store.Txn{Puts: []store.Put{{Key: key, Value: []byte(value)}}})
+		_, err := s.Commit(context.Background(), store.Txn{Puts: []store.Put{{Key: key,
+			Value: []byte(value)}}})
 		is.NoErr(err)
 	}
 	now := time.Now()
-	k := keep(t, s, now)
-	eventually(t, "the old one is removed", func() bool { return records(t, s) == 5 })
+	k := startKeeper(t, s, now)
+	eventually(t, "the expired record is deleted", func() bool { return countRecords(t, s) == 5 })
 	is.Equal(k.Size(), 0)
 }
--- a/internal/quarantine/print.go
+++ b/internal/quarantine/print.go
@@ -1,5 +1,6 @@
-// Package quarantine recognises requests that end the targets that run them,
-// so that they are kept from further targets.
+// Package quarantine recognises requests that crash the targets that run them, so that they are
+// kept from further targets. It counts the crashes of each request: from two on the request is a
+// suspect and is sent by itself, from three on it is quarantined. VMs exchange their counts.
 package quarantine
 
 import (
@@ -11,70 +12,71 @@
 	"io"
 )
 
-// printBytes is the size of a Print: two requests that differ do not share one in
-// practice, also where somebody looks for such a pair.
-const printBytes = 16
+// fingerprintBytes is the size of a Fingerprint. It is large enough that two different requests
+// do not share one in practice, even if somebody searches for such a pair.
+const fingerprintBytes = 16
 
-// Print is the fingerprint of a request: the same for the same client account,
-// method, host, URI and body at every VM.
-type Print [printBytes]byte
+// Fingerprint identifies a request. It is the same at every VM for the same client account,
+// method, host, URI and body.
+type Fingerprint [fingerprintBytes]byte
 
-// String returns the print's first half in hexadecimal, for logs.
-func (p Print) String() string { return hex.EncodeToString(p[:printBytes/2]) }
+// String returns the first half of the fingerprint in hexadecimal, for logs.
+func (p Fingerprint) String() string { return hex.EncodeToString(p[:fingerprintBytes/2]) }
 
-// Request is what tells one request from another, whichever attempt it is.
+// Request holds the properties that identify a request across its attempts, and its source.
 type Request struct {
-	// Account is the client account; it is empty where the platform names none.
+	// Account is the client account; it is empty if the platform states none.
 	Account string
-	// Source is whose share of the table the request takes: the client account or, where
-	// there is none, the caller's address. It does not tell requests apart: callers at many
-	// addresses may send the same one.
+	// Source is the owner of the share of the table that the request's entry uses: the client
+	// account or, if there is none, the caller's address. It is not part of the request's
+	// identity, because callers at many addresses may send the same request.
 	Source string
 	Method string
 	Host   string
-	// URI is the request target as sent, its query included.
+	// URI is the request target as sent, with its query.
 	URI  string
 	Body []byte
 }
 
-// Print hashes the whole request; it takes some 30 µs for 40 KB.
-func (r *Request) Print() Print {
+// Print hashes the whole request. It takes about 30 µs for 40 KB.
+func (r *Request) Print() Fingerprint {
 	h := sha256.New()
 	r.writeHead(h)
-	// A hash's Write returns no error.
+	// Write of a hash.Hash never returns an error.
 	_, _ = h.Write(r.Body)
-	return Print(h.Sum(nil)[:printBytes])
+	return Fingerprint(h.Sum(nil)[:fingerprintBytes])
 }
 
-// Key is a cheap hash of the request without the content of its body. Requests
-// that differ may share it; those that are alike always do.
+// Key returns a cheap hash of the request that covers the length of its body but not the content.
+// Equal requests always share it; different ones may.
 func (r *Request) Key() uint64 {
 	h := fnv.New64a()
 	r.writeHead(h)
 	return h.Sum64()
 }
 
-// ID returns the request's name; it hashes the whole body.
+// ID returns the request's ID. It hashes the whole body.
 func (r *Request) ID() ID { return ID{Key: r.Key(), Print: r.Print()} }
 
-// SourceKey is a hash of whose share of the table the request takes.
+// SourceKey returns a hash of Source.
 func (r *Request) SourceKey() uint64 {
 	h := fnv.New64a()
-	writeText(h, r.Source)
+	writeString(h, r.Source)
 	return h.Sum64()
 }
 
 func (r *Request) writeHead(h hash.Hash) {
 	for _, s := range []string{r.Account, r.Method, r.Host, r.URI} {
-		writeText(h, s)
+		writeString(h, s)
 	}
 	writeLength(h, len(r.Body))
 }
 
-// writeText writes s behind its length, so that no two lists of texts read alike.
-func writeText(h hash.Hash, s string) {
+// writeString writes s after its length, so that different lists of strings never yield the same
+// bytes.
+func writeString(h hash.Hash, s string) {
 	writeLength(h, len(s))
-	// A hash's Write returns no error.
+	// Write of a hash.Hash never returns an error.
 	_, _ = io.WriteString(h, s)
 }
 
--- a/internal/quarantine/print_test.go
+++ b/internal/quarantine/print_test.go
@@ -10,11 +10,13 @@
 )
 
 func request() quarantine.Request {
-	return quarantine.Request{Account: "a", Method: "POST", Host: "h.example", URI: "/long/x", Body: []byte("body")}
+	return quarantine.Request{Account: "a", Method: "POST", Host: "h.example", URI: "/long/x",
+		Body: []byte("body")}
 }
 
-// Each attempt of a request has the same print, and nothing else has.
-func TestPrintTellsRequestsApart(t *testing.T) {
+// All attempts of a request have the same fingerprint, and a request that differs in any part has
+// another.
+func TestFingerprintTellsRequestsApart(t *testing.T) {
 	is := is.New(t)
 	first, again := request(), request()
 	is.Equal(first.Print(), again.Print())
@@ -25,20 +27,20 @@
 		"host":    func(r *quarantine.Request) { r.Host = "other.example" },
 		"uri":     func(r *quarantine.Request) { r.URI = "/long/y" },
 		"body":    func(r *quarantine.Request) { r.Body = []byte("boDy") },
-		// The same bytes, divided otherwise.
+		// The same bytes, split differently.
 		"moved": func(r *quarantine.Request) { r.Host, r.URI = "h.example/long", "/x" },
 	}
 	for name, change := range changes {
 		other := request()
 		change(&other)
 		if other.Print() == first.Print() {
-			t.Errorf("%s: the same print", name)
+			t.Errorf("%s: changing it did not change the fingerprint", name)
 		}
 	}
 }
 
-// The key leaves the body's content out: it is taken of each request while a suspect is
-// known, and the print only of those that share a suspect's key.
+// The key ignores the content of the body. It is computed for each request while a suspect is
+// known, and the fingerprint only for those that share a suspect's key.
 func TestKeyLeavesOutTheBodysContent(t *testing.T) {
 	is := is.New(t)
 	a, b := request(), request()
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -9,43 +9,45 @@
 )
 
 const (
-	// maxEntries bounds the requests kept, some 300 bytes each, and maxPerSource those
-	// of one source. At a target's end up to a hundred become known.
+	// maxEntries limits the number of entries, of about 300 bytes each, and maxPerSource those of
+	// one source. One crash of a target adds up to a hundred entries.
 	maxEntries   = 8192
 	maxPerSource = 1024
-	// maxNews bounds the words that wait to be told at once.
-	maxNews = 1024
+	// maxChanged limits the entries that wait to be sent to other VMs.
+	maxChanged = 1024
 )
 
-// Table holds the requests under which targets have ended. It has no clock: times are of
-// one that also counts the time for which the machine is suspended. It is safe for
+// Table holds the requests under which targets have crashed. Callers pass in the times; they must
+// be of a clock that also counts the time for which the machine is suspended. It is safe for
 // concurrent use.
 type Table struct {
-	// size is the number of entries, to be read without mu: mostly there are none.
+	// size is the number of entries. It is read without mu in the common case that there are none.
 	size atomic.Int64
 
 	mu      sync.Mutex
 	entries map[ID]*entry
-	// keys and sources count the entries with each.
-	keys    map[uint64]int
-	sources map[uint64]int
-	news    []ID
+	// keyCounts and sourceCounts are the number of entries with each key and each source. changed
+	// holds the entries that other VMs have yet to be sent.
+	keyCounts    map[uint64]int
+	sourceCounts map[uint64]int
+	changed      []ID
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{entries: make(map[ID]*entry), keys: make(map[uint64]int), sources: make(map[uint64]int)}
+	return &Table{entries: make(map[ID]*entry), keyCounts: make(map[uint64]int),
+		sourceCounts: make(map[uint64]int)}
 }
 
-// find returns what is known of a request. The body is hashed only where a request that
-// may be the same one is known.
-func (t *Table) find(r *Request) (*entry, ID) {
+// lookup returns the entry of a request, or nil if there is none. It hashes the body only if an
+// entry has the same key.
+func (t *Table) lookup(r *Request) (*entry, ID) {
 	if t.size.Load() == 0 {
 		return nil, ID{}
 	}
 	key := r.Key()
 	t.mu.Lock()
-	known := t.keys[key] > 0
+	known := t.keyCounts[key] > 0
 	t.mu.Unlock()
 	if !known {
 		return nil, ID{}
@@ -56,22 +58,22 @@
 	return t.entries[id], id
 }
 
-// Judge returns what is known of a request.
+// Judge returns the verdict on a request, which is zero if the table has no valid entry of it.
 func (t *Table) Judge(r *Request, now time.Time) Verdict {
-	e, _ := t.find(r)
+	e, _ := t.lookup(r)
 	if e == nil {
 		return Verdict{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !now.Before(e.forgotten()) {
+	if !now.Before(e.expiry()) {
 		return Verdict{}
 	}
 	return e.verdict()
 }
 
-// Try begins a send of a suspect, or returns false while another one of the same request is
-// under way: it could end its target as well. End must follow.
+// Try starts the send of a suspect. It returns false while another send of the same request is in
+// progress, which could crash its target as well. If it returns true, Done must follow.
 func (t *Table) Try(id ID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,7 +88,7 @@
 	return true
 }
 
-// Done ends a send that Try began.
+// Done ends a send that Try started.
 func (t *Table) Done(id ID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,91 +97,93 @@
 	}
 }
 
-// Ended notes that a target ended as it began to run the request. It returns the request's
-// verdict, and whether this end put it into quarantine.
-func (t *Table) Ended(r *Request, n End) (v Verdict, begins bool) {
+// Ended records that a target crashed as it began to run the request. It returns the verdict on
+// the request, and whether this crash started or extended its quarantine.
+func (t *Table) Ended(r *Request, end End) (v Verdict, starts bool) {
 	id := r.ID()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.entry(id, r.SourceKey())
-	before := e.count
-	e.note(hashText(n.Run), end{began: n.Began, at: n.At})
-	t.tell(id)
-	return e.verdict(), e.count >= quarantineEnds && e.count > before
+	e := t.getOrAdd(id, r.SourceKey())
+	before := e.crashCount
+	e.addCrash(hashText(end.Run), crash{began: end.Began, at: end.At})
+	t.markChanged(id)
+	return e.verdict(), e.crashCount >= quarantineCrashes && e.crashCount > before
 }
 
-// Served notes that a target has run the request to its end: it is not at fault for the
-// ends that are known. It reports whether it was held to be.
+// Served records that a target has run the request successfully: the known crashes are not its
+// fault. It returns whether any crash was counted against the request.
 func (t *Table) Served(r *Request) bool {
-	e, id := t.find(r)
+	e, id := t.lookup(r)
 	if e == nil {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e.count == 0 {
+	if e.crashCount == 0 {
 		return false
 	}
-	for target, end := range e.ends {
-		end.void = true
-		e.ends[target] = end
+	for runHash, c := range e.crashes {
+		c.cleared = true
+		e.crashes[runHash] = c
 	}
-	e.weigh()
-	t.tell(id)
+	e.recount()
+	t.markChanged(id)
 	return true
 }
 
-// Expire drops what is too old.
+// Expire removes expired entries.
 func (t *Table) Expire(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, e := range t.entries {
-		if e.trials == 0 && !now.Before(e.forgotten()) {
-			t.drop(id)
+		if e.trials == 0 && !now.Before(e.expiry()) {
+			t.remove(id)
 		}
 	}
 }
 
-// Size counts the requests that are known.
+// Size returns the number of entries.
 func (t *Table) Size() int { return int(t.size.Load()) }
 
-// entry returns the entry of id, made where there is none; the caller holds t.mu.
-func (t *Table) entry(id ID, source uint64) *entry {
+// getOrAdd returns the entry of id. If there is none it adds one, and evicts another if the limit
+// of the source or of the table is reached. The caller must hold t.mu.
+func (t *Table) getOrAdd(id ID, source uint64) *entry {
 	if e := t.entries[id]; e != nil {
 		return e
 	}
 	switch {
-	case t.sources[source] >= maxPerSource:
+	case t.sourceCounts[source] >= maxPerSource:
 		t.evict(source)
 	case len(t.entries) >= maxEntries:
 		t.evict(t.largestSource())
 	}
-	e := &entry{id: id, source: source, ends: make(map[uint64]end)}
+	e := &entry{id: id, source: source, crashes: make(map[uint64]crash)}
 	t.entries[id] = e
-	t.keys[id.Key]++
-	t.sources[source]++
+	t.keyCounts[id.Key]++
+	t.sourceCounts[source]++
 	t.size.Store(int64(len(t.entries)))
 	return e
 }
 
-// evict drops the entry of a source that matters least, so that no caller can crowd out
-// another's; the caller holds t.mu.
+// evict removes the least severe entry of a source. Entries of other sources stay, so that no
+// caller can displace another's. The caller must hold t.mu.
 func (t *Table) evict(source uint64) {
 	var least *entry
 	for _, e := range t.entries {
-		if e.source == source && e.trials == 0 && (least == nil || matters(e, least) < 0) {
+		if e.source == source && e.trials == 0 && (least == nil || compareSeverity(e, least) < 0) {
 			least = e
 		}
 	}
 	if least != nil {
-		t.drop(least.id)
+		t.remove(least.id)
 	}
 }
 
+// largestSource returns the source with the most entries. The caller must hold t.mu.
 func (t *Table) largestSource() uint64 {
 	var largest uint64
 	most := 0
-	for source, n := range t.sources {
+	for source, n := range t.sourceCounts {
 		if n > most {
 			largest, most = source, n
 		}
@@ -187,29 +191,31 @@
 	return largest
 }
 
-// drop removes an entry; the caller holds t.mu.
-func (t *Table) drop(id ID) {
+// remove removes an entry. The caller must hold t.mu.
+func (t *Table) remove(id ID) {
 	source := t.entries[id].source
 	delete(t.entries, id)
-	if t.keys[id.Key]--; t.keys[id.Key] == 0 {
-		delete(t.keys, id.Key)
+	if t.keyCounts[id.Key]--; t.keyCounts[id.Key] == 0 {
+		delete(t.keyCounts, id.Key)
 	}
-	if t.sources[source]--; t.sources[source] == 0 {
-		delete(t.sources, source)
+	if t.sourceCounts[source]--; t.sourceCounts[source] == 0 {
+		delete(t.sourceCounts, source)
 	}
 	t.size.Store(int64(len(t.entries)))
 }
 
-// tell has other VMs told of an entry; the caller holds t.mu.
-func (t *Table) tell(id ID) {
-	if len(t.news) < maxNews && !slices.Contains(t.news, id) {
-		t.news = append(t.news, id)
+// markChanged queues an entry to be sent to other VMs, unless maxChanged entries are waiting. The
+// caller must hold t.mu.
+func (t *Table) markChanged(id ID) {
+	if len(t.changed) < maxChanged && !slices.Contains(t.changed, id) {
+		t.changed = append(t.changed, id)
 	}
 }
 
+// hashText returns the FNV-1a hash of s.
 func hashText(s string) uint64 {
 	h := fnv.New64a()
-	// A hash's Write returns no error.
+	// Write of a hash.Hash never returns an error.
 	_, _ = h.Write([]byte(s))
 	return h.Sum64()
 }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -13,94 +13,97 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// numbered returns the i-th request of an account.
-func numbered(account string, i int) quarantine.Request {
-	return quarantine.Request{Account: account, Source: account, Method: "POST", Host: "h", URI: "/x", Body: fmt.Appendf(nil, "body %d", i)}
+// newRequest returns the i-th request of an account.
+func newRequest(account string, i int) quarantine.Request {
+	return quarantine.Request{Account: account, Source: account, Method: "POST", Host: "h",
+		URI: "/x", Body: fmt.Appendf(nil, "body %d", i)}
 }
 
-// ended notes the n-th end in a row of targets under a request, a second after the one before.
-func ended(table *quarantine.Table, r *quarantine.Request, n int) (quarantine.Verdict, bool) {
-	return endedAt(table, r, fmt.Sprint("run", n), start.Add(time.Duration(n)*time.Second))
+// crashed records the n-th successive crash under a request, one second after the one before.
+func crashed(table *quarantine.Table, r *quarantine.Request, n int) (quarantine.Verdict, bool) {
+	return crashedAt(table, r, fmt.Sprint("run", n), start.Add(time.Duration(n)*time.Second))
 }
 
-// endedAt notes an end of a run that had begun 100 ms before.
-func endedAt(table *quarantine.Table, r *quarantine.Request, run string, at time.Time) (quarantine.Verdict, bool) {
+// crashedAt records a crash of a run to which the request was sent 100 ms before.
+func crashedAt(table *quarantine.Table, r *quarantine.Request, run string,
+	at time.Time) (quarantine.Verdict, bool) {
 	return table.Ended(r, quarantine.End{Run: run, Began: at.Add(-100 * time.Millisecond), At: at})
 }
 
 func TestThirdEndBeginsTheQuarantine(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
-	r := numbered("a", 1)
+	r := newRequest("a", 1)
 	is.Equal(table.Judge(&r, start).Ends, 0)
 	for i, want := range []bool{false, false, true} {
-		_, begins := ended(table, &r, i)
-		is.Equal(begins, want)
+		_, starts := crashed(table, &r, i)
+		is.Equal(starts, want)
 	}
 	v := table.Judge(&r, start)
 	is.True(v.Suspect() && v.Quarantined(start, true) && v.Quarantined(start, false))
-	beside := numbered("a", 2)
+	beside := newRequest("a", 2)
 	is.True(!table.Judge(&beside, start).Suspect())
-	// Another account's request is another request.
-	same := numbered("b", 1)
+	// The account is part of a request's identity.
+	same := newRequest("b", 1)
 	is.True(!table.Judge(&same, start).Suspect())
 }
 
-// A request that many callers send alike runs at all targets of a service, and they end
-// together, as with their power. That is one end, and not the request's doing.
+// A request that many callers send alike runs on all targets of a service. When these crash
+// together, as in a power failure, that counts as one crash.
 func TestTargetsThatEndTogetherCountOnce(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
-	r := numbered("a", 1)
+	r := newRequest("a", 1)
 	for i := range 12 {
-		endedAt(table, &r, fmt.Sprint("run", i), start.Add(time.Duration(i)*5*time.Millisecond))
+		crashedAt(table, &r, fmt.Sprint("run", i), start.Add(time.Duration(i)*5*time.Millisecond))
 	}
 	is.Equal(table.Judge(&r, start).Ends, 1)
-	// A run that began after that counts as the next one.
-	_, begins := endedAt(table, &r, "next", start.Add(time.Second))
-	is.True(!begins)
+	// A run that began later counts as the second crash.
+	_, starts := crashedAt(table, &r, "next", start.Add(time.Second))
+	is.True(!starts)
 	is.Equal(table.Judge(&r, start).Ends, 2)
 }
 
-// Several attempts of one request on one target end with it: that is one end.
+// Several attempts of a request on one target crash with it. That counts as one crash.
 func TestOneRunCountsOnce(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
-	r := numbered("a", 1)
+	r := newRequest("a", 1)
 	for range 5 {
-		endedAt(table, &r, "run", start)
+		crashedAt(table, &r, "run", start)
 	}
 	is.Equal(table.Judge(&r, start).Ends, 1)
 }
 
-// A prompt that many callers send alike stands at many ends that are not its doing. A good end
-// clears it, also of an end that this VM hears of later.
-func TestGoodEndClears(t *testing.T) {
+// A prompt that many callers send alike is involved in many crashes that it does not cause. A
+// successful run clears it, also of crashes that this VM learns of later.
+func TestSuccessfulRunClears(t *testing.T) {
 	is := is.New(t)
 	here, there := quarantine.NewTable(), quarantine.NewTable()
-	r := numbered("a", 1)
+	r := newRequest("a", 1)
 	for i := range 3 {
-		ended(here, &r, i)
+		crashed(here, &r, i)
 	}
-	there.Merge(here.News(start), start)
+	there.Merge(here.TakeChanged(start), start)
 	is.True(there.Served(&r))
-	here.Merge(there.News(start), start)
+	here.Merge(there.TakeChanged(start), start)
 	is.True(!here.Judge(&r, start).Quarantined(start, false))
-	// The old word comes again.
-	is.Equal(len(here.Merge(there.Words(10, start), start)), 0)
+	// A snapshot from before the clearing changes nothing.
+	is.Equal(len(here.Merge(there.Top(10, start), start)), 0)
 	is.Equal(here.Judge(&r, start).Ends, 0)
-	is.True(!here.Served(&r)) // there is nothing more to clear
+	is.True(!here.Served(&r)) // there is nothing left to clear
 }
 
-// A request that stood beside another one at three ends is tried again soon, by one VM; with
-// each trial that fails it is kept from targets for longer.
-func TestTrialsComeEverMoreSeldom(t *testing.T) {
+// A request that ran beside another one at three crashes is soon tried again by one VM. Each
+// failed trial extends the quarantine.
+func TestTrialIntervalsGrow(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
-	r := numbered("a", 1)
+	r := newRequest("a", 1)
 	now := start
-	for n, want := range []time.Duration{0, 0, 5 * time.Second, time.Minute, 10 * time.Minute, 24 * time.Hour, 24 * time.Hour} {
-		endedAt(table, &r, fmt.Sprint("run", n), now)
+	for n, want := range []time.Duration{0, 0, 5 * time.Second, time.Minute, 10 * time.Minute,
+		24 * time.Hour, 24 * time.Hour} {
+		crashedAt(table, &r, fmt.Sprint("run", n), now)
 		v := table.Judge(&r, now)
 		if want == 0 {
 			is.True(!v.Quarantined(now, true) && !v.Quarantined(now, false))
@@ -116,14 +119,14 @@
 	}
 }
 
-// A suspect is tried by one send at a time.
+// Only one send of a suspect is in progress at a time.
 func TestSuspectIsTriedOnce(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
-	r := numbered("a", 1)
+	r := newRequest("a", 1)
 	id := r.ID()
-	ended(table, &r, 0)
-	ended(table, &r, 1)
+	crashed(table, &r, 0)
+	crashed(table, &r, 1)
 	is.True(table.Judge(&r, start).Suspect())
 	is.True(table.Try(id))
 	is.True(!table.Try(id))
@@ -134,71 +137,72 @@
 func TestEndsAreForgotten(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
-	r := numbered("a", 1)
-	ended(table, &r, 0)
+	r := newRequest("a", 1)
+	crashed(table, &r, 0)
 	later := start.Add(10 * time.Minute)
 	is.Equal(table.Judge(&r, later).Ends, 0)
-	words := table.Words(10, later)
+	snapshots := table.Top(10, later)
 	table.Expire(later)
 	is.Equal(table.Size(), 0)
-	// Nor do others bring it back.
-	table.Merge(words, later)
+	// Expired entries of other VMs are not added again.
+	table.Merge(snapshots, later)
 	is.Equal(table.Size(), 0)
 }
 
-// One account fills its own share, whatever it sends, and leaves the others' requests.
+// However many requests one account sends, it only fills its own share of the table and does not
+// displace entries of other accounts.
 func TestOneAccountDoesNotCrowdOutAnother(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
-	mine := numbered("a", 1)
-	endedAt(table, &mine, "run", start)
-	deadly := numbered("b", 0)
-	ended(table, &deadly, 0)
-	ended(table, &deadly, 1)
+	mine := newRequest("a", 1)
+	crashedAt(table, &mine, "run", start)
+	deadly := newRequest("b", 0)
+	crashed(table, &deadly, 0)
+	crashed(table, &deadly, 1)
 	for i := range 2000 {
-		other := numbered("b", i+1)
-		endedAt(table, &other, "run", start.Add(time.Duration(i)*time.Millisecond))
+		other := newRequest("b", i+1)
+		crashedAt(table, &other, "run", start.Add(time.Duration(i)*time.Millisecond))
 	}
 	is.True(table.Size() <= 1025)
 	is.Equal(table.Judge(&mine, start).Ends, 1)
-	// Nor do an account's own harmless ones crowd out the one that is at fault.
+	// An account's harmless requests do not displace its own request that is at fault either.
 	is.Equal(table.Judge(&deadly, start).Ends, 2)
 	for i := range 9 {
 		for j := range 1000 {
-			other := numbered(fmt.Sprint("c", i), j)
-			endedAt(table, &other, "run", start)
+			other := newRequest(fmt.Sprint("c", i), j)
+			crashedAt(table, &other, "run", start)
 		}
 	}
 	is.True(table.Size() <= 8192)
 	is.Equal(table.Judge(&mine, start).Ends, 1)
 }
 
-// VMs that hear each other's words in any order, late and twice come to know the same.
-func TestWordsConverge(t *testing.T) {
+// VMs that merge each other's snapshots in any order, late or twice reach the same state.
+func TestSnapshotsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*quarantine.Table{quarantine.NewTable(), quarantine.NewTable(), quarantine.NewTable()}
-		r := numbered("a", 1)
+		r := newRequest("a", 1)
 		now := start
-		var words []quarantine.Word
+		var snapshots []quarantine.Snapshot
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			table := tables[rapid.IntRange(0, 2).Draw(t, "vm")]
 			now = now.Add(time.Second)
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				endedAt(table, &r, fmt.Sprint("run", rapid.IntRange(0, 5).Draw(t, "run")), now)
+				crashedAt(table, &r, fmt.Sprint("run", rapid.IntRange(0, 5).Draw(t, "run")), now)
 			case 1:
 				table.Served(&r)
 			case 2:
-				words = append(words, table.Words(10, now)...)
+				snapshots = append(snapshots, table.Top(10, now)...)
 			}
-			if len(words) > 0 && rapid.Bool().Draw(t, "hears") {
-				table.Merge(words[rapid.IntRange(0, len(words)-1).Draw(t, "word"):][:1], now)
+			if len(snapshots) > 0 && rapid.Bool().Draw(t, "hears") {
+				table.Merge(snapshots[rapid.IntRange(0, len(snapshots)-1).Draw(t, "word"):][:1], now)
 			}
 		}
 		for range 2 {
 			for _, from := range tables {
 				for _, to := range tables {
-					to.Merge(from.Words(10, now), now)
+					to.Merge(from.Top(10, now), now)
 				}
 			}
 		}
@@ -213,7 +217,7 @@
 
 func BenchmarkJudgeWithNothingKnown(b *testing.B) {
 	table := quarantine.NewTable()
-	r := numbered("a", 1)
+	r := newRequest("a", 1)
 	r.Body = make([]byte, 40<<10)
 	for b.Loop() {
 		table.Judge(&r, start)
@@ -223,10 +227,10 @@
 func BenchmarkJudgeBesideSuspects(b *testing.B) {
 	table := quarantine.NewTable()
 	for i := range 1000 {
-		other := numbered("b", i)
-		endedAt(table, &other, "run", start)
+		other := newRequest("b", i)
+		crashedAt(table, &other, "run", start)
 	}
-	r := numbered("a", 1)
+	r := newRequest("a", 1)
 	r.Body = make([]byte, 40<<10)
 	for b.Loop() {
 		table.Judge(&r, start)
--- a/internal/quarantine/word.go
+++ b/internal/quarantine/word.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// Word is what one VM tells others of a request. Taking it in twice, late or in another order
-// changes nothing: ends are a set, and one that is void stays so.
-type Word struct {
+// Snapshot is the state of an entry, as VMs send it to each other. Merging is idempotent and does
+// not depend on the order: the crashes form a set, and a crash that is cleared stays cleared.
+type Snapshot struct {
 	ID ID
-	// Source is whose share of the table the request takes.
-	Source uint64
-	Ends   []WordEnd
+	// Source is the hash of Request.Source.
+	Source  uint64
+	Crashes []SnapshotCrash
 }
 
-// count is the ends that count against the request.
-func (w Word) count() int {
-	var valid []end
-	for _, n := range w.Ends {
-		if !n.Void {
-			at := time.Time{}.Add(-n.Age)
-			valid = append(valid, end{began: at.Add(-n.Ran), at: at})
+// crashCount returns the number of successive crashes that are not cleared.
+func (s Snapshot) crashCount() int {
+	var counted []crash
+	for _, c := range s.Crashes {
+		if !c.Cleared {
+			at := time.Time{}.Add(-c.Age)
+			counted = append(counted, crash{began: at.Add(-c.RanFor), at: at})
 		}
 	}
-	return countEnds(valid)
+	return countSuccessive(counted)
 }
 
-// WordEnd is one end of a target under the request.
-type WordEnd struct {
-	// Target is a hash of the target's run.
-	Target uint64
-	// Age is how long ago the target ended, and Ran how long before that the request had been
-	// sent there.
-	Age  time.Duration
-	Ran  time.Duration
-	Void bool
+// SnapshotCrash is a crash of a target under the request.
+type SnapshotCrash struct {
+	// RunHash is the hash of the target's run.
+	RunHash uint64
+	// Age is how long ago the target crashed, and RanFor how long before that the request had
+	// been sent to it.
+	Age     time.Duration
+	RanFor  time.Duration
+	Cleared bool
 }
 
-// News returns the words that have not been told yet.
-func (t *Table) News(now time.Time) []Word {
+// TakeChanged returns snapshots of the entries that have changed since its last call.
+func (t *Table) TakeChanged(now time.Time) []Snapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var words []Word
-	for _, id := range t.news {
+	var snapshots []Snapshot
+	for _, id := range t.changed {
 		if e := t.entries[id]; e != nil {
-			words = append(words, e.word(now))
+			snapshots = append(snapshots, e.snapshot(now))
 		}
 	}
-	t.news = nil
-	return words
+	t.changed = nil
+	return snapshots
 }
 
-// Words returns the n words that matter most, for VMs that may have missed them.
-func (t *Table) Words(n int, now time.Time) []Word {
+// Top returns snapshots of the n most severe entries, for VMs that may have missed them.
+func (t *Table) Top(n int, now time.Time) []Snapshot {
 	if t.size.Load() == 0 {
 		return nil
 	}
@@ -62,65 +62,66 @@
 	for _, e := range t.entries {
 		all = append(all, e)
 	}
-	slices.SortFunc(all, func(a, b *entry) int { return matters(b, a) })
-	words := make([]Word, 0, min(n, len(all)))
+	slices.SortFunc(all, func(a, b *entry) int { return compareSeverity(b, a) })
+	snapshots := make([]Snapshot, 0, min(n, len(all)))
 	for _, e := range all[:min(n, len(all))] {
-		words = append(words, e.word(now))
+		snapshots = append(snapshots, e.snapshot(now))
 	}
-	return words
+	return snapshots
 }
 
-// Word returns what is known of a request, or false where nothing is.
-func (t *Table) Word(id ID, now time.Time) (Word, bool) {
+// Snapshot returns a snapshot of the entry of a request, or false if there is none.
+func (t *Table) Snapshot(id ID, now time.Time) (Snapshot, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
 	if e == nil {
-		return Word{}, false
+		return Snapshot{}, false
 	}
-	return e.word(now), true
+	return e.snapshot(now), true
 }
 
-func (e *entry) word(now time.Time) Word {
-	w := Word{ID: e.id, Source: e.source, Ends: make([]WordEnd, 0, len(e.ends))}
-	for target, end := range e.ends {
-		w.Ends = append(w.Ends, WordEnd{Target: target, Age: max(now.Sub(end.at), 0), Ran: end.at.Sub(end.began), Void: end.void})
+func (e *entry) snapshot(now time.Time) Snapshot {
+	s := Snapshot{ID: e.id, Source: e.source, Crashes: make([]SnapshotCrash, 0, len(e.crashes))}
+	for runHash, c := range e.crashes {
+		s.Crashes = append(s.Crashes, SnapshotCrash{RunHash: runHash, Age: max(now.Sub(c.at), 0),
+			RanFor: c.at.Sub(c.began), Cleared: c.cleared})
 	}
-	return w
+	return s
 }
 
-// Merge takes in what another VM knows, and returns the requests that are in quarantine by it
-// and were not before.
-func (t *Table) Merge(words []Word, now time.Time) []Verdict {
+// Merge merges the snapshots of another VM. It returns the verdicts on requests whose quarantine
+// started by that.
+func (t *Table) Merge(snapshots []Snapshot, now time.Time) []Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var begun []Verdict
-	for _, w := range words {
-		if len(w.Ends) == 0 {
+	var quarantined []Verdict
+	for _, s := range snapshots {
+		if len(s.Crashes) == 0 {
 			continue
 		}
-		known := t.entries[w.ID]
-		if known == nil && tooOld(w) {
+		known := t.entries[s.ID]
+		if known == nil && expired(s) {
 			continue
 		}
-		e := t.entry(w.ID, w.Source)
-		before := e.count
-		for _, n := range w.Ends {
-			at := now.Add(-n.Age)
-			e.note(n.Target, end{began: at.Add(-n.Ran), at: at, void: n.Void})
+		e := t.getOrAdd(s.ID, s.Source)
+		before := e.crashCount
+		for _, c := range s.Crashes {
+			at := now.Add(-c.Age)
+			e.addCrash(c.RunHash, crash{began: at.Add(-c.RanFor), at: at, cleared: c.Cleared})
 		}
-		if after := e.count; after >= quarantineEnds && before < quarantineEnds && now.Before(e.until()) {
-			begun = append(begun, e.verdict())
+		if after := e.crashCount; after >= quarantineCrashes && before < quarantineCrashes && now.Before(e.quarantineEnd()) {
+			quarantined = append(quarantined, e.verdict())
 		}
 	}
-	return begun
+	return quarantined
 }
 
-// tooOld reports whether a word is of a request that would be forgotten at once.
-func tooOld(w Word) bool {
-	youngest := w.Ends[0].Age
-	for _, end := range w.Ends {
-		youngest = min(youngest, end.Age)
+// expired returns whether the entry of a snapshot would expire at once.
+func expired(s Snapshot) bool {
+	youngest := s.Crashes[0].Age
+	for _, c := range s.Crashes {
+		youngest = min(youngest, c.Age)
 	}
-	return youngest >= max(2*term(w.count()), endMemory)
+	return youngest >= max(2*term(s.crashCount()), minRetention)
 }
