--- a/internal/stages/controller.go
+++ b/internal/stages/controller.go
@@ -18,87 +18,92 @@
 )
 
 const (
-	// tick is the time between looks at the plan.
-	tick = 200 * time.Millisecond
-	// candidateStep is how much longer each further candidate waits before it
-	// contends, so that they do not all ask the store at once.
-	candidateStep = 600 * time.Millisecond
-	// candidates is the number of steps.
-	candidates = 8
-	// leaseTTL is how long an unrenewed lease stays in force.
+	// stepInterval is the time between two evaluations of the plan.
+	stepInterval = 200 * time.Millisecond
+	// contendStagger is how much longer each successive contender waits before it contends for
+	// the lease, so that they do not all ask the store at once.
+	contendStagger = 600 * time.Millisecond
+	// contendSlots is the number of different waits that VMs are spread over.
+	contendSlots = 8
+	// leaseTTL is how long a lease that is not renewed stays in force.
 	leaseTTL = 4 * time.Second
-	// renewEvery is the time between renewals.
-	renewEvery = time.Second
-	// settle is the time between the journal's row and the order, in which
-	// every VM hears of it and prompts in hand are finished.
-	settle = 300 * time.Millisecond
-	// callTimeout bounds a call to the store or to an engine.
+	// renewInterval is the time between two renewals of the lease.
+	renewInterval = time.Second
+	// propagationDelay is the time between writing the journal row and sending the order. In this
+	// time every VM learns of the order, and prefills that are already running finish.
+	propagationDelay = 300 * time.Millisecond
+	// callTimeout bounds one call to the store or to an engine.
 	callTimeout = 700 * time.Millisecond
-	// doneWithin is how long an order that was answered may take; one without
-	// an answer may be carried out seconds later.
-	doneWithin    = 8 * time.Second
-	unknownWithin = 15 * time.Second
-	// decodeUse is the part of a decode engine that runs may fill on average, so that
-	// a swing of the mix finds room: an engine takes seconds to change its stage.
-	decodeUse = 0.7
-	// peakSpan is for how long at least the most that decoding needed is kept. The mix
-	// swings within seconds, and a change that chases it comes too late.
-	peakSpan = 15 * time.Second
-	// pressedSpan takes its place while prompts queue at the engines that prefill: above the
-	// few seconds of one swing, so that engines do not change back and forth with it.
-	pressedSpan = 3 * time.Second
-	// maxChanges bounds the changes of one step: the store takes 100 entries in
-	// one transaction, the tenure's condition among them.
-	maxChanges = 90
-	// KeyPrefix is where orders are journalled in the store.
+	// orderTimeout is how long an order that was answered may take. unknownOrderTimeout applies
+	// to an order without an answer, which may still be carried out seconds later.
+	orderTimeout        = 8 * time.Second
+	unknownOrderTimeout = 15 * time.Second
+	// decodeUtilization is the average share of a decode engine's capacity that runs may fill.
+	// The rest absorbs swings of the request mix, as an engine takes seconds to change its stage.
+	decodeUtilization = 0.7
+	// peakWindow is the minimum time for which the peak demand for decode engines is remembered.
+	// The mix swings within seconds, and a stage change that follows each swing comes too late.
+	peakWindow = 15 * time.Second
+	// backlogPeakWindow replaces peakWindow while prompts queue at the prefill engines. It is
+	// longer than the few seconds of one swing, so that engines do not change back and forth with
+	// it.
+	backlogPeakWindow = 3 * time.Second
+	// maxChangesPerTxn bounds the changes of one step: the store accepts 100 entries in one
+	// transaction, including the condition on the lease tenure.
+	maxChangesPerTxn = 90
+	// KeyPrefix is the prefix of the store keys under which orders are journalled.
 	KeyPrefix = "order/"
 )
 
-// Order is an order to an engine.
+// Order tells an engine to change its stage.
 type Order struct {
 	Stage fleet.Stage
-	// Holder names the VM that orders, and Fence its tenure.
+	// Holder is the VM that sends the order, and Fence the fencing number of its lease tenure.
 	Holder string
 	Fence  uint64
-	// Sequence is the number of orders that the engine must have accepted.
+	// Sequence is the number of orders that the engine must have accepted before this one.
 	Sequence uint64
 }
 
-// Report is what an engine says of itself.
+// Report is an engine's own account of its state.
 type Report struct {
 	Stage    fleet.Stage
 	Busy     bool
 	Sequence uint64
 }
 
-// The errors of an order.
+// The errors of Engines.Order.
 var (
-	// ErrRefused: the engine did not take the order and never will.
-	ErrRefused = errors.New("stages: order refused")
-	// ErrWithheld: the lease had lapsed; nothing was sent.
-	ErrWithheld = errors.New("stages: order withheld")
-	// ErrUnknown: the order may be carried out, now or later.
-	ErrUnknown = errors.New("stages: order's outcome unknown")
+	// ErrRefused says that the engine rejected the order and will never carry it out.
+	ErrRefused = errors.New("stages: engine refused the order")
+	// ErrWithheld says that the lease had lapsed and nothing was sent.
+	ErrWithheld = errors.New("stages: order not sent: lease lapsed")
+	// ErrUnknown says that the order may be carried out, now or later.
+	ErrUnknown = errors.New("stages: outcome of the order unknown")
 )
 
-// Engines carries reports and orders.
+// Engines reads the reports of engines and sends them orders.
 type Engines interface {
+	// Report returns the current state of engine t.
 	Report(ctx context.Context, t *fleet.Target) (Report, error)
-	// Order sends o at most once, unless still, asked right before the first
-	// byte, says no. It fails with one of this package's errors.
-	Order(ctx context.Context, t *fleet.Target, o Order, still func() bool) error
+	// Order sends o at most once. It calls stillHeld immediately before it writes the first byte
+	// and sends nothing if that returns false. It fails with one of this package's errors.
+	Order(ctx context.Context, t *fleet.Target, o Order, stillHeld func() bool) error
 }
 
-// Config is the controller's settings.
+// Config holds the settings of a Controller.
 type Config struct {
+	// VM is the name of this VM.
 	VM string
-	// Share is the share of engines that prefill.
+	// Share is the share of engines that prefill, from 0 to 1.
 	Share float64
-	// Gap is how long after one holder's last order another may give one.
+	// Gap is the minimum time between one lease holder's last order and the first order of the
+	// next holder.
 	Gap time.Duration
 }
 
-// Controller plans and orders.
+// Controller plans the stages of all model engines and, while this VM holds the lease, orders the
+// changes.
 type Controller struct {
 	kernel.Background
 	cfg     Config
@@ -110,227 +115,234 @@
 	log     *telemetry.Logger
 
 	mu sync.Mutex
-	// open holds the journal's rows, by run of the engine: a run that has ended takes
-	// its orders with it.
-	open map[string]*openOrder
+	// openOrders holds the journal rows by run id of the engine: when a run of an engine ends,
+	// its orders end with it.
+	openOrders map[string]*openOrder
 
-	// load is the streams at each engine.
+	// load returns the number of streams at an engine.
 	load Load
-	// elsewhere says whether another VM changes an engine.
-	elsewhere func(engine string) bool
-	// demand is how many decode engines the runs in hand of a service fill.
-	demand func([]*fleet.Target) float64
-	// pressed reports whether prompts queue at a service's engines that prefill.
-	pressed func([]*fleet.Target) bool
-	// peaks holds the most that decoding needed of late, by service; mu guards it.
-	peaks map[string]*peaks
-	// candidate says whether this VM may contend for the lease.
-	candidate func() bool
-
-	// wantedSince is when the plan first held changes; owned by run.
-	wantedSince time.Duration
-	renewedAt   time.Duration
-	heldFence   uint64
-	// loadedFence is the tenure that the journal was read in.
-	loadedFence uint64
+	// changingElsewhere reports whether another VM has ordered an engine to change its stage.
+	changingElsewhere func(engine string) bool
+	// decodeDemand returns how many decode engines the running requests of a service fill.
+	decodeDemand func([]*fleet.Target) float64
+	// prefillBacklogged reports whether prompts queue at the prefill engines of a service.
+	prefillBacklogged func([]*fleet.Target) bool
+	// decodePeaks holds the recent peak demand for decode engines by service. It is guarded by
+	// mu.
+	decodePeaks map[string]*demandPeaks
+	// isCandidate reports whether this VM may contend for the lease.
+	isCandidate func() bool
+
+	// changesSince is when the plan first contained changes, or 0 if it contains none. Like the
+	// fields below, only the goroutine of step uses it.
+	changesSince time.Duration
+	renewedAt    time.Duration
+	heldFence    uint64
+	// journalFence is the fencing number of the tenure in which the journal was read.
+	journalFence uint64
 }
 
-// New returns a controller that does nothing until Start.
+// New returns a controller that does nothing until Start. The clock must also count the time for
+// which the machine is suspended.
 func New(cfg Config, keeper *fleet.Keeper, table store.Table, engines Engines, clock lease.Clock, incarnation uint64, log *telemetry.Logger) *Controller {
 	lc := lease.Config{DataCentre: "all", Service: "stages", Holder: cfg.VM, Incarnation: incarnation, TTL: leaseTTL}
 	return &Controller{
 		cfg: cfg, keeper: keeper, table: table, engines: engines, clock: clock, log: log,
-		lease: lease.New(lc, table, clock), open: make(map[string]*openOrder),
-		load: func(string) int { return 0 }, elsewhere: func(string) bool { return false },
-		candidate: func() bool { return true }, demand: func([]*fleet.Target) float64 { return 0 }, peaks: make(map[string]*peaks),
-		pressed: func([]*fleet.Target) bool { return false },
+		lease: lease.New(lc, table, clock), openOrders: make(map[string]*openOrder),
+		load: func(string) int { return 0 }, changingElsewhere: func(string) bool { return false },
+		isCandidate: func() bool { return true }, decodeDemand: func([]*fleet.Target) float64 { return 0 }, decodePeaks: make(map[string]*demandPeaks),
+		prefillBacklogged: func([]*fleet.Target) bool { return false },
 	}
 }
 
-// SetView sets where the streams of engines, and the changes that other VMs have
-// ordered, are read; it is called before Start.
-func (c *Controller) SetView(load Load, elsewhere func(engine string) bool) {
-	c.load, c.elsewhere = load, elsewhere
+// SetView sets the functions that return the streams at an engine and whether another VM has
+// ordered an engine to change its stage. It must be called before Start.
+func (c *Controller) SetView(load Load, changing func(engine string) bool) {
+	c.load, c.changingElsewhere = load, changing
 }
 
-// SetDemand sets where it is read how many decode engines the runs in hand of a service
-// fill; it is called before Start.
-func (c *Controller) SetDemand(demand func([]*fleet.Target) float64) { c.demand = demand }
+// SetDemand sets the function that returns how many decode engines the running requests of a
+// service fill. It must be called before Start.
+func (c *Controller) SetDemand(demand func([]*fleet.Target) float64) { c.decodeDemand = demand }
 
-// SetPressed sets where it is read whether prompts queue at a service's engines that prefill;
-// it is called before Start.
-func (c *Controller) SetPressed(pressed func([]*fleet.Target) bool) { c.pressed = pressed }
+// SetPressed sets the function that reports whether prompts queue at the prefill engines of a
+// service. It must be called before Start.
+func (c *Controller) SetPressed(pressed func([]*fleet.Target) bool) { c.prefillBacklogged = pressed }
 
-// SetCandidate sets what says whether this VM may contend for the lease: in a
-// large group a few are enough. It is called before Start.
-func (c *Controller) SetCandidate(candidate func() bool) { c.candidate = candidate }
+// SetCandidate sets the function that reports whether this VM may contend for the lease; in a
+// large group a few candidates are enough. It must be called before Start.
+func (c *Controller) SetCandidate(candidate func() bool) { c.isCandidate = candidate }
 
-// Start begins to plan.
+// Start begins to evaluate the plan at regular intervals.
 func (c *Controller) Start(context.Context) error {
-	c.Run(func(ctx context.Context) { kernel.Every(ctx, tick, c.step) })
+	c.Run(func(ctx context.Context) { kernel.Every(ctx, stepInterval, c.step) })
 	return nil
 }
 
-// Changing reports whether this VM has ordered an engine to change its stage
-// and the engine has not done so yet; nothing new is to be sent to it.
+// Changing reports whether this VM knows of an open order for an engine to change its stage that
+// the engine has not carried out yet. No new requests may be sent to such an engine.
 func (c *Controller) Changing(t *fleet.Target) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o := c.open[t.RunID()]
-	return o != nil && o.row.Stage != t.Stage && c.clock()-o.seen < unknownWithin
+	o := c.openOrders[t.RunID()]
+	return o != nil && o.row.Stage != t.Stage && c.clock()-o.seenAt < unknownOrderTimeout
 }
 
-// Open returns the engines that this VM has ordered to change, with the stage.
+// Open returns the open orders known to this VM: the ordered stage by run id of the engine, or
+// nil if there are none.
 func (c *Controller) Open() map[string]fleet.Stage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.open) == 0 {
+	if len(c.openOrders) == 0 {
 		return nil
 	}
-	out := make(map[string]fleet.Stage, len(c.open))
-	for id, o := range c.open {
+	out := make(map[string]fleet.Stage, len(c.openOrders))
+	for id, o := range c.openOrders {
 		out[id] = o.row.Stage
 	}
 	return out
 }
 
-// step looks at the plan once.
+// step evaluates the plan once, acquires the lease if there is something to do and sends the
+// orders.
 func (c *Controller) step(ctx context.Context) {
 	v := c.keeper.View()
-	changes := c.wanted(v)
+	changes := c.pendingChanges(v)
 	now := c.clock()
-	if len(changes) == 0 && !c.finishing(v) {
-		c.wantedSince = 0
-		c.release(ctx)
+	if len(changes) == 0 && !c.hasClosedOrders(v) {
+		c.changesSince = 0
+		c.releaseLease(ctx)
 		return
 	}
-	if c.wantedSince == 0 {
-		c.wantedSince = now
+	if c.changesSince == 0 {
+		c.changesSince = now
 	}
-	if _, held := c.lease.Held(); !held && (now-c.wantedSince < c.patience() || !c.candidate()) {
+	if _, held := c.lease.Held(); !held && (now-c.changesSince < c.contendDelay() || !c.isCandidate()) {
 		return
 	}
-	t, ok := c.hold(ctx)
+	t, ok := c.ensureLease(ctx)
 	if !ok {
 		return
 	}
-	if c.loadedFence != t.Fence {
+	if c.journalFence != t.Fence {
 		if err := c.readJournal(ctx); err != nil {
 			c.log.Warn(telemetry.EventOrderRefused, telemetry.F("journal", "read"), telemetry.F("cause", err))
 			return
 		}
-		c.loadedFence = t.Fence
+		c.journalFence = t.Fence
 	}
-	c.finish(ctx, t, v)
-	if t.Fence > 1 && c.clock()-t.Since < c.cfg.Gap+settle {
-		// The holder before may have ordered until just before.
+	c.removeClosedOrders(ctx, t, v)
+	if t.Fence > 1 && c.clock()-t.Since < c.cfg.Gap+propagationDelay {
+		// The previous holder may have sent an order until the end of its tenure.
 		return
 	}
-	c.order(ctx, t, changes)
+	c.issueOrders(ctx, t, changes)
 }
 
-// wanted returns the planned changes of engines that no order stands open for.
-func (c *Controller) wanted(v *fleet.View) []Change {
+// pendingChanges returns the planned changes of engines that have no open order.
+func (c *Controller) pendingChanges(v *fleet.View) []Change {
 	var out []Change
-	for _, ch := range PlanAll(v, c.want, c.load) {
+	for _, ch := range PlanAll(v, c.prefillCount, c.load) {
 		c.mu.Lock()
-		open := c.open[ch.Target.RunID()] != nil
+		open := c.openOrders[ch.Target.RunID()] != nil
 		c.mu.Unlock()
-		if !open && !c.elsewhere(ch.Target.RunID()) {
+		if !open && !c.changingElsewhere(ch.Target.RunID()) {
 			out = append(out, ch)
 		}
 	}
 	return out
 }
 
-// want is how many of a service's engines are to prefill: their share, and no more
-// than decoding leaves.
-func (c *Controller) want(targets []*fleet.Target) int {
-	staying, _ := count(targets)
+// prefillCount returns how many engines of a service should prefill: their configured share, but
+// no more than the engines that decoding does not need.
+func (c *Controller) prefillCount(targets []*fleet.Target) int {
+	staying, _ := countEngines(targets)
 	share := int(math.Round(c.cfg.Share * float64(staying)))
-	return min(share, staying-c.decoding(targets))
+	return min(share, staying-c.minDecodeCount(targets))
 }
 
-// decoding is how many engines of a service decode at least: those that its runs have
-// lately filled to decodeUse.
+// minDecodeCount returns the minimum number of decode engines of a service: as many as its
+// running requests have recently filled to decodeUtilization.
 //
-// Load pattern: spans of long answers and spans of prompts follow each other within seconds.
-// Engines that the answers needed a while ago are kept for the next ones, but not while prompts
+// Load pattern: periods of long answers and periods of many prompts alternate within seconds.
+// Engines that decoding needed recently are kept for the next such period, except while prompts
 // queue.
-func (c *Controller) decoding(targets []*fleet.Target) int {
+func (c *Controller) minDecodeCount(targets []*fleet.Target) int {
 	if len(targets) == 0 {
 		return 0
 	}
-	// Placement answers under its own lock, under which it calls Changing.
-	demand, pressed := c.demand(targets), c.pressed(targets)
+	// The placer answers under its own lock, and calls Changing while holding it. c.mu must
+	// therefore not be held here.
+	demand, backlogged := c.decodeDemand(targets), c.prefillBacklogged(targets)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.peaks[targets[0].Service]
+	p := c.decodePeaks[targets[0].Service]
 	if p == nil {
-		p = &peaks{long: peak{span: peakSpan}, short: peak{span: pressedSpan}}
-		c.peaks[targets[0].Service] = p
+		p = &demandPeaks{long: slidingPeak{window: peakWindow}, short: slidingPeak{window: backlogPeakWindow}}
+		c.decodePeaks[targets[0].Service] = p
 	}
-	return int(math.Ceil(p.take(demand, pressed, c.clock()) / decodeUse))
+	return int(math.Ceil(p.observe(demand, backlogged, c.clock()) / decodeUtilization))
 }
 
-// peaks is the most that decoding needed of late, over a long and a short span.
-type peaks struct {
-	long  peak
-	short peak
+// demandPeaks holds the recent peak demand for decode engines over a long and a short window.
+type demandPeaks struct {
+	long  slidingPeak
+	short slidingPeak
 }
 
-// take takes in what is needed at a time, and returns the most that counts.
-func (p *peaks) take(need float64, pressed bool, at time.Duration) float64 {
-	long, short := p.long.take(need, at), p.short.take(need, at)
-	if pressed {
-		// What was needed before the prompts came is needed no more once they have gone.
+// observe records the demand at a time and returns the peak to plan for: that of the short window
+// while prefill is backlogged, and that of the long window otherwise.
+func (p *demandPeaks) observe(demand float64, backlogged bool, at time.Duration) float64 {
+	long, short := p.long.observe(demand, at), p.short.observe(demand, at)
+	if backlogged {
+		// The demand from before the backlog no longer counts once the backlog has cleared.
 		p.long = p.short
-		p.long.span = peakSpan
+		p.long.window = peakWindow
 		return short
 	}
 	return long
 }
 
-// peak is the most that was needed of late.
-type peak struct {
-	span time.Duration
-	// now is the most of the present span, which began at since, and before that of
-	// the one before.
-	now    float64
-	before float64
-	since  time.Duration
+// slidingPeak is the maximum of the values observed within the last one to two windows.
+type slidingPeak struct {
+	// window is the length of a window.
+	window time.Duration
+	// current is the maximum of the current window, which began at start; previous is that of the
+	// window before.
+	current  float64
+	previous float64
+	start    time.Duration
 }
 
-// take takes in what is needed at a time, and returns the most of the last one to two
-// spans.
-func (p *peak) take(need float64, at time.Duration) float64 {
-	if at-p.since >= p.span {
-		p.now, p.before, p.since = 0, p.now, at
+// observe records a value at a time and returns the maximum of the last one to two windows.
+func (p *slidingPeak) observe(value float64, at time.Duration) float64 {
+	if at-p.start >= p.window {
+		p.current, p.previous, p.start = 0, p.current, at
 	}
-	p.now = max(p.now, need)
-	return max(p.now, p.before)
+	p.current = max(p.current, value)
+	return max(p.current, p.previous)
 }
 
-// finishing reports whether rows of the journal can be removed.
-func (c *Controller) finishing(v *fleet.View) bool {
+// hasClosedOrders reports whether there are journal rows that can be removed.
+func (c *Controller) hasClosedOrders(v *fleet.View) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id, o := range c.open {
-		if c.finished(v, id, o) {
+	for id, o := range c.openOrders {
+		if c.orderClosed(v, id, o) {
 			return true
 		}
 	}
 	return false
 }
 
-// finished reports whether an order stands open no more: the engine shows the
-// stage or is gone, or its time is over. The caller holds c.mu.
-func (c *Controller) finished(v *fleet.View, id string, o *openOrder) bool {
-	limit := doneWithin
-	if o.unknown || o.row.Holder != c.cfg.VM {
-		limit = unknownWithin
+// orderClosed reports whether an order is no longer open: the engine shows the ordered stage or
+// is gone, or the order has timed out. The caller must hold c.mu.
+func (c *Controller) orderClosed(v *fleet.View, id string, o *openOrder) bool {
+	limit := orderTimeout
+	if o.outcomeUnknown || o.row.Holder != c.cfg.VM {
+		limit = unknownOrderTimeout
 	}
-	if c.clock()-o.seen > limit {
+	if c.clock()-o.seenAt > limit {
 		return true
 	}
 	for _, ts := range v.Targets {
@@ -343,17 +355,19 @@
 	return true
 }
 
-// patience is this VM's wait before it contends: a different one on each VM.
-func (c *Controller) patience() time.Duration {
+// contendDelay returns how long this VM waits before it contends for the lease. It is derived
+// from the VM's name, so that VMs wait for different times.
+func (c *Controller) contendDelay() time.Duration {
 	h := fnv.New32a()
-	// A hash's Write returns no error.
+	// Write of a hash never returns an error.
 	_, _ = h.Write([]byte(c.cfg.VM))
-	return time.Duration(h.Sum32()%candidates) * candidateStep
+	return time.Duration(h.Sum32()%contendSlots) * contendStagger
 }
 
-// hold acquires or renews the lease and returns its tenure.
-func (c *Controller) hold(ctx context.Context) (lease.Tenure, bool) {
-	if t, ok := c.lease.Held(); ok && c.clock()-c.renewedAt < renewEvery {
+// ensureLease acquires the lease, or renews it when that is due. It returns the tenure and
+// whether the lease is held.
+func (c *Controller) ensureLease(ctx context.Context) (lease.Tenure, bool) {
+	if t, ok := c.lease.Held(); ok && c.clock()-c.renewedAt < renewInterval {
 		return t, true
 	}
 	c.renewedAt = c.clock()
@@ -370,13 +384,16 @@
 		c.heldFence = 0
 	}
 	if !ok {
-		// Another one holds it, or the store is away: look again later.
-		c.wantedSince = c.clock() - c.patience() + renewEvery
+		// Another VM holds the lease or the store is unavailable: contend again after
+		// renewInterval.
+		c.changesSince = c.clock() - c.contendDelay() + renewInterval
 	}
 	return t, ok
 }
 
-func (c *Controller) release(ctx context.Context) {
+// releaseLease gives up the lease if it is held, so that another VM need not wait for it to
+// lapse.
+func (c *Controller) releaseLease(ctx context.Context) {
 	if _, ok := c.lease.Held(); !ok {
 		return
 	}
@@ -388,17 +405,18 @@
 	c.heldFence = 0
 }
 
-// order journals all changes in one transaction and then gives the orders.
-func (c *Controller) order(ctx context.Context, t lease.Tenure, changes []Change) {
+// issueOrders journals the changes in one transaction, waits for propagationDelay and then sends
+// the orders.
+func (c *Controller) issueOrders(ctx context.Context, t lease.Tenure, changes []Change) {
 	if len(changes) == 0 {
 		return
 	}
-	changes = changes[:min(len(changes), maxChanges)]
+	changes = changes[:min(len(changes), maxChangesPerTxn)]
 	var txn store.Txn
 	for _, ch := range changes {
-		value, err := json.Marshal(row{Holder: c.cfg.VM, Fence: t.Fence, Stage: ch.Stage})
+		value, err := json.Marshal(journalRow{Holder: c.cfg.VM, Fence: t.Fence, Stage: ch.Stage})
 		if err != nil {
-			panic("stages: encode row: " + err.Error())
+			panic("stages: encode journal row: " + err.Error())
 		}
 		txn.Puts = append(txn.Puts, store.Put{Key: KeyPrefix + ch.Target.RunID(), Value: value})
 	}
@@ -408,17 +426,17 @@
 	}
 	c.mu.Lock()
 	for _, ch := range changes {
-		c.open[ch.Target.RunID()] = &openOrder{row: row{Holder: c.cfg.VM, Fence: t.Fence, Stage: ch.Stage}, seen: c.clock()}
+		c.openOrders[ch.Target.RunID()] = &openOrder{row: journalRow{Holder: c.cfg.VM, Fence: t.Fence, Stage: ch.Stage}, seenAt: c.clock()}
 	}
 	c.mu.Unlock()
-	kernel.Sleep(ctx, settle)
+	kernel.Sleep(ctx, propagationDelay)
 	for _, ch := range changes {
-		c.give(ctx, t, ch)
+		c.sendOrder(ctx, t, ch)
 	}
 }
 
-// give sends one order.
-func (c *Controller) give(ctx context.Context, t lease.Tenure, ch Change) {
+// sendOrder sends one order, unless the engine is busy or does not report its state.
+func (c *Controller) sendOrder(ctx context.Context, t lease.Tenure, ch Change) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	report, err := c.engines.Report(call, ch.Target)
@@ -427,14 +445,14 @@
 		return
 	}
 	o := Order{Stage: ch.Stage, Holder: c.cfg.VM, Fence: t.Fence, Sequence: report.Sequence}
-	still := func() bool {
+	stillHeld := func() bool {
 		now, ok := c.lease.Held()
 		return ok && now.Fence == t.Fence
 	}
-	err = c.engines.Order(call, ch.Target, o, still)
+	err = c.engines.Order(call, ch.Target, o, stillHeld)
 	c.mu.Lock()
-	if open := c.open[ch.Target.RunID()]; open != nil {
-		open.unknown = errors.Is(err, ErrUnknown)
+	if open := c.openOrders[ch.Target.RunID()]; open != nil {
+		open.outcomeUnknown = errors.Is(err, ErrUnknown)
 	}
 	c.mu.Unlock()
 	fields := []telemetry.Field{
--- a/internal/stages/journal.go
+++ b/internal/stages/journal.go
@@ -14,50 +14,52 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// row is the journal's row of an engine.
-type row struct {
+// journalRow is the JSON value of an engine's row in the journal.
+type journalRow struct {
 	Holder string      `json:"holder"`
 	Fence  uint64      `json:"fence"`
 	Stage  fleet.Stage `json:"stage"`
 }
 
-// openOrder is a row of the journal as this VM sees it.
+// openOrder is a journal row as this VM knows it.
 type openOrder struct {
-	row  row
-	seen time.Duration
-	// unknown orders of this VM had no answer.
-	unknown bool
+	row journalRow
+	// seenAt is when this VM wrote or read the row, by its own clock.
+	seenAt time.Duration
+	// outcomeUnknown is set if this VM sent the order and got no answer.
+	outcomeUnknown bool
 }
 
-// readJournal reads the journal at the start of a tenure.
+// readJournal replaces openOrders by the rows of the journal. It is called at the start of a
+// tenure.
 func (c *Controller) readJournal(ctx context.Context) error {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	records, err := c.table.List(call, KeyPrefix)
 	if err != nil {
-		return errors.Wrap(err, "read journal")
+		return errors.Wrap(err, "read order journal")
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open = make(map[string]*openOrder)
+	c.openOrders = make(map[string]*openOrder)
 	for _, r := range records {
 		engine := strings.TrimPrefix(r.Key, KeyPrefix)
-		var v row
+		var v journalRow
 		if err := json.Unmarshal(r.Value, &v); err != nil {
 			return errors.Wrapf(err, "decode %s", r.Key)
 		}
-		c.open[engine] = &openOrder{row: v, seen: c.clock()}
+		c.openOrders[engine] = &openOrder{row: v, seenAt: c.clock()}
 		c.log.Info(telemetry.EventOrderAdopted, telemetry.F("engine", engine), telemetry.F("stage", string(v.Stage)), telemetry.F("holder", v.Holder), telemetry.F("fence", v.Fence))
 	}
 	return nil
 }
 
-// finish removes the journal's rows that stand open no more.
-func (c *Controller) finish(ctx context.Context, t lease.Tenure, v *fleet.View) {
+// removeClosedOrders removes the journal rows of orders that are no longer open.
+func (c *Controller) removeClosedOrders(ctx context.Context, t lease.Tenure, v *fleet.View) {
 	var keys []string
 	c.mu.Lock()
-	for id, o := range c.open {
-		if c.finished(v, id, o) && len(keys) < maxChanges {
+	for id, o := range c.openOrders {
+		if c.orderClosed(v, id, o) && len(keys) < maxChangesPerTxn {
 			keys = append(keys, KeyPrefix+id)
 			c.log.Info(telemetry.EventOrderDone, telemetry.F("engine", id), telemetry.F("stage", string(o.row.Stage)), telemetry.F("fence", o.row.Fence))
 		}
@@ -73,11 +75,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, key := range keys {
-		delete(c.open, strings.TrimPrefix(key, KeyPrefix))
+		delete(c.openOrders, strings.TrimPrefix(key, KeyPrefix))
 	}
 }
 
-// commit writes to the journal within the tenure.
+// commit writes to the journal on the condition that the tenure has not ended.
 func (c *Controller) commit(ctx context.Context, t lease.Tenure, txn store.Txn) error {
 	txn.Conds = append(txn.Conds, store.Cond{Key: lease.FenceKey("all", "stages"), Version: t.FenceVersion})
 	call, cancel := context.WithTimeout(ctx, callTimeout)
--- a/internal/stages/peaks_test.go
+++ b/internal/stages/peaks_test.go
@@ -7,54 +7,58 @@
 	"github.com/matryer/is"
 )
 
-// Load pattern: 14 s of long answers, then prompts, and within both a swing each 2.8 s.
+// Load pattern: 14 s of long answers, then 14 s of prompts, and in both the demand swings every
+// 2.8 s.
 const (
-	phase = 14 * time.Second
-	swing = 2800 * time.Millisecond
+	phaseLength = 14 * time.Second
+	swingLength = 2800 * time.Millisecond
 )
 
-// needs plays a need for a span and returns the least and the most that counted in its last part.
-func needs(p *peaks, at *time.Duration, span, last time.Duration, pressed bool, need func(at time.Duration) float64) (least, most float64) {
-	least = 1e9
-	for end := *at + span; *at < end; *at += tick {
-		n := p.take(need(*at), pressed, *at)
+// observeFor feeds demand into p for a span of time from *at, which it advances. It returns the
+// lowest and the highest planned peak within the final part of the span, last.
+func observeFor(p *demandPeaks, at *time.Duration, span, last time.Duration, backlogged bool, demand func(at time.Duration) float64) (lowest, highest float64) {
+	lowest = 1e9
+	for end := *at + span; *at < end; *at += stepInterval {
+		n := p.observe(demand(*at), backlogged, *at)
 		if end-*at <= last {
-			least, most = min(least, n), max(most, n)
+			lowest, highest = min(lowest, n), max(highest, n)
 		}
 	}
-	return least, most
+	return lowest, highest
 }
 
 func constant(n float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return n }
 }
 
-// Engines that long answers needed a while ago were kept for them while prompts queued.
-func TestEnginesPassToPromptsThatQueue(t *testing.T) {
+// Guards against keeping engines that earlier long answers needed for decoding while prompts
+// queue for prefill.
+func TestBackloggedPrefillReleasesDecodeEngines(t *testing.T) {
 	is := is.New(t)
-	for _, pressed := range []bool{false, true} {
-		p, at := &peaks{long: peak{span: peakSpan}, short: peak{span: pressedSpan}}, time.Minute
-		_, most := needs(p, &at, phase, tick, false, constant(20))
-		is.Equal(most, 20.0)
-		_, most = needs(p, &at, 2*pressedSpan+tick, tick, pressed, constant(5))
-		if pressed {
-			is.Equal(most, 5.0)
+	for _, backlogged := range []bool{false, true} {
+		p, at := &demandPeaks{long: slidingPeak{window: peakWindow}, short: slidingPeak{window: backlogPeakWindow}}, time.Minute
+		_, highest := observeFor(p, &at, phaseLength, stepInterval, false, constant(20))
+		is.Equal(highest, 20.0)
+		_, highest = observeFor(p, &at, 2*backlogPeakWindow+stepInterval, stepInterval, backlogged, constant(5))
+		if backlogged {
+			is.Equal(highest, 5.0)
 		} else {
-			is.Equal(most, 20.0) // no prompt wants them
+			is.Equal(highest, 20.0) // no prompts queue, so the peak is kept
 		}
 	}
 }
 
-// An engine takes as long to change its stage as a swing lasts: none changes with it.
-func TestEnginesDoNotFollowASwing(t *testing.T) {
+// A stage change takes as long as a swing of the demand lasts, so the planned number of decode
+// engines must not follow a swing.
+func TestPlanDoesNotFollowDemandSwings(t *testing.T) {
 	is := is.New(t)
-	p, at := &peaks{long: peak{span: peakSpan}, short: peak{span: pressedSpan}}, time.Minute
-	least, most := needs(p, &at, 3*phase, 2*phase, true, func(at time.Duration) float64 {
-		if at/swing%2 == 0 {
+	p, at := &demandPeaks{long: slidingPeak{window: peakWindow}, short: slidingPeak{window: backlogPeakWindow}}, time.Minute
+	lowest, highest := observeFor(p, &at, 3*phaseLength, 2*phaseLength, true, func(at time.Duration) float64 {
+		if at/swingLength%2 == 0 {
 			return 20
 		}
 		return 5
 	})
-	is.Equal(least, 20.0)
-	is.Equal(most, 20.0)
+	is.Equal(lowest, 20.0)
+	is.Equal(highest, 20.0)
 }
--- a/internal/stages/plan.go
+++ b/internal/stages/plan.go
@@ -1,7 +1,6 @@
-// Package stages keeps the model engines' stages as planned: how many prefill
-// and how many decode. One VM at a time orders changes, under a lease; each
-// order is journalled in the store first, so that every VM stops using the
-// engine and a successor finds what stands open.
+// Package stages controls how many model engines prefill and how many decode. One VM at a time
+// orders stage changes, under a lease. Each order is first journalled in the store, so that
+// every VM stops using the engine and the next lease holder finds the open orders.
 package stages
 
 import (
@@ -10,20 +9,20 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// Change is one engine that is to change its stage.
+// Change is one engine's planned change to another stage.
 type Change struct {
 	Target *fleet.Target
 	Stage  fleet.Stage
 }
 
-// Load says how many long answers an engine runs, as far as this VM knows.
+// Load returns how many streams an engine runs, as far as this VM knows; engine is a run id.
 type Load func(engine string) int
 
-// Plan returns the changes that bring the engines of a service to the number of
-// prefill engines wanted, dealt to the data centres by their size. Each data
-// centre with two engines or more keeps one of each stage, and one with four or more
-// keeps two, as it may be cut off. Engines that leave are not counted; those with the fewest streams are
-// changed first.
+// Plan returns the changes that bring a service to want prefill engines, spread over the data
+// centres in proportion to their size. Each data centre with two or more engines keeps one engine
+// of each stage, and one with twoPerStageSize or more keeps two, as a data centre may be cut off
+// from the others. Leaving engines are not counted. The engines with the fewest streams change
+// first.
 func Plan(targets []*fleet.Target, want int, load Load) []Change {
 	var out []Change
 	groups := byDataCentre(targets)
@@ -35,16 +34,16 @@
 		if total == 0 {
 			break
 		}
-		// The rest of the division goes to the data centres dealt last.
+		// Later data centres receive the remainder of the division.
 		part := want * len(g) / total
 		want, total = want-part, total-len(g)
-		out = append(out, planGroup(g, part, load)...)
+		out = append(out, planDataCentre(g, part, load)...)
 	}
 	return out
 }
 
-// PlanAll plans each model service of a view; want says how many of a service's
-// engines are to prefill.
+// PlanAll plans every model service of a view. The function want returns how many engines of a
+// service should prefill.
 func PlanAll(v *fleet.View, want func(targets []*fleet.Target) int, load Load) []Change {
 	if v.Config == nil {
 		return nil
@@ -60,8 +59,8 @@
 	return out
 }
 
-// count returns how many engines stay, and how many of them prefill.
-func count(targets []*fleet.Target) (staying, prefill int) {
+// countEngines returns how many engines are not leaving, and how many of these prefill.
+func countEngines(targets []*fleet.Target) (staying, prefill int) {
 	for _, t := range targets {
 		if t.Leaving {
 			continue
@@ -74,6 +73,7 @@
 	return staying, prefill
 }
 
+// sortedServices returns the names of the services that have targets, in order.
 func sortedServices(v *fleet.View) []string {
 	names := make([]string, 0, len(v.Targets))
 	for name := range v.Targets {
@@ -83,6 +83,8 @@
 	return names
 }
 
+// byDataCentre groups the engines that are not leaving by data centre, in the order of the data
+// centres' names.
 func byDataCentre(targets []*fleet.Target) [][]*fleet.Target {
 	groups := make(map[string][]*fleet.Target)
 	var names []string
@@ -103,44 +105,44 @@
 	return out
 }
 
-// keepTwoFrom is the size of a data centre from which two engines of each stage stay:
-// one may be lost, or leave, without the data centre losing the stage.
-const keepTwoFrom = 4
+// twoPerStageSize is the number of engines from which a data centre keeps two of each stage: one
+// may be lost, or leave, without the data centre losing the stage.
+const twoPerStageSize = 4
 
-// kept is how many engines of each stage stay of a data centre's n.
-func kept(n int) int {
-	if n < keepTwoFrom {
+// minPerStage returns how many engines of each stage a data centre with n engines keeps.
+func minPerStage(n int) int {
+	if n < twoPerStageSize {
 		return 1
 	}
 	return 2
 }
 
-// planGroup plans the engines of one data centre.
-func planGroup(group []*fleet.Target, want int, load Load) []Change {
+// planDataCentre plans the changes of the engines in one data centre.
+func planDataCentre(group []*fleet.Target, want int, load Load) []Change {
 	n := len(group)
 	if n < 2 {
 		return nil
 	}
-	want = min(max(want, kept(n)), n-kept(n))
-	have := 0
+	want = min(max(want, minPerStage(n)), n-minPerStage(n))
+	prefill := 0
 	for _, t := range group {
 		if t.Stage == fleet.Prefill {
-			have++
+			prefill++
 		}
 	}
 	from, to := fleet.Decode, fleet.Prefill
-	if have > want {
+	if prefill > want {
 		from, to = to, from
 	}
-	var candidates []*fleet.Target
+	var eligible []*fleet.Target
 	for _, t := range group {
 		if t.Stage == from {
-			candidates = append(candidates, t)
+			eligible = append(eligible, t)
 		}
 	}
-	sort.SliceStable(candidates, func(i, j int) bool { return load(candidates[i].RunID()) < load(candidates[j].RunID()) })
+	sort.SliceStable(eligible, func(i, j int) bool { return load(eligible[i].RunID()) < load(eligible[j].RunID()) })
 	var out []Change
-	for _, t := range candidates[:min(abs(want-have), len(candidates))] {
+	for _, t := range eligible[:min(abs(want-prefill), len(eligible))] {
 		out = append(out, Change{Target: t, Stage: to})
 	}
 	return out
--- a/internal/stages/stages_test.go
+++ b/internal/stages/stages_test.go
@@ -35,7 +35,7 @@
 	return &fleet.Target{ID: id, Service: "m", DataCentre: dataCentre, Stage: stage}
 }
 
-// staying counts the engines that do not leave.
+// staying counts the engines that are not leaving.
 func staying(targets []*fleet.Target) int {
 	n := 0
 	for _, t := range targets {
@@ -55,20 +55,20 @@
 		share float64
 		want  map[string]fleet.Stage
 	}{
-		{"nothing known", &fleet.View{}, 0.5, nil},
-		{"as wanted", view(engine("1", "a", fleet.Prefill), engine("2", "a", fleet.Decode)), 0.5, nil},
+		{"no configuration", &fleet.View{}, 0.5, nil},
+		{"already as planned", view(engine("1", "a", fleet.Prefill), engine("2", "a", fleet.Decode)), 0.5, nil},
 		{"more prefill", view(engine("1", "a", fleet.Decode), engine("2", "a", fleet.Decode), engine("3", "a", fleet.Decode), engine("4", "a", fleet.Prefill)), 0.5,
 			map[string]fleet.Stage{"1": fleet.Prefill}},
 		{"fewer prefill", view(engine("1", "a", fleet.Prefill), engine("2", "a", fleet.Prefill), engine("3", "a", fleet.Prefill), engine("4", "a", fleet.Prefill)), 0.5,
 			map[string]fleet.Stage{"1": fleet.Decode, "2": fleet.Decode}},
-		{"one of each stays", view(engine("1", "a", fleet.Decode), engine("2", "a", fleet.Decode)), 0.99, map[string]fleet.Stage{"1": fleet.Prefill}},
-		{"two of each stay of four", view(engine("1", "a", fleet.Decode), engine("2", "a", fleet.Decode), engine("3", "a", fleet.Decode), engine("4", "a", fleet.Decode)), 0.99,
+		{"two engines keep one of each stage", view(engine("1", "a", fleet.Decode), engine("2", "a", fleet.Decode)), 0.99, map[string]fleet.Stage{"1": fleet.Prefill}},
+		{"four engines keep two of each stage", view(engine("1", "a", fleet.Decode), engine("2", "a", fleet.Decode), engine("3", "a", fleet.Decode), engine("4", "a", fleet.Decode)), 0.99,
 			map[string]fleet.Stage{"1": fleet.Prefill, "2": fleet.Prefill}},
-		{"and none is forced where there is one", view(engine("1", "a", fleet.Decode)), 0.99, nil},
-		{"each data centre by itself", view(engine("1", "a", fleet.Prefill), engine("2", "a", fleet.Prefill), engine("3", "b", fleet.Decode), engine("4", "b", fleet.Decode)), 0.5,
+		{"a single engine is not changed", view(engine("1", "a", fleet.Decode)), 0.99, nil},
+		{"each data centre is planned separately", view(engine("1", "a", fleet.Prefill), engine("2", "a", fleet.Prefill), engine("3", "b", fleet.Decode), engine("4", "b", fleet.Decode)), 0.5,
 			map[string]fleet.Stage{"1": fleet.Decode, "3": fleet.Prefill}},
-		{"those that leave do not count", view(leaving, engine("2", "a", fleet.Decode), engine("3", "a", fleet.Decode)), 0.5, map[string]fleet.Stage{"2": fleet.Prefill}},
-		{"plain services have none", view(&fleet.Target{ID: "1", Service: "plain"}, &fleet.Target{ID: "2", Service: "plain"}), 0.5, nil},
+		{"leaving engines do not count", view(leaving, engine("2", "a", fleet.Decode), engine("3", "a", fleet.Decode)), 0.5, map[string]fleet.Stage{"2": fleet.Prefill}},
+		{"plain services have no stages", view(&fleet.Target{ID: "1", Service: "plain"}, &fleet.Target{ID: "2", Service: "plain"}), 0.5, nil},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 	is.Equal(got, []string{"4", "2"})
 }
 
-func TestPlanDealsToDataCentres(t *testing.T) {
+func TestPlanSpreadsOverDataCentres(t *testing.T) {
 	is := is.New(t)
 	var targets []*fleet.Target
 	for _, dc := range []string{"a", "b", "c"} {
@@ -106,7 +106,7 @@
 		}
 	}
 	for want := 3; want <= 9; want++ {
-		// Two of each stage stay in a data centre of four.
+		// A data centre with four engines keeps two of each stage.
 		is.Equal(len(stages.Plan(targets, want, func(string) int { return 0 })), 6)
 	}
 	var small []*fleet.Target
@@ -120,20 +120,20 @@
 	}
 }
 
-// engines carry out orders and note who gave them.
+// engines is a fake Engines that carries out orders and records them.
 type engines struct {
-	mu     sync.Mutex
-	keeper []*fleet.Keeper
-	orders []given
-	// silent orders are carried out, unanswered.
-	silent bool
-	// refuse refuses all orders.
+	mu      sync.Mutex
+	keepers []*fleet.Keeper
+	orders  []sentOrder
+	// unanswered makes Order carry out orders and return ErrUnknown.
+	unanswered bool
+	// refuse makes Order refuse all orders.
 	refuse bool
-	// beforeOrder is called before an order's last check.
+	// beforeOrder, if set, is called before Order checks the lease.
 	beforeOrder func()
 }
 
-type given struct {
+type sentOrder struct {
 	engine string
 	order  stages.Order
 	at     time.Time
@@ -145,11 +145,11 @@
 	return stages.Report{Sequence: uint64(len(e.orders))}, nil
 }
 
-func (e *engines) Order(_ context.Context, t *fleet.Target, o stages.Order, still func() bool) error {
+func (e *engines) Order(_ context.Context, t *fleet.Target, o stages.Order, stillHeld func() bool) error {
 	if e.beforeOrder != nil {
 		e.beforeOrder()
 	}
-	if !still() {
+	if !stillHeld() {
 		return stages.ErrWithheld
 	}
 	e.mu.Lock()
@@ -157,22 +157,22 @@
 	if e.refuse {
 		return stages.ErrRefused
 	}
-	e.orders = append(e.orders, given{t.ID, o, time.Now()})
+	e.orders = append(e.orders, sentOrder{t.ID, o, time.Now()})
 	changed := *t
 	changed.Stage = o.Stage
-	for _, k := range e.keeper {
+	for _, k := range e.keepers {
 		k.ApplyTargets([]fleet.TargetChange{{ID: t.ID, Target: &changed}}, 0)
 	}
-	if e.silent {
+	if e.unanswered {
 		return stages.ErrUnknown
 	}
 	return nil
 }
 
-func (e *engines) given() []given {
+func (e *engines) sent() []sentOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]given(nil), e.orders...)
+	return append([]sentOrder(nil), e.orders...)
 }
 
 func newKeeper() *fleet.Keeper {
@@ -217,56 +217,56 @@
 	t.Fatal(what)
 }
 
-func TestOneOfManyOrders(t *testing.T) {
+func TestOnlyOneVMSendsOrders(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	e := &engines{}
 	for _, vm := range []string{"a", "b", "c"} {
 		k := newKeeper()
-		e.keeper = append(e.keeper, k)
+		e.keepers = append(e.keepers, k)
 		start(t, newController(vm, k, table, e, bootClock))
 	}
-	eventually(t, "the engines are ordered", func() bool { return len(e.given()) == 2 })
+	eventually(t, "two engines are ordered to change", func() bool { return len(e.sent()) == 2 })
 	time.Sleep(time.Second)
-	orders := e.given()
+	orders := e.sent()
 	is.Equal(len(orders), 2)
 	is.Equal(orders[0].order.Holder, orders[1].order.Holder)
 	is.Equal(orders[0].order.Fence, orders[1].order.Fence)
 	is.Equal(orders[1].order.Sequence, uint64(1))
 }
 
-// A VM that is no candidate asks the store for nothing and orders nothing, until
-// it is one.
+// A VM that is not a candidate writes nothing to the store and sends no orders until it becomes
+// one.
 func TestOnlyCandidatesContend(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	k := newKeeper()
-	e := &engines{keeper: []*fleet.Keeper{k}}
+	e := &engines{keepers: []*fleet.Keeper{k}}
 	var candidate atomic.Bool
 	c := newController("a", k, table, e, bootClock)
 	c.SetCandidate(candidate.Load)
 	start(t, c)
-	time.Sleep(6 * time.Second) // longer than any candidate waits
-	is.Equal(len(e.given()), 0)
+	time.Sleep(6 * time.Second) // longer than the longest contendDelay
+	is.Equal(len(e.sent()), 0)
 	records, err := table.List(context.Background(), "")
 	is.NoErr(err)
 	is.Equal(len(records), 0)
 	candidate.Store(true)
-	eventually(t, "the engines are ordered", func() bool { return len(e.given()) == 2 })
+	eventually(t, "two engines are ordered to change", func() bool { return len(e.sent()) == 2 })
 }
 
-// narrow is a store that takes no transaction of more than 100 entries.
-type narrow struct{ store.Table }
+// limitedTable is a store that rejects transactions of more than 100 entries.
+type limitedTable struct{ store.Table }
 
-func (n narrow) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
+func (l limitedTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	if len(txn.Conds)+len(txn.Puts)+len(txn.Deletes) > 100 {
 		return 0, store.ErrUnavailable
 	}
-	return n.Table.Commit(ctx, txn)
+	return l.Table.Commit(ctx, txn)
 }
 
-func TestManyChangesAreJournalledInParts(t *testing.T) {
-	table := narrow{store.NewMemory()}
+func TestManyChangesAreSplitIntoTransactions(t *testing.T) {
+	table := limitedTable{store.NewMemory()}
 	k := fleet.NewKeeper()
 	k.SetConfig(view().Config)
 	var changes []fleet.TargetChange
@@ -276,18 +276,18 @@
 		changes = append(changes, fleet.TargetChange{ID: id, Target: engine(id, "a", fleet.Prefill)})
 	}
 	k.ApplyTargets(changes, 1)
-	e := &engines{keeper: []*fleet.Keeper{k}}
+	e := &engines{keepers: []*fleet.Keeper{k}}
 	start(t, stages.New(stages.Config{VM: "a", Share: 0.5, Gap: gap}, k, table, e, bootClock, 1, telemetry.Discard()))
-	eventually(t, "half of the engines are ordered", func() bool { return len(e.given()) == count/2 })
+	eventually(t, "half of the engines are ordered to change", func() bool { return len(e.sent()) == count/2 })
 	eventually(t, "the journal is empty", func() bool {
 		rows, err := table.List(context.Background(), stages.KeyPrefix)
 		return err == nil && len(rows) == 0
 	})
 }
 
-// Decoding keeps the engines that its runs fill, though the share would have them
-// prefill, also while the mix swings away for a moment.
-func TestDecodingKeepsWhatItNeeds(t *testing.T) {
+// Engines that running requests fill keep decoding, though the configured share asks for more
+// prefill engines, and also while the demand drops for a moment.
+func TestDecodeDemandLimitsPrefillEngines(t *testing.T) {
 	is := is.New(t)
 	k := fleet.NewKeeper()
 	k.SetConfig(view().Config)
@@ -297,38 +297,38 @@
 		changes = append(changes, fleet.TargetChange{ID: id, Target: engine(id, "a", fleet.Decode)})
 	}
 	k.ApplyTargets(changes, 1)
-	e := &engines{keeper: []*fleet.Keeper{k}}
+	e := &engines{keepers: []*fleet.Keeper{k}}
 	c := stages.New(stages.Config{VM: "a", Share: 0.8, Gap: gap}, k, store.NewMemory(), e, bootClock, 1, telemetry.Discard())
 	var asked atomic.Int64
 	c.SetDemand(func([]*fleet.Target) float64 {
 		if asked.Add(1) > 3 {
 			return 0
 		}
-		return 4.7 // seven engines at 0.7 of what they can run
+		return 4.7 // seven engines at decodeUtilization
 	})
 	start(t, c)
-	eventually(t, "the rest prefills", func() bool { return len(e.given()) == 5 })
+	eventually(t, "the remaining five engines are ordered to prefill", func() bool { return len(e.sent()) == 5 })
 	time.Sleep(time.Second)
-	is.Equal(len(e.given()), 5)
+	is.Equal(len(e.sent()), 5)
 }
 
-func TestNoStoreNoOrders(t *testing.T) {
+func TestNoOrdersWithoutStore(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	table.SetFault(store.FaultDown)
 	e := &engines{}
 	k := newKeeper()
-	e.keeper = []*fleet.Keeper{k}
+	e.keepers = []*fleet.Keeper{k}
 	start(t, newController("a", k, table, e, bootClock))
 	time.Sleep(6 * time.Second)
-	is.Equal(len(e.given()), 0)
+	is.Equal(len(e.sent()), 0)
 	table.SetFault(store.FaultNone)
-	eventually(t, "orders once the store is back", func() bool { return len(e.given()) == 2 })
+	eventually(t, "two engines are ordered once the store is back", func() bool { return len(e.sent()) == 2 })
 }
 
-// A holder that stands still between its checks and the order, past its lease,
-// sends nothing when it goes on.
-func TestFrozenHolderWithholdsItsOrder(t *testing.T) {
+// A holder that is frozen between its own checks and the order until its lease has lapsed sends
+// nothing when it resumes.
+func TestFrozenHolderSendsNoOrder(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	offset := time.Duration(0)
@@ -349,77 +349,77 @@
 		})
 	}
 	k := newKeeper()
-	e.keeper = []*fleet.Keeper{k}
+	e.keepers = []*fleet.Keeper{k}
 	start(t, newController("a", k, store.NewMemory(), e, jumping))
 	<-frozen
 	time.Sleep(100 * time.Millisecond)
-	is.Equal(len(e.given()), 0)
+	is.Equal(len(e.sent()), 0)
 }
 
-// A successor waits until the holder before can have ordered nothing for the
-// gap, and leaves alone what the journal says is under way.
+// A new holder sends no order until the gap after the previous tenure has passed, and none to
+// engines that have an open order in the journal.
 func TestSuccessorWaitsAndAdoptsTheJournal(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	ctx := context.Background()
-	before := lease.New(lease.Config{DataCentre: "all", Service: "stages", Holder: "z", Incarnation: 9, TTL: time.Second}, table, bootClock)
-	is.NoErr(before.Step(ctx, true))
+	previous := lease.New(lease.Config{DataCentre: "all", Service: "stages", Holder: "z", Incarnation: 9, TTL: time.Second}, table, bootClock)
+	is.NoErr(previous.Step(ctx, true))
 	value, err := json.Marshal(map[string]any{"holder": "z", "fence": 1, "stage": "prefill"})
 	is.NoErr(err)
 	_, err = table.Commit(ctx, store.Txn{Puts: []store.Put{{Key: "order/1", Value: value}}})
 	is.NoErr(err)
-	is.NoErr(before.Release(ctx))
+	is.NoErr(previous.Release(ctx))
 	released := time.Now()
 	e := &engines{}
 	k := newKeeper()
-	e.keeper = []*fleet.Keeper{k}
+	e.keepers = []*fleet.Keeper{k}
 	start(t, newController("a", k, table, e, bootClock))
-	eventually(t, "the successor orders", func() bool { return len(e.given()) > 0 })
-	for _, g := range e.given() {
-		is.True(g.engine != "1") // its order may still be carried out
+	eventually(t, "the new holder sends an order", func() bool { return len(e.sent()) > 0 })
+	for _, g := range e.sent() {
+		is.True(g.engine != "1") // the open order may still be carried out
 		is.True(g.at.Sub(released) > gap)
 		is.True(g.order.Fence > 1)
 	}
 }
 
-// An order without an answer stays open: no second one is given meanwhile.
+// An order without an answer stays open, and no second order is sent in the meantime.
 func TestUnansweredOrderIsNotRepeated(t *testing.T) {
 	is := is.New(t)
-	e := &engines{silent: true}
-	k := newKeeper() // not told of the change: the engine may change later
+	e := &engines{unanswered: true}
+	k := newKeeper() // does not learn of the change: the engine may change later
 	c := newController("a", k, store.NewMemory(), e, bootClock)
 	start(t, c)
-	eventually(t, "orders", func() bool { return len(e.given()) == 2 })
+	eventually(t, "two engines are ordered", func() bool { return len(e.sent()) == 2 })
 	time.Sleep(2 * time.Second)
-	is.Equal(len(e.given()), 2)
+	is.Equal(len(e.sent()), 2)
 	is.Equal(len(c.Open()), 2)
 	is.True(c.Changing(engine("1", "a", fleet.Decode)))
 	is.True(!c.Changing(engine("1", "a", fleet.Prefill)))
 }
 
-// An engine that starts again under its id has forgotten its orders: what stood open for
-// the run before holds it up no longer, and it is ordered anew.
-func TestEngineBornAgainIsOrderedAnew(t *testing.T) {
+// An engine that restarts under the same id has lost its orders: an order that was open for the
+// previous run no longer blocks it, and it is ordered again.
+func TestRestartedEngineIsOrderedAgain(t *testing.T) {
 	is := is.New(t)
-	e := &engines{silent: true}
-	k := newKeeper() // not told of the change
+	e := &engines{unanswered: true}
+	k := newKeeper() // does not learn of the change
 	c := newController("a", k, store.NewMemory(), e, bootClock)
 	start(t, c)
-	eventually(t, "orders", func() bool { return len(e.given()) == 2 })
-	again := engine(e.given()[0].engine, "a", fleet.Decode)
-	again.Born, again.Run = 1000, fleet.RunID(again.ID, 1000)
-	is.True(c.Changing(engine(again.ID, "a", fleet.Decode)))
-	k.ApplyTargets([]fleet.TargetChange{{ID: again.ID, Target: again}}, 2)
-	eventually(t, "it is ordered anew", func() bool { return len(e.given()) == 3 })
-	is.Equal(e.given()[2].engine, again.ID)
+	eventually(t, "two engines are ordered", func() bool { return len(e.sent()) == 2 })
+	restarted := engine(e.sent()[0].engine, "a", fleet.Decode)
+	restarted.Born, restarted.Run = 1000, fleet.RunID(restarted.ID, 1000)
+	is.True(c.Changing(engine(restarted.ID, "a", fleet.Decode)))
+	k.ApplyTargets([]fleet.TargetChange{{ID: restarted.ID, Target: restarted}}, 2)
+	eventually(t, "the restarted engine is ordered again", func() bool { return len(e.sent()) == 3 })
+	is.Equal(e.sent()[2].engine, restarted.ID)
 }
 
-// Placement asks whether an engine changes while it holds its own lock, and is asked by the
-// controller how many engines decode: neither may wait for the other.
+// Guards against a deadlock: the placer calls Changing while it holds its own lock, and the
+// controller asks the placer for the decode demand, so the controller must not hold its lock.
 func TestControllerHoldsNoLockWhileItAsksForDemand(t *testing.T) {
 	k := newKeeper()
-	c := newController("a", k, store.NewMemory(), &engines{keeper: []*fleet.Keeper{k}}, bootClock)
-	var asked, stuck atomic.Bool
+	c := newController("a", k, store.NewMemory(), &engines{keepers: []*fleet.Keeper{k}}, bootClock)
+	var asked, blocked atomic.Bool
 	c.SetDemand(func([]*fleet.Target) float64 {
 		answered := make(chan struct{})
 		go func() {
@@ -429,12 +429,12 @@
 		select {
 		case <-answered:
 		case <-time.After(time.Second):
-			stuck.Store(true)
+			blocked.Store(true)
 		}
 		asked.Store(true)
 		return 0
 	})
 	start(t, c)
-	eventually(t, "the demand is asked for", asked.Load)
-	is.New(t).True(!stuck.Load())
+	eventually(t, "the controller asks for the demand", asked.Load)
+	is.New(t).True(!blocked.Load())
 }
