--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -17,29 +17,31 @@
 )
 
 const (
-	// tick is the time between looks at the plan.
-	tick = 250 * time.Millisecond
-	// callTimeout bounds a call.
+	// stepInterval is the time between two evaluations of the plan.
+	stepInterval = 250 * time.Millisecond
+	// callTimeout bounds one call to the store or to the platform.
 	callTimeout = 700 * time.Millisecond
-	// againAfter is how long after an order that was refused, or whose outcome is unknown, it
-	// is given again.
-	againAfter = 1500 * time.Millisecond
-	// bootSlack is how much longer than their boot engines that were ordered may take before
-	// they are ordered again: some may have crashed, or been reclaimed as they came.
-	bootSlack = 4 * time.Second
-	// dryFor is how long a data centre counts as having no reclaimable engines after it had
-	// none, or lost those that it had.
-	dryFor = 4 * time.Second
-	// settleFor is how long the list of engines must not have grown before the first plan: they
-	// enter it one by one, with their heartbeats.
-	settleFor = 2 * time.Second
-	// idleAfter is how long no engine must have had work for a service to count as idle.
-	idleAfter = 10 * time.Second
-	// KeyPrefix is where orders are journalled in the store.
+	// retryDelay is the time after which an order that was refused, or whose outcome is unknown,
+	// is sent again.
+	retryDelay = 1500 * time.Millisecond
+	// bootMargin is how much longer than their boot time ordered engines may take before they are
+	// ordered again: some may have crashed, or been reclaimed while they booted.
+	bootMargin = 4 * time.Second
+	// spotUnavailableFor is how long a data centre counts as having no spot engines after an
+	// order for some was refused, or after it lost those that it had.
+	spotUnavailableFor = 4 * time.Second
+	// listSettleTime is how long the list of engines must not have grown before the first plan:
+	// engines enter it one by one, with their heartbeats.
+	listSettleTime = 2 * time.Second
+	// idleTimeout is how long all engines of a service must have had no work for it to count as
+	// idle.
+	idleTimeout = 10 * time.Second
+	// KeyPrefix is the prefix of the store keys under which orders are journalled.
 	KeyPrefix = "scaling/"
 )
 
-// Order is an order for engines.
+// Order sets the number of engines of one kind, spot or on-demand, that a service should have in
+// a data centre.
 type Order struct {
 	Service    string
 	DataCentre string
@@ -47,56 +49,59 @@
 	Spot       bool
 }
 
-// Platform takes orders.
+// Platform carries out orders.
 type Platform interface {
-	// Scale orders engines. It fails with an error of package duty; ErrRefused says that none
-	// are to be had at the moment.
+	// Scale sends one order. It fails with an error of package duty; duty.ErrRefused says that no
+	// such engines are available at the moment.
 	Scale(ctx context.Context, c duty.Call, o Order) error
 }
 
-// Holder says when this VM may order.
+// Holder says whether this VM may send orders, and identifies it in calls. duty.Holder implements
+// it.
 type Holder interface {
 	Held() (duty.Tenure, bool)
 	Call(t duty.Tenure) duty.Call
 }
 
-// Config is the settings of a Controller.
+// Config holds the settings of a Controller.
 type Config struct {
-	// Busy reports whether targets of a service have work in hand, of any VM.
+	// Busy reports whether targets of a service are working on requests of any VM.
 	Busy func(service string) bool
 }
 
-// subject is a service in a data centre, with a kind of engine.
-type subject struct {
+// pool identifies the engines of one kind, spot or on-demand, of a service in a data centre.
+type pool struct {
 	Service    string
 	DataCentre string
 	Spot       bool
 }
 
-func (s subject) key() string {
+// key returns the key of the pool's row in the journal.
+func (p pool) key() string {
 	kind := "full"
-	if s.Spot {
+	if p.Spot {
 		kind = "spot"
 	}
-	return KeyPrefix + s.Service + "/" + s.DataCentre + "/" + kind
+	return KeyPrefix + p.Service + "/" + p.DataCentre + "/" + kind
 }
 
-// ordered is the last order of a subject.
-type ordered struct {
+// lastOrder is the last order for a pool.
+type lastOrder struct {
 	count int
-	// at is when it was given last, and again when it may be given again though it is the
-	// same; zero is never.
-	at    time.Time
-	again time.Time
+	// sentAt is when the order was last sent. retryAt is when the same order may be sent again;
+	// zero is no retry.
+	sentAt  time.Time
+	retryAt time.Time
 }
 
-// row is the value of a subject's row in the journal.
-type row struct {
+// orderRow is the JSON value of a pool's row in the journal.
+type orderRow struct {
 	Count int    `json:"count"`
 	Fence uint64 `json:"fence"`
 }
 
-// needRow is how many engines of a service stood there before the first order.
+// needRow is the JSON value of the row that holds how many engines a service had before the first
+// order.
 type needRow struct {
 	Engines int `json:"engines"`
 }
@@ -111,54 +116,58 @@
 	holder   Holder
 	log      *telemetry.Logger
 
-	// Only the own goroutine uses what follows. fence is the tenure that the journal was read
-	// in; 0 is not read.
-	fence  uint64
-	orders map[subject]*ordered
-	// needs is how many engines serve a service's load at its worst.
+	// The fields below are used only by the goroutine of step.
+	//
+	// journalFence is the fencing number of the tenure in which the journal was read; 0 if it has
+	// not been read.
+	journalFence uint64
+	lastOrders   map[pool]*lastOrder
+	// needs holds how many engines each service needs at peak load.
 	needs map[string]int
-	// dryUntil is how long a data centre counts as dry, and spots its reclaimable engines when
-	// last looked.
-	dryUntil map[subject]time.Time
-	spots    map[subject]int
-	// listed is how many engines of a service were listed at most before the first plan, and
-	// grewAt when they became as many. busyAt is when they were last seen to have work.
-	listed map[string]int
-	grewAt map[string]time.Time
-	busyAt map[string]time.Time
+	// spotUnavailableUntil is the time until which a pool counts as having no spot engines, and
+	// spotCounts the number of its spot engines in the last step.
+	spotUnavailableUntil map[pool]time.Time
+	spotCounts           map[pool]int
+	// maxListed is the highest number of listed engines of a service, and listGrewAt when that
+	// number was reached. lastBusyAt is when the service was last seen to have work.
+	maxListed  map[string]int
+	listGrewAt map[string]time.Time
+	lastBusyAt map[string]time.Time
 }
 
 // New returns a controller that does nothing before Start.
-func New(cfg Config, keeper *fleet.Keeper, table store.Table, p Platform, h Holder, log *telemetry.Logger) *Controller {
+func New(cfg Config, keeper *fleet.Keeper, table store.Table, platform Platform, holder Holder, log *telemetry.Logger) *Controller {
 	return &Controller{
-		cfg: cfg, keeper: keeper, table: table, platform: p, holder: h, log: log,
-		dryUntil: make(map[subject]time.Time), spots: make(map[subject]int), listed: make(map[string]int), grewAt: make(map[string]time.Time), busyAt: make(map[string]time.Time),
+		cfg: cfg, keeper: keeper, table: table, platform: platform, holder: holder, log: log,
+		spotUnavailableUntil: make(map[pool]time.Time), spotCounts: make(map[pool]int), maxListed: make(map[string]int), listGrewAt: make(map[string]time.Time), lastBusyAt: make(map[string]time.Time),
 	}
 }
 
-// Start begins to plan.
+// Start begins to evaluate the plan at regular intervals.
 func (c *Controller) Start(context.Context) error {
-	c.Run(func(ctx context.Context) { kernel.Every(ctx, tick, c.step) })
+	c.Run(func(ctx context.Context) { kernel.Every(ctx, stepInterval, c.step) })
 	return nil
 }
 
+// step evaluates the plan of every scaled service once, if this VM holds the duty.
 func (c *Controller) step(ctx context.Context) {
 	t, held := c.holder.Held()
 	if !held {
-		c.fence = 0
+		c.journalFence = 0
 		return
 	}
 	v := c.keeper.View()
-	if v.Config == nil || (c.fence != t.Fence && !c.load(ctx, t)) {
+	if v.Config == nil || (c.journalFence != t.Fence && !c.loadJournal(ctx, t)) {
 		return
 	}
-	for _, name := range scaled(v.Config) {
+	for _, name := range scaledServices(v.Config) {
 		c.stepService(ctx, t, v, name)
 	}
 }
 
-// scaled returns the services whose engines are ordered.
-func scaled(cfg *fleet.Config) []string {
+// scaledServices returns the names of the services whose number of engines is ours to choose, in
+// order.
+func scaledServices(cfg *fleet.Config) []string {
 	var names []string
 	for name, s := range cfg.Services {
 		if s.Scaling != nil {
@@ -169,125 +178,126 @@
 	return names
 }
 
-// stepService gives the orders that the plan of one service holds.
+// stepService plans one service, journals the orders that are due and sends them.
 func (c *Controller) stepService(ctx context.Context, t duty.Tenure, v *fleet.View, name string) {
 	now := clock.Now()
-	centres := c.centres(v, name, now)
+	dataCentres := c.dataCentres(v, name, now)
 	present := 0
-	for _, ce := range centres {
-		present += ce.Full + ce.Spot
+	for _, dc := range dataCentres {
+		present += dc.OnDemand + dc.Spot
 	}
-	if present > c.listed[name] {
-		c.listed[name], c.grewAt[name] = present, now
+	if present > c.maxListed[name] {
+		c.maxListed[name], c.listGrewAt[name] = present, now
 	}
 	if c.cfg.Busy(name) {
-		c.busyAt[name] = now
+		c.lastBusyAt[name] = now
 	}
 	s := v.Config.Services[name].Scaling
 	need, known := c.needs[name]
 	if !known {
-		need = c.listed[name]
+		need = c.maxListed[name]
 	}
-	if !known && (need == 0 || now.Sub(c.grewAt[name]) < settleFor) {
+	if !known && (need == 0 || now.Sub(c.listGrewAt[name]) < listSettleTime) {
 		return
 	}
-	wanted := Plan(Input{
-		Need: need, Least: s.Min, Most: s.Max, SpotPrice: s.SpotPrice, Idle: now.Sub(c.busyAt[name]) > idleAfter, Centres: centres,
+	planned := Plan(PlanInput{
+		Need: need, Min: s.Min, Max: s.Max, SpotPrice: s.SpotPrice, Idle: now.Sub(c.lastBusyAt[name]) > idleTimeout, DataCentres: dataCentres,
 	})
-	due := c.due(name, centres, wanted, s.Boot, now)
-	if len(due) == 0 || !c.journal(ctx, t, name, need, due) {
+	due := c.dueOrders(name, dataCentres, planned, s.Boot, now)
+	if len(due) == 0 || !c.writeJournal(ctx, t, name, need, due) {
 		return
 	}
 	for _, o := range due {
-		if !c.give(ctx, t, o) {
+		if !c.sendOrder(ctx, t, o) {
 			return
 		}
 	}
 }
 
-// centres returns the engines of a service by data centre. A data centre whose reclaimable
-// engines have gone counts as dry for a while.
-func (c *Controller) centres(v *fleet.View, name string, now time.Time) []Centre {
-	byName := make(map[string]*Centre)
+// dataCentres returns the engines of a service by data centre. A data centre that has lost all
+// its spot engines counts as having none available for spotUnavailableFor.
+func (c *Controller) dataCentres(v *fleet.View, name string, now time.Time) []DataCentre {
+	byName := make(map[string]*DataCentre)
 	for dataCentre := range v.Config.Services[name].Scaling.Prices {
-		byName[dataCentre] = &Centre{Name: dataCentre}
+		byName[dataCentre] = &DataCentre{Name: dataCentre}
 	}
 	for _, t := range v.Targets[name] {
-		ce := byName[t.DataCentre]
+		dc := byName[t.DataCentre]
 		switch {
-		case ce == nil || t.Leaving:
+		case dc == nil || t.Leaving:
 		case t.Spot:
-			ce.Spot++
+			dc.Spot++
 		default:
-			ce.Full++
+			dc.OnDemand++
 		}
 	}
-	out := make([]Centre, 0, len(byName))
-	for _, ce := range byName {
-		s := subject{name, ce.Name, true}
-		if ce.Spot == 0 && c.spots[s] > 0 {
-			c.dryUntil[s] = now.Add(dryFor)
+	out := make([]DataCentre, 0, len(byName))
+	for _, dc := range byName {
+		p := pool{name, dc.Name, true}
+		if dc.Spot == 0 && c.spotCounts[p] > 0 {
+			c.spotUnavailableUntil[p] = now.Add(spotUnavailableFor)
 		}
-		c.spots[s] = ce.Spot
-		ce.Dry = now.Before(c.dryUntil[s])
-		out = append(out, *ce)
+		c.spotCounts[p] = dc.Spot
+		dc.SpotUnavailable = now.Before(c.spotUnavailableUntil[p])
+		out = append(out, *dc)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
 }
 
-// due returns the orders to be given: those that differ from the last ones, and those that have
-// not brought what they asked for. Reclaimable engines are ordered before others are given
-// back.
-func (c *Controller) due(name string, centres []Centre, wanted map[string]Wanted, boot time.Duration, now time.Time) []Order {
-	var spot, full []Order
-	for _, ce := range centres {
-		w := wanted[ce.Name]
-		if c.isDue(subject{name, ce.Name, true}, w.Spot, ce.Spot, boot, now) {
-			spot = append(spot, Order{Service: name, DataCentre: ce.Name, Count: w.Spot, Spot: true})
+// dueOrders returns the orders to send: those that differ from the last ones, and those that have
+// not brought the engines they asked for. Spot engines are ordered before on-demand engines are
+// given back.
+func (c *Controller) dueOrders(name string, dataCentres []DataCentre, planned map[string]Counts, boot time.Duration, now time.Time) []Order {
+	var spot, onDemand []Order
+	for _, dc := range dataCentres {
+		counts := planned[dc.Name]
+		if c.isDue(pool{name, dc.Name, true}, counts.Spot, dc.Spot, boot, now) {
+			spot = append(spot, Order{Service: name, DataCentre: dc.Name, Count: counts.Spot, Spot: true})
 		}
-		if c.isDue(subject{name, ce.Name, false}, w.Full, ce.Full, boot, now) {
-			full = append(full, Order{Service: name, DataCentre: ce.Name, Count: w.Full})
+		if c.isDue(pool{name, dc.Name, false}, counts.OnDemand, dc.OnDemand, boot, now) {
+			onDemand = append(onDemand, Order{Service: name, DataCentre: dc.Name, Count: counts.OnDemand})
 		}
 	}
-	return append(spot, full...)
+	return append(spot, onDemand...)
 }
 
-// isDue reports whether a subject's order is to be given, of which have engines are there.
-func (c *Controller) isDue(s subject, want, have int, boot time.Duration, now time.Time) bool {
-	last := c.orders[s]
+// isDue reports whether an order for want engines of a pool is due, when have engines are
+// present.
+func (c *Controller) isDue(p pool, want, have int, boot time.Duration, now time.Time) bool {
+	last := c.lastOrders[p]
 	switch {
 	case last == nil:
 		return want != have
-	case want < last.count && have < last.count && now.Before(last.at.Add(boot+bootSlack)):
-		// Those that were ordered are still to come: what asked for them may pass and return.
+	case want < last.count && have < last.count && now.Before(last.sentAt.Add(boot+bootMargin)):
+		// Ordered engines are still booting: the reason for ordering them may pass and return.
 		return false
 	case want != last.count:
-		return now.After(last.again)
+		return now.After(last.retryAt)
 	case want == have:
 		return false
 	}
-	again := last.again
+	again := last.retryAt
 	if again.IsZero() {
-		again = last.at.Add(boot + bootSlack)
+		again = last.sentAt.Add(boot + bootMargin)
 	}
 	return now.After(again)
 }
 
-// give gives an order, and reports whether further ones may be given.
-func (c *Controller) give(ctx context.Context, t duty.Tenure, o Order) bool {
+// sendOrder sends one order and reports whether further orders may be sent.
+func (c *Controller) sendOrder(ctx context.Context, t duty.Tenure, o Order) bool {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := c.platform.Scale(call, c.holder.Call(t), o)
 	now := clock.Now()
-	s := subject{o.Service, o.DataCentre, o.Spot}
-	last := &ordered{count: o.Count, at: now}
+	p := pool{o.Service, o.DataCentre, o.Spot}
+	last := &lastOrder{count: o.Count, sentAt: now}
 	if err != nil {
-		last.again = now.Add(againAfter)
+		last.retryAt = now.Add(retryDelay)
 	}
-	c.orders[s] = last
+	c.lastOrders[p] = last
 	if errors.Is(err, duty.ErrRefused) && o.Spot {
-		c.dryUntil[s] = now.Add(dryFor)
+		c.spotUnavailableUntil[p] = now.Add(spotUnavailableFor)
 	}
 	fields := []telemetry.Field{
 		telemetry.F("service", o.Service), telemetry.F("data_centre", o.DataCentre), telemetry.F("count", o.Count),
@@ -301,8 +311,8 @@
 	return true
 }
 
-// load reads the journal.
-func (c *Controller) load(ctx context.Context, t duty.Tenure) bool {
+// loadJournal reads the journal at the start of a tenure and reports whether it succeeded.
+func (c *Controller) loadJournal(ctx context.Context, t duty.Tenure) bool {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	records, err := c.table.List(call, KeyPrefix)
@@ -314,28 +324,29 @@
 	for _, r := range records {
 		byKey[r.Key] = r
 	}
-	c.orders, c.needs = make(map[subject]*ordered), make(map[string]int)
+	c.lastOrders, c.needs = make(map[pool]*lastOrder), make(map[string]int)
 	cfg := c.keeper.View().Config
-	for _, name := range scaled(cfg) {
-		if n, ok := decode[needRow](c, byKey, needKey(name)); ok {
+	for _, name := range scaledServices(cfg) {
+		if n, ok := decodeRow[needRow](c, byKey, needKey(name)); ok {
 			c.needs[name] = n.Engines
 		}
 		for dataCentre := range cfg.Services[name].Scaling.Prices {
 			for _, spot := range []bool{true, false} {
-				s := subject{name, dataCentre, spot}
-				if r, ok := decode[row](c, byKey, s.key()); ok {
-					// Whether the holder before gave it is not known.
-					c.orders[s] = &ordered{count: r.Count, at: clock.Now(), again: clock.Now()}
+				p := pool{name, dataCentre, spot}
+				if r, ok := decodeRow[orderRow](c, byKey, p.key()); ok {
+					// It is not known whether the previous holder sent this order.
+					c.lastOrders[p] = &lastOrder{count: r.Count, sentAt: clock.Now(), retryAt: clock.Now()}
 				}
 			}
 		}
 	}
-	c.fence = t.Fence
+	c.journalFence = t.Fence
 	return true
 }
 
-// decode decodes a row of the journal.
-func decode[T any](c *Controller, rows map[string]store.Record, key string) (T, bool) {
+// decodeRow decodes the journal row with the given key. It returns false if the row does not
+// exist or is malformed; the latter is logged.
+func decodeRow[T any](c *Controller, rows map[string]store.Record, key string) (T, bool) {
 	var v T
 	r, ok := rows[key]
 	if !ok {
@@ -348,16 +359,18 @@
 	return v, true
 }
 
+// needKey returns the key of a service's needRow.
 func needKey(service string) string { return KeyPrefix + service + "/need" }
 
-// journal writes orders down before they are given, within the tenure.
-func (c *Controller) journal(ctx context.Context, t duty.Tenure, name string, need int, due []Order) bool {
+// writeJournal writes orders to the journal before they are sent, on the condition that the
+// tenure has not ended. It reports whether it succeeded.
+func (c *Controller) writeJournal(ctx context.Context, t duty.Tenure, name string, need int, due []Order) bool {
 	txn := store.Txn{Conds: []store.Cond{t.Condition}}
 	put := func(key string, v any) {
 		value, err := json.Marshal(v)
 		if err != nil {
-			// Only numbers are encoded.
-			panic("scaling: encode row: " + err.Error())
+			// Integers always encode.
+			panic("scaling: encode journal row: " + err.Error())
 		}
 		txn.Puts = append(txn.Puts, store.Put{Key: key, Value: value})
 	}
@@ -365,9 +378,9 @@
 		put(needKey(name), needRow{need})
 	}
 	for _, o := range due {
-		s := subject{o.Service, o.DataCentre, o.Spot}
-		if last := c.orders[s]; last == nil || last.count != o.Count {
-			put(s.key(), row{Count: o.Count, Fence: t.Fence})
+		p := pool{o.Service, o.DataCentre, o.Spot}
+		if last := c.lastOrders[p]; last == nil || last.count != o.Count {
+			put(p.key(), orderRow{Count: o.Count, Fence: t.Fence})
 		}
 	}
 	if len(txn.Puts) == 0 {
@@ -377,7 +390,7 @@
 	defer cancel()
 	if _, err := c.table.Commit(call, txn); err != nil {
 		c.log.Warn(telemetry.EventScaling, telemetry.F("journal", "write"), telemetry.F("cause", err))
-		c.fence = 0
+		c.journalFence = 0
 		return false
 	}
 	c.needs[name] = need
--- a/internal/scaling/controller_test.go
+++ b/internal/scaling/controller_test.go
@@ -17,7 +17,7 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// holder holds the duties while fence is not 0.
+// holder is a fake Holder that holds the duty while fence is not 0.
 type holder struct{ fence uint64 }
 
 func (h *holder) Held() (duty.Tenure, bool) {
@@ -26,25 +26,26 @@
 
 func (h *holder) Call(t duty.Tenure) duty.Call { return duty.Call{Holder: "vm", Fence: t.Fence} }
 
-// cloud carries orders out at once, but where it has none of a kind, and it may not answer.
-type cloud struct {
+// fakePlatform carries out orders at once. It refuses orders for spot engines while noSpot is
+// set, and returns err for the others although it has carried them out.
+type fakePlatform struct {
 	keeper *fleet.Keeper
-	given  []Order
-	dry    bool
+	orders []Order
+	noSpot bool
 	err    error
 }
 
-func (c *cloud) Scale(_ context.Context, _ duty.Call, o Order) error {
-	c.given = append(c.given, o)
-	if c.dry && o.Spot {
+func (p *fakePlatform) Scale(_ context.Context, _ duty.Call, o Order) error {
+	p.orders = append(p.orders, o)
+	if p.noSpot && o.Spot {
 		return duty.ErrRefused
 	}
-	c.set(o.DataCentre, o.Spot, o.Count)
-	return c.err
+	p.set(o.DataCentre, o.Spot, o.Count)
+	return p.err
 }
 
-// set lists n engines of a kind in a data centre.
-func (c *cloud) set(dataCentre string, spot bool, n int) {
+// set makes the target list hold n engines of one kind in a data centre.
+func (p *fakePlatform) set(dataCentre string, spot bool, n int) {
 	var changes []fleet.TargetChange
 	for i := range 40 {
 		id := fmt.Sprintf("%s-%t-%d", dataCentre, spot, i)
@@ -54,42 +55,42 @@
 		}
 		changes = append(changes, change)
 	}
-	c.keeper.ApplyTargets(changes, 1)
+	p.keeper.ApplyTargets(changes, 1)
 }
 
-// scene is a controller before a platform with two data centres of ten engines.
-type scene struct {
+// fixture is a controller whose platform has two data centres with ten on-demand engines each.
+type fixture struct {
 	*Controller
-	cloud  *cloud
-	holder *holder
-	table  store.Table
-	busy   bool
-	time   *clock.Simulated
+	platform *fakePlatform
+	holder   *holder
+	table    store.Table
+	busy     bool
+	time     *clock.Simulated
 }
 
-func newScene(t *testing.T) *scene {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	s := &scene{holder: &holder{fence: 1}, table: store.NewMemory(), time: clock.Simulate()}
+	s := &fixture{holder: &holder{fence: 1}, table: store.NewMemory(), time: clock.Simulate()}
 	t.Cleanup(s.time.Restore)
 	keeper := fleet.NewKeeper()
 	keeper.SetConfig(fleet.NewConfig(1, nil, []*fleet.Service{{Name: "m", Scaling: &fleet.Scaling{
 		Min: 1, Max: 20, Boot: time.Second, SpotPrice: 0.2, Prices: map[string]float64{"a": 1, "b": 1},
 	}}}, fleet.Limits{}))
-	s.cloud = &cloud{keeper: keeper}
-	s.cloud.set("a", false, 10)
-	s.cloud.set("b", false, 10)
+	s.platform = &fakePlatform{keeper: keeper}
+	s.platform.set("a", false, 10)
+	s.platform.set("b", false, 10)
 	s.Controller = s.successor()
 	return s
 }
 
-// successor is the controller of another VM.
-func (s *scene) successor() *Controller {
-	return New(Config{Busy: func(string) bool { return s.busy }}, s.cloud.keeper, s.table, s.cloud, s.holder,
+// successor returns the controller of another VM.
+func (s *fixture) successor() *Controller {
+	return New(Config{Busy: func(string) bool { return s.busy }}, s.platform.keeper, s.table, s.platform, s.holder,
 		telemetry.NewLogger(&bytes.Buffer{}, "test", "vm"))
 }
 
-// look looks at the plan some times in a span.
-func (s *scene) look(span time.Duration) {
+// run calls step four times, spread over a span of simulated time.
+func (s *fixture) run(span time.Duration) {
 	for range 4 {
 		s.time.Suspend(span / 4)
 		s.step(context.Background())
@@ -98,38 +99,38 @@
 
 func TestEnginesAreOrderedOnce(t *testing.T) {
 	is := is.New(t)
-	s := newScene(t)
-	s.look(8 * time.Second)
-	is.Equal(s.cloud.given, []Order{{"m", "a", 16, true}, {"m", "b", 16, true}, {"m", "a", 2, false}, {"m", "b", 2, false}})
-	s.look(time.Minute)
-	is.Equal(len(s.cloud.given), 4) // all is as ordered
+	s := newFixture(t)
+	s.run(8 * time.Second)
+	is.Equal(s.platform.orders, []Order{{"m", "a", 16, true}, {"m", "b", 16, true}, {"m", "a", 2, false}, {"m", "b", 2, false}})
+	s.run(time.Minute)
+	is.Equal(len(s.platform.orders), 4) // all orders have been carried out
 }
 
-func TestNothingIsOrderedByOthers(t *testing.T) {
+func TestOnlyTheHolderSendsOrders(t *testing.T) {
 	is := is.New(t)
-	s := newScene(t)
+	s := newFixture(t)
 	s.holder.fence = 0
-	s.look(time.Minute)
-	is.Equal(len(s.cloud.given), 0)
+	s.run(time.Minute)
+	is.Equal(len(s.platform.orders), 0)
 }
 
-// Reclaimable engines leave while there is work: they are ordered again until they come, and
-// no more is given back than the load leaves.
+// Spot engines that are reclaimed while there is work are ordered again until they are available,
+// but not in every step.
 func TestReclaimedEnginesAreOrderedAgain(t *testing.T) {
 	is := is.New(t)
-	s := newScene(t)
+	s := newFixture(t)
 	s.busy = true
-	s.look(8 * time.Second)
-	s.look(8 * time.Second)
-	s.cloud.dry = true
-	s.cloud.set("a", true, 0)
-	s.cloud.given = nil
-	s.look(20 * time.Second)
-	is.True(len(s.cloud.given) > 0 && len(s.cloud.given) < 20) // not at each look
-	s.cloud.dry = false
-	s.look(20 * time.Second)
+	s.run(8 * time.Second)
+	s.run(8 * time.Second)
+	s.platform.noSpot = true
+	s.platform.set("a", true, 0)
+	s.platform.orders = nil
+	s.run(20 * time.Second)
+	is.True(len(s.platform.orders) > 0 && len(s.platform.orders) < 20) // not in every step
+	s.platform.noSpot = false
+	s.run(20 * time.Second)
 	n := 0
-	for _, t := range s.cloud.keeper.View().Targets["m"] {
+	for _, t := range s.platform.keeper.View().Targets["m"] {
 		if t.DataCentre == "a" && t.Spot {
 			n++
 		}
@@ -137,30 +138,31 @@
 	is.Equal(n, 16)
 }
 
-// A successor finds the need in the journal: the engines that it sees are those ordered.
+// A new holder reads the needed number of engines from the journal. It must not count the engines
+// that it sees, which are those that were ordered, spares included.
 func TestSuccessorKeepsTheNeed(t *testing.T) {
 	is := is.New(t)
-	s := newScene(t)
-	s.look(8 * time.Second)
+	s := newFixture(t)
+	s.run(8 * time.Second)
 	next := s.successor()
 	s.holder.fence = 2
 	s.Controller = next
-	s.cloud.given = nil
-	s.look(10 * time.Second)
-	is.Equal(len(s.cloud.given), 0)
+	s.platform.orders = nil
+	s.run(10 * time.Second)
+	is.Equal(len(s.platform.orders), 0)
 	is.Equal(next.needs["m"], 20)
 }
 
-// Orders whose answers were lost are given again, the same.
+// Orders whose outcome is unknown are sent again unchanged.
 func TestUnknownOrdersAreRepeated(t *testing.T) {
 	is := is.New(t)
-	s := newScene(t)
-	s.cloud.err = duty.ErrUnknown
-	s.look(10 * time.Second)
-	s.cloud.err = nil
-	s.look(20 * time.Second)
-	for _, o := range s.cloud.given {
+	s := newFixture(t)
+	s.platform.err = duty.ErrUnknown
+	s.run(10 * time.Second)
+	s.platform.err = nil
+	s.run(20 * time.Second)
+	for _, o := range s.platform.orders {
 		is.True(o == Order{"m", o.DataCentre, 16, true} || o == Order{"m", o.DataCentre, 2, false})
 	}
-	is.Equal(len(s.cloud.keeper.View().Targets["m"]), 36)
+	is.Equal(len(s.platform.keeper.View().Targets["m"]), 36)
 }
--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -1,159 +1,164 @@
-// Package scaling orders engines where the platform lets their number be chosen: how many, in
-// which data centre and of which kind.
+// Package scaling decides how many engines of which kind a service has in each data centre, and
+// orders them from the platform, for services whose number of engines may be chosen.
 //
-// Load pattern: bursts that come and go within seconds, shorter than a new engine takes to
-// serve. Engines that may be reclaimed cost a part of the others' price, and all of one data
-// centre's leave at once, for seconds without any to be had. So the number follows no burst:
-// enough engines stand there for the most that is needed, most of them reclaimable, with spares
-// for the loss of one data centre's, or of several in series where spares are cheap.
+// Load pattern: bursts come and go within seconds, in less time than a new engine takes to boot.
+// Spot engines cost a fraction of the on-demand price, but the platform reclaims all of a data
+// centre's at once, and for some seconds after that none are available. The number of engines
+// therefore does not follow the load: there are always enough for the peak, most of them spot
+// engines, with spares for the loss of one data centre's spot engines, or of several in a row
+// where spares are cheap.
 package scaling
 
 import "sort"
 
 const (
-	// keptFull is how many engines of each data centre are not reclaimable: with one of each
-	// stage it serves while no others are to be had anywhere, also cut off.
-	keptFull = 2
-	// worthwhile is what reclaimable engines may cost, spares included, as a part of the price of
-	// the engines that they replace.
-	worthwhile = 0.5
+	// minOnDemand is how many on-demand engines each data centre keeps. With one engine of each
+	// stage it can serve while no spot engines are available anywhere, also when it is cut off
+	// from the others.
+	minOnDemand = 2
+	// maxSpotCostShare is the highest cost of spot engines, spares included, as a fraction of the
+	// price of the on-demand engines that they replace.
+	maxSpotCostShare = 0.5
 )
 
-// Centre is the engines of a service in one data centre that are not leaving.
-type Centre struct {
+// DataCentre counts the engines of a service in one data centre that are not leaving.
+type DataCentre struct {
 	Name string
-	// Full and Spot count the engines that stay and those that may be reclaimed.
-	Full int
-	Spot int
-	// Dry says that the platform has lately had no reclaimable engines there.
-	Dry bool
+	// OnDemand counts the engines that are not reclaimed, and Spot those that may be.
+	OnDemand int
+	Spot     int
+	// SpotUnavailable says that the platform has recently had no spot engines there.
+	SpotUnavailable bool
 }
 
-// Input is what a plan rests on.
-type Input struct {
-	// Need is how many engines serve the load at its worst.
+// PlanInput holds the state and the limits that a plan is made from.
+type PlanInput struct {
+	// Need is how many engines the peak load needs.
 	Need int
-	// Least and Most bound the engines of both kinds in one data centre.
-	Least int
-	Most  int
-	// SpotPrice is what a reclaimable engine costs as a part of another; 0 is none to be had.
+	// Min and Max bound the engines of both kinds together in one data centre.
+	Min int
+	Max int
+	// SpotPrice is the price of a spot engine as a fraction of the on-demand price; 0 is none
+	// available.
 	SpotPrice float64
-	// Idle says that no request has come of late.
-	Idle    bool
-	Centres []Centre
+	// Idle says that the service has had no requests recently.
+	Idle        bool
+	DataCentres []DataCentre
 }
 
-// Wanted is how many engines of each kind a data centre is to have.
-type Wanted struct {
-	Full int
-	Spot int
+// Counts is how many engines of each kind a data centre should have.
+type Counts struct {
+	OnDemand int
+	Spot     int
 }
 
-// Plan returns what each data centre is to have, by name.
-func Plan(in Input) map[string]Wanted {
-	out := make(map[string]Wanted, len(in.Centres))
-	if len(in.Centres) == 0 {
+// Plan returns how many engines each data centre should have, by name.
+func Plan(in PlanInput) map[string]Counts {
+	out := make(map[string]Counts, len(in.DataCentres))
+	if len(in.DataCentres) == 0 {
 		return out
 	}
-	full, spot := in.split()
-	for _, c := range in.Centres {
-		out[c.Name] = Wanted{Full: full, Spot: spot}
+	onDemand, spot := in.baseCounts()
+	for _, c := range in.DataCentres {
+		out[c.Name] = Counts{OnDemand: onDemand, Spot: spot}
 	}
-	in.fillDry(out)
-	in.keepServing(out)
+	in.coverShortage(out)
+	in.keepUntilReplaced(out)
 	return out
 }
 
-// split returns the engines of each kind for each data centre while all can be had.
-func (in *Input) split() (full, spot int) {
-	centres := len(in.Centres)
-	part := min(max(ceilDiv(in.Need, centres), in.Least), in.Most)
-	if in.SpotPrice <= 0 || in.SpotPrice > worthwhile {
-		return part, 0
+// baseCounts returns the engines of each kind per data centre for when both kinds are available.
+func (in *PlanInput) baseCounts() (onDemand, spot int) {
+	dataCentres := len(in.DataCentres)
+	perDataCentre := min(max(ceilDiv(in.Need, dataCentres), in.Min), in.Max)
+	if in.SpotPrice <= 0 || in.SpotPrice > maxSpotCostShare {
+		return perDataCentre, 0
 	}
-	full = min(keptFull, in.Most)
-	replaced := max(in.Need-centres*full, 0)
-	spot = ceilDiv(replaced, centres)
-	// Reclaims come in series: the next one before the engines of the first are back. As many
-	// data centres' loss is borne as its spares are worth.
-	for left := centres - 1; left >= 1; left-- {
-		more := min(ceilDiv(replaced, left), in.Most-full)
-		if float64(centres*more)*in.SpotPrice > worthwhile*float64(replaced) {
+	onDemand = min(minOnDemand, in.Max)
+	replaced := max(in.Need-dataCentres*onDemand, 0)
+	spot = ceilDiv(replaced, dataCentres)
+	// Reclaims may come in a row, the next one before the engines lost in the first are replaced.
+	// Spares are planned for the loss of as many data centres' spot engines as maxSpotCostShare
+	// allows.
+	for left := dataCentres - 1; left >= 1; left-- {
+		more := min(ceilDiv(replaced, left), in.Max-onDemand)
+		if float64(dataCentres*more)*in.SpotPrice > maxSpotCostShare*float64(replaced) {
 			break
 		}
 		spot = more
 	}
-	return full, min(max(spot, in.Least-full), in.Most-full)
+	return onDemand, min(max(spot, in.Min-onDemand), in.Max-onDemand)
 }
 
-// fillDry has the other data centres make up for those without reclaimable engines, and buys
-// other engines for what is then short.
-func (in *Input) fillDry(out map[string]Wanted) {
-	have := 0
-	for _, c := range in.Centres {
-		w := out[c.Name]
-		have += w.Full
-		if c.Dry {
-			have += min(c.Spot, w.Spot)
+// coverShortage makes up for data centres without spot engines: with spot engines in the other
+// data centres first, and with on-demand engines for what is still missing.
+func (in *PlanInput) coverShortage(out map[string]Counts) {
+	available := 0
+	for _, c := range in.DataCentres {
+		counts := out[c.Name]
+		available += counts.OnDemand
+		if c.SpotUnavailable {
+			available += min(c.Spot, counts.Spot)
 			continue
 		}
-		have += w.Spot
+		available += counts.Spot
 	}
-	short := in.Need - have
-	for _, c := range in.sorted() {
-		if w := out[c.Name]; !c.Dry && short > 0 && in.SpotPrice > 0 {
-			more := min(short, max(in.Most-w.Full-w.Spot, 0))
-			w.Spot += more
+	short := in.Need - available
+	for _, c := range in.sortedDataCentres() {
+		if counts := out[c.Name]; !c.SpotUnavailable && short > 0 && in.SpotPrice > 0 {
+			more := min(short, max(in.Max-counts.OnDemand-counts.Spot, 0))
+			counts.Spot += more
 			short -= more
-			out[c.Name] = w
+			out[c.Name] = counts
 		}
 	}
-	for _, c := range in.sorted() {
-		w := out[c.Name]
+	for _, c := range in.sortedDataCentres() {
+		counts := out[c.Name]
 		if short <= 0 {
 			return
 		}
-		room := in.Most - w.Full - w.Spot
-		if c.Dry {
-			// What cannot be had takes no room.
-			room = in.Most - w.Full - c.Spot
+		room := in.Max - counts.OnDemand - counts.Spot
+		if c.SpotUnavailable {
+			// Spot engines that are not available take up no room.
+			room = in.Max - counts.OnDemand - c.Spot
 		}
 		more := min(short, max(room, 0))
-		w.Full += more
-		w.Spot = min(w.Spot, in.Most-w.Full)
+		counts.OnDemand += more
+		counts.Spot = min(counts.Spot, in.Max-counts.OnDemand)
 		short -= more
-		out[c.Name] = w
+		out[c.Name] = counts
 	}
 }
 
-// keepServing keeps engines that stay until those that take their place serve. Without
-// requests none waits for them.
-func (in *Input) keepServing(out map[string]Wanted) {
+// keepUntilReplaced keeps on-demand engines until the engines that replace them serve. An idle
+// service has no requests that would have to wait, so its engines are given back at once.
+func (in *PlanInput) keepUntilReplaced(out map[string]Counts) {
 	if in.Idle {
 		return
 	}
 	present := 0
-	for _, c := range in.Centres {
-		present += c.Full + c.Spot
+	for _, c := range in.DataCentres {
+		present += c.OnDemand + c.Spot
 	}
 	spare := max(present-in.Need, 0)
-	for _, c := range in.sorted() {
-		w := out[c.Name]
-		drop := max(c.Full-w.Full, 0)
+	for _, c := range in.sortedDataCentres() {
+		counts := out[c.Name]
+		drop := max(c.OnDemand-counts.OnDemand, 0)
 		if kept := drop - min(drop, spare); kept > 0 {
-			w.Full += kept
-			w.Spot = min(w.Spot, in.Most-w.Full)
+			counts.OnDemand += kept
+			counts.Spot = min(counts.Spot, in.Max-counts.OnDemand)
 		}
 		spare -= min(drop, spare)
-		out[c.Name] = w
+		out[c.Name] = counts
 	}
 }
 
-// sorted returns the data centres by name.
-func (in *Input) sorted() []Centre {
-	cs := append([]Centre(nil), in.Centres...)
+// sortedDataCentres returns the data centres in the order of their names.
+func (in *PlanInput) sortedDataCentres() []DataCentre {
+	cs := append([]DataCentre(nil), in.DataCentres...)
 	sort.Slice(cs, func(i, j int) bool { return cs[i].Name < cs[j].Name })
 	return cs
 }
 
+// ceilDiv returns a/b rounded up, for positive b.
 func ceilDiv(a, b int) int { return (a + b - 1) / b }
--- a/internal/scaling/plan_test.go
+++ b/internal/scaling/plan_test.go
@@ -7,109 +7,109 @@
 	"pgregory.net/rapid"
 )
 
-// three is three data centres with the same engines.
-func three(full, spot int) []Centre {
-	return []Centre{{Name: "a", Full: full, Spot: spot}, {Name: "b", Full: full, Spot: spot}, {Name: "c", Full: full, Spot: spot}}
+// threeDataCentres returns three data centres with the same number of engines.
+func threeDataCentres(onDemand, spot int) []DataCentre {
+	return []DataCentre{{Name: "a", OnDemand: onDemand, Spot: spot}, {Name: "b", OnDemand: onDemand, Spot: spot}, {Name: "c", OnDemand: onDemand, Spot: spot}}
 }
 
-func total(wanted map[string]Wanted) (full, spot int) {
-	for _, w := range wanted {
-		full += w.Full
-		spot += w.Spot
+func total(planned map[string]Counts) (onDemand, spot int) {
+	for _, counts := range planned {
+		onDemand += counts.OnDemand
+		spot += counts.Spot
 	}
-	return full, spot
+	return onDemand, spot
 }
 
-// Reclaimable engines cost little, and all of one data centre leave at once: those of the
-// others, with what stays, are to serve the load at its worst.
-func TestPlanBearsTheLossOfADataCentresEngines(t *testing.T) {
+// All spot engines of a data centre are reclaimed at once: the other engines must be enough for the
+// peak load.
+func TestPlanCoversTheLossOfADataCentresSpotEngines(t *testing.T) {
 	is := is.New(t)
-	wanted := Plan(Input{Need: 57, Least: 1, Most: 60, SpotPrice: 0.3, Idle: true, Centres: three(19, 0)})
-	full, spot := total(wanted)
-	for _, w := range wanted {
-		is.True(full+spot-w.Spot >= 57)
-		is.Equal(w.Full, keptFull)
+	planned := Plan(PlanInput{Need: 57, Min: 1, Max: 60, SpotPrice: 0.3, Idle: true, DataCentres: threeDataCentres(19, 0)})
+	onDemand, spot := total(planned)
+	for _, counts := range planned {
+		is.True(onDemand+spot-counts.Spot >= 57)
+		is.Equal(counts.OnDemand, minOnDemand)
 	}
 }
 
-// A second data centre's engines leave before those of the first are back: what is cheap enough
-// is bought for that too, what is dearer is not.
-func TestPlanBearsReclaimsInSeries(t *testing.T) {
+// The spot engines of a second data centre are reclaimed before those of the first are replaced:
+// spares for that are planned only where their price is low enough.
+func TestPlanCoversReclaimsInARow(t *testing.T) {
 	for _, tc := range []struct {
 		price float64
 		spot  int
 	}{{0.05, 36}, {0.15, 36}, {0.2, 36}, {0.3, 26}, {0.4, 17}, {0.5, 17}} {
 		is := is.New(t)
-		wanted := Plan(Input{Need: 57, Least: 1, Most: 38, SpotPrice: tc.price, Idle: true, Centres: three(19, 0)})
-		is.Equal(wanted["b"], Wanted{Full: 2, Spot: tc.spot})
+		planned := Plan(PlanInput{Need: 57, Min: 1, Max: 38, SpotPrice: tc.price, Idle: true, DataCentres: threeDataCentres(19, 0)})
+		is.Equal(planned["b"], Counts{OnDemand: 2, Spot: tc.spot})
 	}
 }
 
-func TestPlanWithoutReclaimableEngines(t *testing.T) {
+func TestPlanWithoutSpotEngines(t *testing.T) {
 	is := is.New(t)
 	for _, price := range []float64{0, 0.9} {
-		wanted := Plan(Input{Need: 10, Least: 1, Most: 5, SpotPrice: price, Centres: three(3, 0)})
-		is.Equal(wanted["a"], Wanted{Full: 4})
+		planned := Plan(PlanInput{Need: 10, Min: 1, Max: 5, SpotPrice: price, DataCentres: threeDataCentres(3, 0)})
+		is.Equal(planned["a"], Counts{OnDemand: 4})
 	}
 }
 
-// While engines are at work none is given back before others serve in its place.
-func TestPlanKeepsServing(t *testing.T) {
+// While there is work, no needed on-demand engine is given back before its replacement serves.
+func TestPlanKeepsEnginesUntilReplaced(t *testing.T) {
 	is := is.New(t)
-	in := Input{Need: 57, Least: 1, Most: 38, SpotPrice: 0.15, Centres: three(19, 0)}
-	full, spot := total(Plan(in))
-	is.Equal(full, 57)
+	in := PlanInput{Need: 57, Min: 1, Max: 38, SpotPrice: 0.15, DataCentres: threeDataCentres(19, 0)}
+	onDemand, spot := total(Plan(in))
+	is.Equal(onDemand, 57)
 	is.True(spot > 0)
-	in.Centres = three(19, 10)
-	full, _ = total(Plan(in))
-	is.Equal(full, 57-30)
-	in.Idle, in.Centres = true, three(19, 0)
-	full, _ = total(Plan(in))
-	is.Equal(full, 3*keptFull)
+	in.DataCentres = threeDataCentres(19, 10)
+	onDemand, _ = total(Plan(in))
+	is.Equal(onDemand, 57-30)
+	in.Idle, in.DataCentres = true, threeDataCentres(19, 0)
+	onDemand, _ = total(Plan(in))
+	is.Equal(onDemand, 3*minOnDemand)
 }
 
-// A data centre's reclaimable engines have gone and none are to be had: the others' suffice;
-// where they are gone everywhere, others are bought until they are back.
-func TestPlanWhereNoneAreToBeHad(t *testing.T) {
+// When one data centre has lost its spot engines and none are available there, the others' spot
+// engines are enough. When all data centres have lost theirs, on-demand engines are ordered.
+func TestPlanWhileSpotEnginesAreUnavailable(t *testing.T) {
 	is := is.New(t)
-	in := Input{Need: 57, Least: 1, Most: 38, SpotPrice: 0.15, Centres: three(2, 26)}
-	in.Centres[1].Spot, in.Centres[1].Dry = 0, true
-	full, _ := total(Plan(in))
-	is.Equal(full, 3*keptFull)
-	for i := range in.Centres {
-		in.Centres[i].Spot, in.Centres[i].Dry = 0, true
+	in := PlanInput{Need: 57, Min: 1, Max: 38, SpotPrice: 0.15, DataCentres: threeDataCentres(2, 26)}
+	in.DataCentres[1].Spot, in.DataCentres[1].SpotUnavailable = 0, true
+	onDemand, _ := total(Plan(in))
+	is.Equal(onDemand, 3*minOnDemand)
+	for i := range in.DataCentres {
+		in.DataCentres[i].Spot, in.DataCentres[i].SpotUnavailable = 0, true
 	}
-	full, _ = total(Plan(in))
-	is.Equal(full, 57)
+	onDemand, _ = total(Plan(in))
+	is.Equal(onDemand, 57)
 }
 
-// Whatever is seen, the plan stays within the bounds of each data centre, and gives no engine
-// back that is needed while there is work.
+// For any input, the plan stays within the bounds of each data centre and, while there is work,
+// gives back no engine that is needed.
 func TestPlanIsWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(0, 40).Draw(t, "most")
-		in := Input{
-			Need: rapid.IntRange(0, 120).Draw(t, "need"), Most: most, Least: rapid.IntRange(0, most).Draw(t, "least"),
+		in := PlanInput{
+			Need: rapid.IntRange(0, 120).Draw(t, "need"), Max: most, Min: rapid.IntRange(0, most).Draw(t, "least"),
 			SpotPrice: rapid.SampledFrom([]float64{0, 0.15, 0.5, 0.8}).Draw(t, "price"), Idle: rapid.Bool().Draw(t, "idle"),
 		}
 		for i := range rapid.IntRange(0, 5).Draw(t, "centres") {
-			full := rapid.IntRange(0, most).Draw(t, "full")
-			in.Centres = append(in.Centres, Centre{
-				Name: string(rune('a' + i)), Full: full, Spot: rapid.IntRange(0, most-full).Draw(t, "spot"), Dry: rapid.Bool().Draw(t, "dry"),
+			onDemand := rapid.IntRange(0, most).Draw(t, "full")
+			in.DataCentres = append(in.DataCentres, DataCentre{
+				Name: string(rune('a' + i)), OnDemand: onDemand, Spot: rapid.IntRange(0, most-onDemand).Draw(t, "spot"), SpotUnavailable: rapid.Bool().Draw(t, "dry"),
 			})
 		}
-		wanted := Plan(in)
+		planned := Plan(in)
 		present, staying := 0, 0
-		for _, c := range in.Centres {
-			w := wanted[c.Name]
-			if w.Full < 0 || w.Spot < 0 || w.Full+w.Spot > in.Most || w.Full+w.Spot < in.Least {
-				t.Fatalf("%s: %+v not within %d and %d", c.Name, w, in.Least, in.Most)
+		for _, c := range in.DataCentres {
+			counts := planned[c.Name]
+			if counts.OnDemand < 0 || counts.Spot < 0 || counts.OnDemand+counts.Spot > in.Max || counts.OnDemand+counts.Spot < in.Min {
+				t.Fatalf("data centre %s: planned %+v is not between %d and %d engines", c.Name, counts, in.Min, in.Max)
 			}
-			present += c.Full + c.Spot
-			staying += min(w.Full, c.Full) + c.Spot
+			present += c.OnDemand + c.Spot
+			staying += min(counts.OnDemand, c.OnDemand) + c.Spot
 		}
 		if !in.Idle && staying < min(present, in.Need) {
-			t.Fatalf("%d of %d engines stay, %d are needed: %+v", staying, present, in.Need, wanted)
+			t.Fatalf("plan keeps %d of %d engines but %d are needed: %+v", staying, present, in.Need, planned)
 		}
 	})
 }
--- a/internal/scaling/series_test.go
+++ b/internal/scaling/series_test.go
@@ -16,118 +16,123 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// Load pattern: all reclaimable engines of one data centre leave, none are to be had anywhere for
-// 9.8 s, and those of a second data centre leave before the first ones are back. With spares for
-// one data centre 32 of 84 engines were left, in a burst of prompts.
+// Load pattern: all spot engines of one data centre are reclaimed, none are available anywhere for
+// 9.8 s, and those of a second data centre are reclaimed before the first ones are replaced. With
+// spares for only one data centre, 32 of 84 engines were left during a burst of prompts.
 const (
-	boot     = 4 * time.Second
-	dryTime  = 9800 * time.Millisecond
-	between  = 10400 * time.Millisecond
-	most     = 38
-	perPlace = 19
+	boot             = 4 * time.Second
+	spotOutage       = 9800 * time.Millisecond
+	reclaimInterval  = 10400 * time.Millisecond
+	maxPerDataCentre = 38
+	perDataCentre    = 19
 )
 
-// market carries orders out: engines serve after their boot, and are given back at once.
-type market struct {
+// simulatedPlatform carries out orders: engines serve after their boot time, and are given back at
+// once.
+type simulatedPlatform struct {
 	keeper *fleet.Keeper
-	// have is the engines that serve, and coming when an order's engines do.
-	have   map[subject]int
-	coming map[subject]coming
-	dry    time.Time
+	// serving counts the engines that serve, and booting holds the orders whose engines are still
+	// booting.
+	serving              map[pool]int
+	booting              map[pool]bootingEngines
+	spotUnavailableUntil time.Time
 }
 
-type coming struct {
-	count int
-	at    time.Time
+// bootingEngines is an order whose engines serve from readyAt on: count is the number of engines
+// that the pool has then.
+type bootingEngines struct {
+	count   int
+	readyAt time.Time
 }
 
-func (m *market) Scale(_ context.Context, _ duty.Call, o Order) error {
-	s, now := subject{o.Service, o.DataCentre, o.Spot}, clock.Now()
+func (p *simulatedPlatform) Scale(_ context.Context, _ duty.Call, o Order) error {
+	key, now := pool{o.Service, o.DataCentre, o.Spot}, clock.Now()
 	switch {
-	case o.Count <= m.have[s]:
-		m.have[s] = o.Count
-		delete(m.coming, s)
-	case now.Before(m.dry):
+	case o.Count <= p.serving[key]:
+		p.serving[key] = o.Count
+		delete(p.booting, key)
+	case now.Before(p.spotUnavailableUntil):
 		return duty.ErrRefused
 	default:
-		m.coming[s] = coming{o.Count, now.Add(boot)}
+		p.booting[key] = bootingEngines{o.Count, now.Add(boot)}
 	}
-	m.list()
+	p.updateTargets()
 	return nil
 }
 
-// reclaim takes a data centre's reclaimable engines away.
-func (m *market) reclaim(dataCentre string) {
-	s := subject{"m", dataCentre, true}
-	m.have[s] = 0
-	delete(m.coming, s)
-	m.dry = clock.Now().Add(dryTime)
-	m.list()
+// reclaim takes away all spot engines of a data centre and makes none available for spotOutage.
+func (p *simulatedPlatform) reclaim(dataCentre string) {
+	key := pool{"m", dataCentre, true}
+	p.serving[key] = 0
+	delete(p.booting, key)
+	p.spotUnavailableUntil = clock.Now().Add(spotOutage)
+	p.updateTargets()
 }
 
-// arrive lists the engines whose boot is over.
-func (m *market) arrive() {
-	for s, c := range m.coming {
-		if !clock.Now().Before(c.at) {
-			m.have[s] = c.count
-			delete(m.coming, s)
+// finishBoots makes engines serve whose boot time is over.
+func (p *simulatedPlatform) finishBoots() {
+	for key, c := range p.booting {
+		if !clock.Now().Before(c.readyAt) {
+			p.serving[key] = c.count
+			delete(p.booting, key)
 		}
 	}
-	m.list()
+	p.updateTargets()
 }
 
-func (m *market) list() {
+// updateTargets makes the target list hold the engines that serve.
+func (p *simulatedPlatform) updateTargets() {
 	var changes []fleet.TargetChange
-	for s, n := range m.have {
-		for i := range 2 * most {
-			id := fmt.Sprintf("%s-%t-%d", s.DataCentre, s.Spot, i)
+	for key, n := range p.serving {
+		for i := range 2 * maxPerDataCentre {
+			id := fmt.Sprintf("%s-%t-%d", key.DataCentre, key.Spot, i)
 			change := fleet.TargetChange{ID: id}
 			if i < n {
-				change.Target = &fleet.Target{ID: id, Service: s.Service, DataCentre: s.DataCentre, Spot: s.Spot}
+				change.Target = &fleet.Target{ID: id, Service: key.Service, DataCentre: key.DataCentre, Spot: key.Spot}
 			}
 			changes = append(changes, change)
 		}
 	}
-	m.keeper.ApplyTargets(changes, 1)
+	p.keeper.ApplyTargets(changes, 1)
 }
 
-func (m *market) total() int {
+func (p *simulatedPlatform) total() int {
 	n := 0
-	for _, have := range m.have {
+	for _, have := range p.serving {
 		n += have
 	}
 	return n
 }
 
-func TestReclaimsInSeriesLeaveADataCentreFull(t *testing.T) {
+func TestReclaimsInARowLeaveOneDataCentreComplete(t *testing.T) {
 	is := is.New(t)
 	sim := clock.Simulate()
 	t.Cleanup(sim.Restore)
 	keeper := fleet.NewKeeper()
 	keeper.SetConfig(fleet.NewConfig(1, nil, []*fleet.Service{{Name: "m", Scaling: &fleet.Scaling{
-		Min: 1, Max: most, Boot: boot, SpotPrice: 0.15, Prices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1},
+		Min: 1, Max: maxPerDataCentre, Boot: boot, SpotPrice: 0.15, Prices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1},
 	}}}, fleet.Limits{}))
-	m := &market{keeper: keeper, have: make(map[subject]int), coming: make(map[subject]coming)}
+	p := &simulatedPlatform{keeper: keeper, serving: make(map[pool]int), booting: make(map[pool]bootingEngines)}
 	for _, dataCentre := range []string{"a", "b", "c"} {
-		m.have[subject{"m", dataCentre, false}], m.have[subject{"m", dataCentre, true}] = perPlace, 0
+		p.serving[pool{"m", dataCentre, false}], p.serving[pool{"m", dataCentre, true}] = perDataCentre, 0
 	}
-	m.list()
-	c := New(Config{Busy: func(string) bool { return true }}, keeper, store.NewMemory(), m, &holder{fence: 1},
+	p.updateTargets()
+	c := New(Config{Busy: func(string) bool { return true }}, keeper, store.NewMemory(), p, &holder{fence: 1},
 		telemetry.NewLogger(&bytes.Buffer{}, "test", "vm"))
 	run := func(span time.Duration) (least int) {
-		least = m.total()
-		for range int(span / tick) {
-			sim.Suspend(tick)
-			m.arrive()
+		least = p.total()
+		for range int(span / stepInterval) {
+			sim.Suspend(stepInterval)
+			p.finishBoots()
 			c.step(context.Background())
-			least = min(least, m.total())
+			least = min(least, p.total())
 		}
 		return least
 	}
 	run(20 * time.Second)
-	is.True(m.total() <= 3*most)
-	m.reclaim("a")
-	is.True(run(between) >= 3*perPlace) // one data centre's loss leaves what the load needs
-	m.reclaim("b")
-	is.True(run(dryTime) >= most+2*keptFull) // a second one's leaves the third full
+	is.True(p.total() <= 3*maxPerDataCentre)
+	p.reclaim("a")
+	is.True(run(reclaimInterval) >= 3*perDataCentre) // losing one data centre's spot engines leaves enough for the peak load
+	p.reclaim("b")
+	is.True(run(spotOutage) >= maxPerDataCentre+2*minOnDemand) // losing a second data centre's leaves the third one complete
 }
