--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -1,9 +1,10 @@
-// Package usage counts the runs of client accounts in windows of the time of day, gathers the
-// counts of all VMs and reports each window once.
+// Package usage counts the runs of client accounts in fixed windows of wall-clock time, gathers
+// the counts of all VMs and reports each window to the platform once.
 //
-// Load pattern: hundreds of VMs that each see a part of each account's requests, some of which
-// are killed, frozen or cut off, and a holder of the duty that changes. A window's sums are
-// fixed in the store before they are sent, so that whoever sends them again sends the same.
+// Load pattern: hundreds of VMs each see a part of every account's requests. Some of them are
+// killed, frozen or cut off, and the holder of the duty changes. The sums of a window are
+// therefore stored before they are sent, so that any VM that sends them again sends the same
+// sums.
 package usage
 
 import (
@@ -14,30 +15,31 @@
 )
 
 const (
-	// keptFor is how long a VM keeps the counts of a window: an outage of the store or of the
-	// platform's calls is made up for as long.
-	keptFor = 2 * time.Minute
-	// answerCounts bounds the counts in one answer, so that it fits into a datagram.
-	answerCounts = 600
+	// retention is how long a VM keeps the counts of a window. Outages of the store or of the
+	// platform of up to this length lose no usage.
+	retention = 2 * time.Minute
+	// maxAnswerCounts bounds the counts in one answer, so that it fits into a datagram.
+	maxAnswerCounts = 600
 )
 
-// Window names a span of time: its number times the length is its start in Unix time.
+// Window numbers a window of time. Its start, in Unix time, is its number times the window
+// length.
 type Window int64
 
-// WindowAt returns the window of a length in which t falls.
+// WindowAt returns the window of the given length that contains t.
 func WindowAt(t time.Time, length time.Duration) Window {
 	return Window(t.UnixMilli() / length.Milliseconds())
 }
 
-// End is when a window of a length ends.
+// End returns the end of a window of the given length.
 func (w Window) End(length time.Duration) time.Time {
 	return time.UnixMilli((int64(w) + 1) * length.Milliseconds())
 }
 
-// kept is how many windows of a length are kept.
-func kept(length time.Duration) Window { return Window(keptFor/length) + 1 }
+// retainedWindows returns how many windows of the given length are kept.
+func retainedWindows(length time.Duration) Window { return Window(retention/length) + 1 }
 
-// Count is the runs of an account that began at one VM in one window.
+// Count is the number of an account's runs that began at one VM in one window.
 type Count struct {
 	Window  Window
 	Account string
@@ -46,69 +48,74 @@
 
 // Question asks a VM for its counts.
 type Question struct {
-	// Incarnation and Revision say what the asker knows: all counts of that process as of
-	// its revision.
+	// Incarnation and Revision say what the sender already knows: all counts of that process of
+	// the VM up to that revision.
 	Incarnation int64
 	Revision    uint64
-	// Number is returned with the answer.
+	// Number is the number of the round of questions. It is returned in the answer.
 	Number uint64
 }
 
-// Answer holds counts that have changed since From, up to Revision.
+// Answer holds the counts of a VM's process that have changed after revision From, up to
+// Revision.
 type Answer struct {
 	Incarnation int64
 	From        uint64
 	Revision    uint64
 	Number      uint64
-	// More says that there were more than fit.
+	// More says that there are further changed counts, which did not fit.
 	More   bool
 	Counts []Count
 }
 
-// Counter counts the runs that began at this VM. It is safe for concurrent use.
+// Counter counts the runs that begin at this VM. It is safe for concurrent use.
 type Counter struct {
-	length      time.Duration
-	incarnation int64
+	windowLength time.Duration
+	incarnation  int64
 
+	// mu guards the fields below.
 	mu       sync.Mutex
 	revision uint64
-	counts   map[countKey]*counted
-	// newest is the latest window in which a run was counted.
-	newest Window
+	counts   map[countKey]*runCount
+	// newestWindow is the latest window in which a run was counted.
+	newestWindow Window
 }
 
+// countKey identifies one count of a process.
 type countKey struct {
 	window  Window
 	account string
 }
 
-type counted struct {
+// runCount is the number of an account's runs in one window.
+type runCount struct {
 	runs int
-	// revision is that of the last change.
+	// revision is the counter's revision at the last change of runs.
 	revision uint64
 }
 
-// NewCounter returns an empty counter for windows of a length. incarnation tells this process
-// from those before it on the same VM.
+// NewCounter returns an empty counter for windows of the given length. The incarnation
+// distinguishes this process from earlier ones on the same VM.
 func NewCounter(length time.Duration, incarnation int64) *Counter {
-	return &Counter{length: length, incarnation: incarnation, counts: make(map[countKey]*counted)}
+	return &Counter{windowLength: length, incarnation: incarnation, counts: make(map[countKey]*runCount)}
 }
 
-// Ran counts a run of an account that began at a time of day; an empty account is none.
+// Ran counts a run of an account that began at the given time. It ignores runs without an
+// account.
 func (c *Counter) Ran(account string, at time.Time) {
 	if account == "" {
 		return
 	}
-	key := countKey{WindowAt(at, c.length), account}
+	key := countKey{WindowAt(at, c.windowLength), account}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.counts[key]
 	if n == nil {
-		if key.window > c.newest {
-			c.newest = key.window
-			c.forget(key.window - kept(c.length))
+		if key.window > c.newestWindow {
+			c.newestWindow = key.window
+			c.forget(key.window - retainedWindows(c.windowLength))
 		}
-		n = &counted{}
+		n = &runCount{}
 		c.counts[key] = n
 	}
 	c.revision++
@@ -116,7 +123,7 @@
 	n.revision = c.revision
 }
 
-// forget drops the windows up to last; the caller holds c.mu.
+// forget drops the windows up to and including last. The caller must hold c.mu.
 func (c *Counter) forget(last Window) {
 	for key := range c.counts {
 		if key.window <= last {
@@ -125,8 +132,8 @@
 	}
 }
 
-// Answer returns what has changed since what the question's sender knows, the oldest changes
-// first.
+// Answer returns the counts that have changed since the revision that the sender of the question
+// knows, the oldest changes first.
 func (c *Counter) Answer(q Question) Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,9 +152,9 @@
 		}
 	}
 	slices.SortFunc(changes, func(a, b change) int { return cmp.Compare(a.revision, b.revision) })
-	if len(changes) > answerCounts {
-		changes = changes[:answerCounts]
-		a.Revision, a.More = changes[answerCounts-1].revision, true
+	if len(changes) > maxAnswerCounts {
+		changes = changes[:maxAnswerCounts]
+		a.Revision, a.More = changes[maxAnswerCounts-1].revision, true
 	}
 	for _, ch := range changes {
 		a.Counts = append(a.Counts, ch.Count)
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -12,116 +12,119 @@
 )
 
 const (
-	// KeyPrefix is where reports stand in the store.
+	// KeyPrefix is the prefix of the store keys of reports.
 	KeyPrefix = "usage/"
-	// keySent is the row of the last window up to which all were sent.
-	keySent = KeyPrefix + "sent"
-	// keyWindows is where the sums of windows stand that may still be to be sent.
-	keyWindows = KeyPrefix + "w/"
-	// chunkBytes bounds a row's value: below what the store takes in one.
-	chunkBytes = 40 << 10
-	// maxDeletes bounds the rows that one transaction removes, whose entries are bounded.
+	// sentKey is the key of the row that holds the last window up to which all reports were sent.
+	sentKey = KeyPrefix + "sent"
+	// windowsPrefix is the prefix of the keys of finalized reports that may not have been sent
+	// yet.
+	windowsPrefix = KeyPrefix + "w/"
+	// maxRowBytes bounds a row's value. It is below the largest value that the store accepts.
+	maxRowBytes = 40 << 10
+	// maxDeletes bounds the rows that one transaction removes, as the store bounds its entries.
 	maxDeletes = 40
 )
 
-// report is the sums of one window, as they were fixed.
+// report holds the final sums of one window: the runs of each client account.
 type report struct {
 	window Window
 	counts map[string]int
-	// rows is how many rows of the store hold it.
+	// rows is the number of store rows that hold the report.
 	rows int
 }
 
-// ledger is the reports that stand in the store, as read at the start of a tenure.
+// ledger is the state of the reports in the store, as read at the start of a tenure and kept up
+// to date since.
 type ledger struct {
-	// known says that a window was ever sent.
-	known bool
-	// sent is the last window up to which all are known there to have been sent.
-	sent Window
-	// open are the reports that were fixed and not sent, in order.
-	open []*report
-	// stale are rows of windows that were sent.
+	// anySent says whether the store holds the row of sentKey.
+	anySent bool
+	// lastSent is the last window up to which all reports are known to have been sent.
+	lastSent Window
+	// unsent holds the reports that were finalized and not sent yet, in order.
+	unsent []*report
+	// stale holds the keys of the rows of windows that were sent.
 	stale []string
 }
 
-func rowKey(w Window, chunk int) string { return fmt.Sprintf("%s%020d/%03d", keyWindows, w, chunk) }
+// rowKey returns the key of one of the rows that a report is split into.
+func rowKey(w Window, chunk int) string { return fmt.Sprintf("%s%020d/%03d", windowsPrefix, w, chunk) }
 
-// sentRow is the value of keySent.
+// sentRow is the JSON value of the row at sentKey.
 type sentRow struct {
 	Window Window `json:"window"`
 }
 
-// readLedger reads the ledger.
+// readLedger reads the ledger from the store.
 func readLedger(ctx context.Context, table store.Table) (*ledger, error) {
 	records, err := table.List(ctx, KeyPrefix)
 	if err != nil {
-		return nil, errors.Wrap(err, "read reports")
+		return nil, errors.Wrap(err, "read usage reports")
 	}
 	l := &ledger{}
 	chunks := make(map[Window][]byte)
 	rows := make(map[Window]int)
 	var order []Window
 	for _, r := range records {
-		if r.Key == keySent {
+		if r.Key == sentKey {
 			var s sentRow
 			if err := json.Unmarshal(r.Value, &s); err != nil {
 				return nil, errors.Wrapf(err, "decode %s", r.Key)
 			}
-			l.known, l.sent = true, s.Window
+			l.anySent, l.lastSent = true, s.Window
 			continue
 		}
 		var w Window
 		var chunk int
-		if _, err := fmt.Sscanf(strings.TrimPrefix(r.Key, keyWindows), "%d/%d", &w, &chunk); err != nil {
+		if _, err := fmt.Sscanf(strings.TrimPrefix(r.Key, windowsPrefix), "%d/%d", &w, &chunk); err != nil {
 			return nil, errors.Wrapf(err, "decode %s", r.Key)
 		}
 		if rows[w] == 0 {
 			order = append(order, w)
 		}
 		rows[w]++
-		// Rows come by key, so that the parts of a window come in order.
+		// Rows are listed in the order of their keys, so the chunks of a window arrive in order.
 		chunks[w] = append(chunks[w], r.Value...)
 	}
 	for _, w := range order {
-		if l.known && w <= l.sent {
-			l.drop(w, rows[w])
+		if l.anySent && w <= l.lastSent {
+			l.markStale(w, rows[w])
 			continue
 		}
 		rep := &report{window: w, rows: rows[w]}
 		if err := json.Unmarshal(chunks[w], &rep.counts); err != nil {
-			return nil, errors.Wrapf(err, "decode report of window %d", w)
+			return nil, errors.Wrapf(err, "decode usage report of window %d", w)
 		}
-		l.open = append(l.open, rep)
+		l.unsent = append(l.unsent, rep)
 	}
 	return l, nil
 }
 
-// drop has the rows of a window that was sent removed.
-func (l *ledger) drop(w Window, rows int) {
+// markStale marks the rows of a sent window for removal.
+func (l *ledger) markStale(w Window, rows int) {
 	for chunk := range rows {
 		l.stale = append(l.stale, rowKey(w, chunk))
 	}
 }
 
-// fix returns the transaction that fixes a report: it fails where the window was fixed before,
-// or the tenure's condition does not hold. It also notes what was sent, and how many of the
-// stale rows it removes.
-func (l *ledger) fix(r *report, tenure store.Cond) (txn store.Txn, removed int, err error) {
+// finalize returns the transaction that makes a report final. The transaction fails if the window
+// was finalized before or the condition of the tenure does not hold. It also stores lastSent and
+// removes stale rows; removed is the number of these.
+func (l *ledger) finalize(r *report, tenure store.Cond) (txn store.Txn, removed int, err error) {
 	value, err := json.Marshal(r.counts)
 	if err != nil {
-		return txn, 0, errors.Wrap(err, "encode report")
+		return txn, 0, errors.Wrap(err, "encode usage report")
 	}
 	for r.rows = 0; r.rows == 0 || len(value) > 0; r.rows++ {
-		n := min(len(value), chunkBytes)
+		n := min(len(value), maxRowBytes)
 		txn.Puts = append(txn.Puts, store.Put{Key: rowKey(r.window, r.rows), Value: value[:n]})
 		value = value[n:]
 	}
-	sent, err := json.Marshal(sentRow{l.sent})
+	sent, err := json.Marshal(sentRow{l.lastSent})
 	if err != nil {
-		return txn, 0, errors.Wrap(err, "encode last window")
+		return txn, 0, errors.Wrap(err, "encode last sent window")
 	}
 	txn.Conds = []store.Cond{tenure, {Key: rowKey(r.window, 0)}}
-	txn.Puts = append(txn.Puts, store.Put{Key: keySent, Value: sent})
+	txn.Puts = append(txn.Puts, store.Put{Key: sentKey, Value: sent})
 	removed = min(len(l.stale), maxDeletes)
 	txn.Deletes = l.stale[:removed]
 	return txn, removed, nil
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -14,53 +14,60 @@
 )
 
 const (
-	// tick is the time between looks at what is due.
-	tick = 250 * time.Millisecond
-	// askEvery is the time between the holder's questions, and standbyEvery the same for VMs
-	// that may take over: a VM that is killed takes the counts since the last one with it.
-	askEvery     = 500 * time.Millisecond
-	standbyEvery = 2 * time.Second
-	// settle is how long after a window's end its counts are final: a plain answer, which
-	// counts from when its request was sent, may come that much later.
-	settle = time.Second
-	// waitFor is how long after a window's end VMs that do not answer are waited for.
-	waitFor = 4500 * time.Millisecond
-	// callTimeout bounds a call.
+	// stepInterval is the time between two checks of what is due.
+	stepInterval = 250 * time.Millisecond
+	// queryInterval is the time between two rounds of questions by the holder, and
+	// standbyQueryInterval that by VMs that may take over. When a VM is killed, its counts since
+	// the last round are lost.
+	queryInterval        = 500 * time.Millisecond
+	standbyQueryInterval = 2 * time.Second
+	// countGrace is how long after a window's end its counts are final. The run of a plain
+	// request counts from when the request was sent, so it may be counted that long after its
+	// window's end.
+	countGrace = time.Second
+	// missingVMTimeout is how long after a window's end the holder waits for VMs that do not
+	// answer.
+	missingVMTimeout = 4500 * time.Millisecond
+	// callTimeout bounds one call to the store or to the platform.
 	callTimeout = 700 * time.Millisecond
-	// maxSends bounds the reports that are sent in one step after an outage.
-	maxSends = 4
+	// maxReportsPerStep bounds the reports that sendReports sends at once after an outage.
+	maxReportsPerStep = 4
 )
 
-// Platform takes reports.
+// Platform receives usage reports.
 type Platform interface {
-	// ReportUsage reports a window. It fails with an error of package duty.
+	// ReportUsage reports the runs of each account in a window. It fails with an error of package
+	// duty.
 	ReportUsage(ctx context.Context, c duty.Call, w Window, counts map[string]int) error
 }
 
-// Group is the VMs that are asked for their counts.
+// Group is the set of VMs that are asked for their counts.
 type Group interface {
-	// AskUsage asks a VM; its answer comes to Hear.
+	// AskUsage sends a question to a VM. Its answer is passed to Reporter.Hear.
 	AskUsage(vm string, q Question)
-	// Others names the other VMs.
+	// Others returns the names of the other VMs.
 	Others() []string
 	// Candidate reports whether this VM may become the holder.
 	Candidate() bool
 }
 
-// Holder says when this VM may report.
+// Holder says whether this VM may send reports, and identifies it in calls. duty.Holder
+// implements it.
 type Holder interface {
 	Held() (duty.Tenure, bool)
 	Call(t duty.Tenure) duty.Call
 }
 
-// Config is the settings of a Reporter.
+// Config holds the settings of a Reporter.
 type Config struct {
+	// VM is the name of this VM.
 	VM string
 	// Length is the length of a window.
 	Length time.Duration
 }
 
-// Reporter gathers the counts of all VMs and reports each window, while this VM is holder.
+// Reporter gathers the counts of all VMs and, while this VM holds the duty, reports each window.
+// All candidates gather counts, so that they can take over.
 type Reporter struct {
 	kernel.Background
 	*Counter
@@ -71,83 +78,88 @@
 	holder   Holder
 	group    Group
 	log      *telemetry.Logger
-	// begun is the window in which this process began.
-	begun Window
-
-	// ledger is what stands in the store, as read in the tenure of fence; nil is not read.
-	// Only the own goroutine uses both, and askedAt.
-	ledger  *ledger
-	fence   uint64
-	askedAt time.Time
+	// firstWindow is the window in which this process started.
+	firstWindow Window
+
+	// ledger is the state of the reports in the store, as read in the tenure ledgerFence; nil if
+	// it has not been read. queriedAt is the start of the last round. Only the goroutine of step
+	// uses these fields.
+	ledger      *ledger
+	ledgerFence uint64
+	queriedAt   time.Time
 }
 
-// NewReporter returns a reporter that counts at once, and reports after Start.
-func NewReporter(cfg Config, counter *Counter, table store.Table, p Platform, h Holder, log *telemetry.Logger) *Reporter {
+// NewReporter returns a reporter. It counts runs at once, but gathers and reports only after
+// Start.
+func NewReporter(cfg Config, counter *Counter, table store.Table, platform Platform, holder Holder, log *telemetry.Logger) *Reporter {
 	return &Reporter{
-		cfg: cfg, Counter: counter, tally: NewTally(), table: table, platform: p, holder: h, log: log,
-		begun: WindowAt(clock.Now(), cfg.Length),
+		cfg: cfg, Counter: counter, tally: NewTally(), table: table, platform: platform, holder: holder, log: log,
+		firstWindow: WindowAt(clock.Now(), cfg.Length),
 	}
 }
 
-// SetGroup sets the group; it is called before Start.
+// SetGroup sets the group. It must be called before Start.
 func (r *Reporter) SetGroup(g Group) { r.group = g }
 
-// Hear takes in another VM's answer. One that has more to say is asked at once.
+// Hear merges another VM's answer. If the answer says that there is more, the VM is asked again
+// at once.
 func (r *Reporter) Hear(vm string, a Answer) {
-	if r.tally.Hear(vm, a) && a.More {
-		r.group.AskUsage(vm, r.tally.Again(vm, a.Number))
+	if r.tally.Merge(vm, a) && a.More {
+		r.group.AskUsage(vm, r.tally.NextQuestion(vm, a.Number))
 	}
 }
 
-// Start begins to ask and to report.
+// Start begins to gather counts and to report them.
 func (r *Reporter) Start(context.Context) error {
-	r.Run(func(ctx context.Context) { kernel.Every(ctx, tick, r.step) })
+	r.Run(func(ctx context.Context) { kernel.Every(ctx, stepInterval, r.step) })
 	return nil
 }
 
+// step gathers counts and, if this VM holds the duty, finalizes and sends the reports that are
+// due.
 func (r *Reporter) step(ctx context.Context) {
 	now := clock.Now()
 	t, held := r.holder.Held()
-	r.ask(now, held)
+	r.queryVMs(now, held)
 	if !held {
 		r.ledger = nil
 		return
 	}
-	if r.ledger == nil || r.fence != t.Fence {
-		if !r.load(ctx, t) {
+	if r.ledger == nil || r.ledgerFence != t.Fence {
+		if !r.loadLedger(ctx, t) {
 			return
 		}
 	}
-	r.send(ctx, t)
-	for r.fixNext(ctx, t, now) {
+	r.sendReports(ctx, t)
+	for r.finalizeNext(ctx, t, now) {
 	}
-	r.send(ctx, t)
+	r.sendReports(ctx, t)
 }
 
-// ask asks all VMs for their counts where it is time to.
-func (r *Reporter) ask(now time.Time, held bool) {
-	every := standbyEvery
+// queryVMs starts a round of questions to all VMs, this one included, when that is due.
+func (r *Reporter) queryVMs(now time.Time, held bool) {
+	every := standbyQueryInterval
 	if held {
-		every = askEvery
+		every = queryInterval
 	}
-	if !(held || r.group.Candidate()) || now.Sub(r.askedAt) < every {
+	if !(held || r.group.Candidate()) || now.Sub(r.queriedAt) < every {
 		return
 	}
-	r.askedAt = now
-	number := r.tally.Ask(now)
+	r.queriedAt = now
+	number := r.tally.BeginRound(now)
 	for _, vm := range r.group.Others() {
-		r.group.AskUsage(vm, r.tally.Again(vm, number))
+		r.group.AskUsage(vm, r.tally.NextQuestion(vm, number))
 	}
 	for more := true; more; {
-		a := r.Answer(r.tally.Again(r.cfg.VM, number))
-		r.tally.Hear(r.cfg.VM, a)
+		a := r.Answer(r.tally.NextQuestion(r.cfg.VM, number))
+		r.tally.Merge(r.cfg.VM, a)
 		more = a.More
 	}
-	r.tally.Forget(WindowAt(now, r.cfg.Length) - kept(r.cfg.Length))
+	r.tally.Forget(WindowAt(now, r.cfg.Length) - retainedWindows(r.cfg.Length))
 }
 
-// load reads what stands in the store.
-func (r *Reporter) load(ctx context.Context, t duty.Tenure) bool {
+// loadLedger reads the ledger from the store and reports whether it succeeded.
+func (r *Reporter) loadLedger(ctx context.Context, t duty.Tenure) bool {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	l, err := readLedger(call, r.table)
@@ -155,61 +167,63 @@
 		r.log.Warn(telemetry.EventUsage, telemetry.F("ledger", "read"), telemetry.F("cause", err))
 		return false
 	}
-	if !l.known {
-		l.sent = r.begun - 1
+	if !l.anySent {
+		l.lastSent = r.firstWindow - 1
 	}
-	r.ledger, r.fence = l, t.Fence
-	r.log.Info(telemetry.EventUsage, telemetry.F("ledger", "read"), telemetry.F("sent", int64(l.sent)), telemetry.F("open", len(l.open)), telemetry.F("fence", t.Fence))
+	r.ledger, r.ledgerFence = l, t.Fence
+	r.log.Info(telemetry.EventUsage, telemetry.F("ledger", "read"), telemetry.F("sent", int64(l.lastSent)), telemetry.F("open", len(l.unsent)), telemetry.F("fence", t.Fence))
 	return true
 }
 
-// next is the window that is to be fixed next. What VMs keep no counts of any more is not.
-func (r *Reporter) next(now time.Time) Window {
-	next := r.ledger.sent + 1
-	if n := len(r.ledger.open); n > 0 {
-		next = r.ledger.open[n-1].window + 1
+// nextWindow returns the next window to finalize. Windows whose counts the VMs no longer keep are
+// skipped.
+func (r *Reporter) nextWindow(now time.Time) Window {
+	next := r.ledger.lastSent + 1
+	if n := len(r.ledger.unsent); n > 0 {
+		next = r.ledger.unsent[n-1].window + 1
 	}
-	return max(next, WindowAt(now, r.cfg.Length)-kept(r.cfg.Length)+1)
+	return max(next, WindowAt(now, r.cfg.Length)-retainedWindows(r.cfg.Length)+1)
 }
 
-// fixNext fixes the next window where its counts are known, and reports whether it did.
-func (r *Reporter) fixNext(ctx context.Context, t duty.Tenure, now time.Time) bool {
+// finalizeNext finalizes the next window if its counts are known, and reports whether it did.
+func (r *Reporter) finalizeNext(ctx context.Context, t duty.Tenure, now time.Time) bool {
 	if r.ledger == nil {
 		return false
 	}
-	w := r.next(now)
+	w := r.nextWindow(now)
 	end := w.End(r.cfg.Length)
-	missing := r.tally.Missing(append(r.group.Others(), r.cfg.VM), end.Add(settle))
-	if now.Before(end.Add(settle)) || (missing > 0 && now.Before(end.Add(waitFor))) {
+	missing := r.tally.Missing(append(r.group.Others(), r.cfg.VM), end.Add(countGrace))
+	if now.Before(end.Add(countGrace)) || (missing > 0 && now.Before(end.Add(missingVMTimeout))) {
 		return false
 	}
 	rep := &report{window: w, counts: r.tally.Sums(w)}
-	txn, removed, err := r.ledger.fix(rep, t.Condition)
+	txn, removed, err := r.ledger.finalize(rep, t.Condition)
 	if err == nil {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		_, err = r.table.Commit(call, txn)
 	}
 	if err != nil {
-		// It may stand there all the same, with these counts or with another holder's.
+		// The write may have taken effect, or another holder may have finalized the window with
+		// other counts. The ledger is therefore read again.
 		r.ledger = nil
 		r.log.Warn(telemetry.EventUsage, telemetry.F("window", int64(w)), telemetry.F("fixed", false), telemetry.F("cause", err))
 		return false
 	}
 	r.ledger.stale = r.ledger.stale[removed:]
-	r.ledger.open = append(r.ledger.open, rep)
+	r.ledger.unsent = append(r.ledger.unsent, rep)
 	r.log.Info(telemetry.EventUsage, telemetry.F("window", int64(w)), telemetry.F("fixed", true), telemetry.F("accounts", len(rep.counts)),
 		telemetry.F("missing", missing), telemetry.F("late_ms", now.Sub(end).Milliseconds()), telemetry.F("fence", t.Fence))
 	return true
 }
 
-// send sends the reports that were fixed, in order.
-func (r *Reporter) send(ctx context.Context, t duty.Tenure) {
-	for range maxSends {
-		if r.ledger == nil || len(r.ledger.open) == 0 {
+// sendReports sends the finalized reports that have not been sent yet, in order.
+func (r *Reporter) sendReports(ctx context.Context, t duty.Tenure) {
+	for range maxReportsPerStep {
+		if r.ledger == nil || len(r.ledger.unsent) == 0 {
 			return
 		}
-		rep := r.ledger.open[0]
+		rep := r.ledger.unsent[0]
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		err := r.platform.ReportUsage(call, r.holder.Call(t), rep.window, rep.counts)
 		cancel()
@@ -219,10 +233,10 @@
 		if err != nil && !errors.Is(err, duty.ErrRefused) {
 			return
 		}
-		// One that the platform refuses for good must not keep later windows back.
+		// A report that the platform refuses for good must not block later windows.
 		r.log.Info(telemetry.EventUsage, telemetry.F("window", int64(rep.window)), telemetry.F("sent", true), telemetry.F("fence", t.Fence))
-		r.ledger.open = r.ledger.open[1:]
-		r.ledger.sent = rep.window
-		r.ledger.drop(rep.window, rep.rows)
+		r.ledger.unsent = r.ledger.unsent[1:]
+		r.ledger.lastSent = rep.window
+		r.ledger.markStale(rep.window, rep.rows)
 	}
 }
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -5,26 +5,30 @@
 	"time"
 )
 
-// Tally gathers the counts of VMs. Each answer states counts, not changes of them, so that one
-// which comes twice or late is harmless. It is safe for concurrent use.
+// Tally gathers the counts of all VMs. Answers hold absolute counts, not increments, so a
+// repeated or late answer does no harm. It is safe for concurrent use.
 type Tally struct {
-	mu    sync.Mutex
-	known map[source]*vmCounts
-	// latest is the incarnation of each VM that was heard last.
-	latest map[string]int64
-	// answered holds when the question was asked that each VM answered last.
-	answered map[string]time.Time
-	asked    map[uint64]time.Time
-	number   uint64
+	mu sync.Mutex
+	// processes holds the counts of each process that has answered.
+	processes map[process]*processCounts
+	// latestIncarnation is the highest incarnation of each VM that has answered.
+	latestIncarnation map[string]int64
+	// answeredAt is, for each VM, the start of the latest round that it has answered in full.
+	answeredAt map[string]time.Time
+	// roundStart holds the start of each remembered round by its number, and lastRound the number
+	// of the latest round.
+	roundStart map[uint64]time.Time
+	lastRound  uint64
 }
 
-// source is a process on a VM.
-type source struct {
+// process identifies one process of a VM.
+type process struct {
 	vm          string
 	incarnation int64
 }
 
-type vmCounts struct {
+// processCounts holds the counts of one process as of a revision.
+type processCounts struct {
 	revision uint64
 	counts   map[countKey]int
 }
@@ -32,70 +36,72 @@
 // NewTally returns an empty tally.
 func NewTally() *Tally {
 	return &Tally{
-		known: make(map[source]*vmCounts), latest: make(map[string]int64),
-		answered: make(map[string]time.Time), asked: make(map[uint64]time.Time),
+		processes: make(map[process]*processCounts), latestIncarnation: make(map[string]int64),
+		answeredAt: make(map[string]time.Time), roundStart: make(map[uint64]time.Time),
 	}
 }
 
-// keptQuestions bounds the questions whose time is remembered.
-const keptQuestions = 16
+// rememberedRounds bounds the rounds of questions whose start is remembered.
+const rememberedRounds = 16
 
-// Ask begins a round of questions at a time and returns its number.
-func (t *Tally) Ask(now time.Time) uint64 {
+// BeginRound begins a round of questions at the given time and returns its number.
+func (t *Tally) BeginRound(now time.Time) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.number++
-	t.asked[t.number] = now
-	delete(t.asked, t.number-keptQuestions)
-	return t.number
+	t.lastRound++
+	t.roundStart[t.lastRound] = now
+	delete(t.roundStart, t.lastRound-rememberedRounds)
+	return t.lastRound
 }
 
-// Again returns what a VM is to be asked in a round, by what is known of it now.
-func (t *Tally) Again(vm string, number uint64) Question {
+// NextQuestion returns the question to send to a VM in a round, according to what is known of the
+// VM now.
+func (t *Tally) NextQuestion(vm string, number uint64) Question {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	q := Question{Incarnation: t.latest[vm], Number: number}
-	if v := t.known[source{vm, q.Incarnation}]; v != nil {
+	q := Question{Incarnation: t.latestIncarnation[vm], Number: number}
+	if v := t.processes[process{vm, q.Incarnation}]; v != nil {
 		q.Revision = v.revision
 	}
 	return q
 }
 
-// Hear takes in a VM's answer, and reports whether it told anything new.
-func (t *Tally) Hear(vm string, a Answer) bool {
+// Merge merges a VM's answer into the tally and reports whether it contained anything new.
+func (t *Tally) Merge(vm string, a Answer) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	key := source{vm, a.Incarnation}
-	v := t.known[key]
+	key := process{vm, a.Incarnation}
+	v := t.processes[key]
 	if v == nil {
-		v = &vmCounts{counts: make(map[countKey]int)}
-		t.known[key] = v
+		v = &processCounts{counts: make(map[countKey]int)}
+		t.processes[key] = v
 	}
 	if a.From > v.revision {
-		// Counts between are missing: the next question asks for them.
+		// Changes between the known revision and a.From are missing. The next question asks for
+		// them.
 		return false
 	}
-	if a.Incarnation >= t.latest[vm] {
-		t.latest[vm] = a.Incarnation
+	if a.Incarnation >= t.latestIncarnation[vm] {
+		t.latestIncarnation[vm] = a.Incarnation
 	}
 	for _, c := range a.Counts {
 		k := countKey{c.Window, c.Account}
 		v.counts[k] = max(v.counts[k], c.Runs)
 	}
-	news := a.Revision > v.revision
+	changed := a.Revision > v.revision
 	v.revision = max(v.revision, a.Revision)
-	if at := t.asked[a.Number]; !a.More && at.After(t.answered[vm]) {
-		t.answered[vm] = at
+	if at := t.roundStart[a.Number]; !a.More && at.After(t.answeredAt[vm]) {
+		t.answeredAt[vm] = at
 	}
-	return news
+	return changed
 }
 
-// Sums returns the runs of each account in a window, over all VMs and their processes.
+// Sums returns the runs of each account in a window, over all processes of all VMs.
 func (t *Tally) Sums(w Window) map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sums := make(map[string]int)
-	for _, v := range t.known {
+	for _, v := range t.processes {
 		for k, n := range v.counts {
 			if k.window == w {
 				sums[k.account] += n
@@ -105,32 +111,32 @@
 	return sums
 }
 
-// Missing returns how many of the VMs have not answered a question that was asked after a
+// Missing returns how many of the VMs have not answered any round that began after the given
 // time.
 func (t *Tally) Missing(vms []string, after time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for _, vm := range vms {
-		if !t.answered[vm].After(after) {
+		if !t.answeredAt[vm].After(after) {
 			n++
 		}
 	}
 	return n
 }
 
-// Forget drops the counts of windows up to last.
+// Forget drops the counts of windows up to and including last.
 func (t *Tally) Forget(last Window) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for key, v := range t.known {
+	for key, v := range t.processes {
 		for k := range v.counts {
 			if k.window <= last {
 				delete(v.counts, k)
 			}
 		}
-		if len(v.counts) == 0 && key.incarnation != t.latest[key.vm] {
-			delete(t.known, key)
+		if len(v.counts) == 0 && key.incarnation != t.latestIncarnation[key.vm] {
+			delete(t.processes, key)
 		}
 	}
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -20,20 +20,20 @@
 
 const length = 5 * time.Second
 
-// vm is a VM's counts, which answers unless it is silent.
+// vm is the counter of a VM, which answers unless it is unreachable.
 type vm struct {
 	*Counter
-	silent bool
+	unreachable bool
 }
 
-// group is the VMs that are asked.
+// group is a fake Group that passes answers to hear.
 type group struct {
 	vms  map[string]*vm
 	hear func(vm string, a Answer)
 }
 
 func (g *group) AskUsage(name string, q Question) {
-	if v := g.vms[name]; !v.silent {
+	if v := g.vms[name]; !v.unreachable {
 		g.hear(name, v.Answer(q))
 	}
 }
@@ -48,27 +48,28 @@
 
 func (g *group) Candidate() bool { return true }
 
-// platform keeps what was reported and notes a window with two reports.
-type platform struct {
-	reports map[Window]map[string]int
-	twice   []Window
-	err     error
-	// lost says that reports are taken and the call fails all the same.
-	lost bool
+// fakePlatform records the reports, and the windows that were reported twice with different
+// counts.
+type fakePlatform struct {
+	reports     map[Window]map[string]int
+	conflicting []Window
+	err         error
+	// loseAnswers makes ReportUsage accept reports and still return err.
+	loseAnswers bool
 }
 
-func (p *platform) ReportUsage(_ context.Context, _ duty.Call, w Window, counts map[string]int) error {
-	if p.err != nil && !p.lost {
+func (p *fakePlatform) ReportUsage(_ context.Context, _ duty.Call, w Window, counts map[string]int) error {
+	if p.err != nil && !p.loseAnswers {
 		return p.err
 	}
 	if known, ok := p.reports[w]; ok && !maps.Equal(known, counts) {
-		p.twice = append(p.twice, w)
+		p.conflicting = append(p.conflicting, w)
 	}
 	p.reports[w] = maps.Clone(counts)
 	return p.err
 }
 
-// holder holds the duty while fence is not 0.
+// holder is a fake Holder that holds the duty while fence is not 0.
 type holder struct{ fence uint64 }
 
 func (h *holder) Held() (duty.Tenure, bool) {
@@ -77,37 +78,39 @@
 
 func (h *holder) Call(t duty.Tenure) duty.Call { return duty.Call{Holder: "vm", Fence: t.Fence} }
 
-// flaky is a store whose writes may be done and not answered, or not done.
-type flaky struct {
+// faultyTable is a store whose writes fail while unavailable is set, and take effect but return
+// ErrUnknown while loseAnswers is set.
+type faultyTable struct {
 	store.Table
-	lost bool
-	away bool
+	loseAnswers bool
+	unavailable bool
 }
 
-func (f *flaky) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
-	if f.away {
+func (f *faultyTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
+	if f.unavailable {
 		return 0, store.ErrUnavailable
 	}
 	v, err := f.Table.Commit(ctx, txn)
-	if err == nil && f.lost {
+	if err == nil && f.loseAnswers {
 		return 0, store.ErrUnknown
 	}
 	return v, err
 }
 
-type scene struct {
+// fixture is a store, a platform and a group of two VMs that answer questions.
+type fixture struct {
 	t        *testing.T
 	time     *clock.Simulated
 	group    *group
-	platform *platform
-	table    *flaky
+	platform *fakePlatform
+	table    *faultyTable
 }
 
-func newScene(t *testing.T) *scene {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	s := &scene{
+	s := &fixture{
 		t: t, time: clock.Simulate(), group: &group{vms: make(map[string]*vm)},
-		platform: &platform{reports: make(map[Window]map[string]int)}, table: &flaky{Table: store.NewMemory()},
+		platform: &fakePlatform{reports: make(map[Window]map[string]int)}, table: &faultyTable{Table: store.NewMemory()},
 	}
 	t.Cleanup(s.time.Restore)
 	for _, name := range []string{"vm-1", "vm-2"} {
@@ -116,8 +119,9 @@
 	return s
 }
 
-// reporter returns the reporter of one more VM, and its hold on the duty.
-func (s *scene) reporter(fence uint64) (*Reporter, *holder) {
+// reporter returns the reporter of a further VM, and the holder that decides whether it has the
+// duty.
+func (s *fixture) reporter(fence uint64) (*Reporter, *holder) {
 	h := &holder{fence: fence}
 	r := NewReporter(Config{VM: "own", Length: length}, NewCounter(length, 1), s.table, s.platform, h, telemetry.NewLogger(&bytes.Buffer{}, "test", "own"))
 	r.SetGroup(s.group)
@@ -125,27 +129,29 @@
 	return r, h
 }
 
-// run lets a reporter look at its duty for a span.
-func (s *scene) run(r *Reporter, span time.Duration) {
+// run calls the reporter's step at its usual interval for a span of simulated time.
+func (s *fixture) run(r *Reporter, span time.Duration) {
 	s.group.hear = r.Hear
-	for range int(span / tick) {
-		s.time.Suspend(tick)
+	for range int(span / stepInterval) {
+		s.time.Suspend(stepInterval)
 		r.step(context.Background())
 	}
 }
 
-// window is the present window, of which a good part is left for a test that takes real time.
-func (s *scene) window(r *Reporter) Window {
+// currentWindow returns the current window. It first lets time pass until more than half of the
+// window is left, for tests that take real time.
+func (s *fixture) currentWindow(r *Reporter) Window {
 	for {
 		now := clock.Now()
 		if w := WindowAt(now, length); w.End(length).Sub(now) > length/2 {
 			return w
 		}
-		s.run(r, tick)
+		s.run(r, stepInterval)
 	}
 }
 
-func (s *scene) sum(account string) int {
+// sum returns the runs of an account over all reported windows.
+func (s *fixture) sum(account string) int {
 	n := 0
 	for _, counts := range s.platform.reports {
 		n += counts[account]
@@ -155,13 +161,13 @@
 
 func TestWindowsAreReportedInTime(t *testing.T) {
 	is := is.New(t)
-	s := newScene(t)
+	s := newFixture(t)
 	r, _ := s.reporter(1)
 	for i := range 60 {
 		s.group.vms["vm-1"].Ran("a", clock.Now())
 		s.group.vms["vm-2"].Ran("b", clock.Now())
 		r.Ran("a", clock.Now())
-		s.run(r, tick)
+		s.run(r, stepInterval)
 		if i%2 == 0 {
 			r.Ran("", clock.Now()) // an anonymous request
 		}
@@ -170,100 +176,101 @@
 	is.Equal(s.sum("a"), 120)
 	is.Equal(s.sum("b"), 60)
 	is.Equal(s.sum(""), 0)
-	is.Equal(len(s.platform.twice), 0)
+	is.Equal(len(s.platform.conflicting), 0)
 }
 
-// A VM that is killed takes what it counted since it was asked with it, and no more: the
-// process that follows counts anew.
-func TestCountsOfAKilledProcessStay(t *testing.T) {
+// When a VM is killed, only its counts since the last round are lost. The next process on the VM
+// starts from zero, and its counts are added to those of the killed one.
+func TestCountsOfAKilledProcessAreKept(t *testing.T) {
 	is := is.New(t)
-	s := newScene(t)
+	s := newFixture(t)
 	r, _ := s.reporter(1)
 	for range 10 {
 		s.group.vms["vm-1"].Ran("a", clock.Now())
 	}
-	s.run(r, askEvery)
+	s.run(r, queryInterval)
 	s.group.vms["vm-1"] = &vm{Counter: NewCounter(length, 2)}
 	s.group.vms["vm-1"].Ran("a", clock.Now())
 	s.run(r, 3*length)
 	is.Equal(s.sum("a"), 11)
 }
 
-// A VM that is cut off is waited for, and does not keep the window back for good.
-func TestSilentVMsAreWaitedFor(t *testing.T) {
+// The reporter waits for a VM that does not answer, but no longer than missingVMTimeout.
+func TestUnreachableVMsAreWaitedFor(t *testing.T) {
 	is := is.New(t)
-	s := newScene(t)
+	s := newFixture(t)
 	r, _ := s.reporter(1)
 	s.run(r, time.Second)
 	first := s.group.vms["vm-1"]
-	w := s.window(r)
+	w := s.currentWindow(r)
 	first.Ran("a", clock.Now())
-	first.silent = true
+	first.unreachable = true
 	s.run(r, w.End(length).Sub(clock.Now())+2*time.Second)
 	is.True(s.platform.reports[w] == nil)
-	first.silent = false
+	first.unreachable = false
 	s.run(r, time.Second)
 	is.Equal(s.platform.reports[w], map[string]int{"a": 1})
-	first.silent = true
+	first.unreachable = true
 	next := w + 1
-	s.run(r, next.End(length).Sub(clock.Now())+waitFor+time.Second)
+	s.run(r, next.End(length).Sub(clock.Now())+missingVMTimeout+time.Second)
 	is.True(s.platform.reports[next] != nil)
 }
 
-// Whoever becomes holder after a window was fixed sends what was fixed, though it knows other
-// counts, and whatever became of the calls before.
-func TestSuccessorRepeatsWhatWasFixed(t *testing.T) {
+// A holder that takes over after a window was finalized sends the stored sums, even if it knows
+// other counts by then, and whatever the outcome of the previous holder's calls was.
+func TestSuccessorSendsFinalizedSums(t *testing.T) {
 	for name, err := range map[string]error{"not sent": duty.ErrBusy, "answer lost": duty.ErrUnknown} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := newScene(t)
+			s := newFixture(t)
 			r, h := s.reporter(1)
 			s.run(r, time.Second)
-			w := s.window(r)
+			w := s.currentWindow(r)
 			s.group.vms["vm-1"].Ran("a", clock.Now())
-			s.platform.err, s.platform.lost = err, err == duty.ErrUnknown
+			s.platform.err, s.platform.loseAnswers = err, err == duty.ErrUnknown
 			s.run(r, w.End(length).Sub(clock.Now())+2*time.Second)
 			h.fence = 0
 			s.platform.err = nil
-			s.group.vms["vm-1"].Ran("a", w.End(length).Add(-time.Second)) // told late
+			s.group.vms["vm-1"].Ran("a", w.End(length).Add(-time.Second)) // counted late
 			next, _ := s.reporter(2)
 			s.run(next, 3*length)
 			is.Equal(s.platform.reports[w], map[string]int{"a": 1})
-			is.Equal(len(s.platform.twice), 0)
+			is.Equal(len(s.platform.conflicting), 0)
 		})
 	}
 }
 
-// Writes whose answers are lost were done: the window is fixed once.
+// A write whose answer was lost has taken effect: the reporter reads it back and does not finalize
+// the window a second time.
 func TestUnknownWritesAreReadBack(t *testing.T) {
 	is := is.New(t)
-	s := newScene(t)
+	s := newFixture(t)
 	r, _ := s.reporter(1)
 	s.run(r, time.Second)
-	w := s.window(r)
+	w := s.currentWindow(r)
 	s.group.vms["vm-1"].Ran("a", clock.Now())
-	s.table.lost = true
+	s.table.loseAnswers = true
 	s.run(r, w.End(length).Sub(clock.Now())+2*time.Second)
 	s.group.vms["vm-1"].Ran("a", w.End(length).Add(-time.Second))
-	s.table.lost = false
+	s.table.loseAnswers = false
 	s.run(r, length)
 	is.Equal(s.platform.reports[w], map[string]int{"a": 1})
-	is.Equal(len(s.platform.twice), 0)
+	is.Equal(len(s.platform.conflicting), 0)
 }
 
-// After an outage of the store, or of the platform's calls, the windows follow in order.
-func TestWindowsFollowAfterAnOutage(t *testing.T) {
-	for name, out := range map[string]func(s *scene, on bool){
-		"store": func(s *scene, on bool) { s.table.away = on },
-		"calls": func(s *scene, on bool) { s.platform.err = map[bool]error{true: duty.ErrBusy}[on] },
+// After an outage of the store or of the platform, the missed windows are reported in order.
+func TestMissedWindowsAreReportedAfterAnOutage(t *testing.T) {
+	for name, out := range map[string]func(s *fixture, on bool){
+		"store": func(s *fixture, on bool) { s.table.unavailable = on },
+		"calls": func(s *fixture, on bool) { s.platform.err = map[bool]error{true: duty.ErrBusy}[on] },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := newScene(t)
+			s := newFixture(t)
 			r, _ := s.reporter(1)
 			s.run(r, time.Second)
 			out(s, true)
-			w := s.window(r)
+			w := s.currentWindow(r)
 			for range 4 {
 				s.group.vms["vm-1"].Ran("a", clock.Now())
 				s.run(r, length)
@@ -278,42 +285,42 @@
 	}
 }
 
-// Short windows were kept for as many of them as long ones, so that an outage of half a minute left
-// nine windows of a second without any report.
-func TestShortWindowsAreKeptAsLong(t *testing.T) {
+// Guards against retention by number of windows instead of by time: an outage of half a minute left
+// nine windows of one second unreported, because as few short windows were kept as long ones.
+func TestRetentionDoesNotDependOnWindowLength(t *testing.T) {
 	for _, length := range []time.Duration{time.Second, 5 * time.Second, time.Minute} {
 		is := is.New(t)
 		c := NewCounter(length, 1)
 		now := time.UnixMilli(1e12)
 		c.Ran("a", now)
-		c.Ran("a", now.Add(keptFor))
+		c.Ran("a", now.Add(retention))
 		is.Equal(len(c.Answer(Question{}).Counts), 2)
-		c.Ran("a", now.Add(keptFor+2*length))
-		is.Equal(len(c.Answer(Question{}).Counts), 2) // the first one is forgotten
+		c.Ran("a", now.Add(retention+2*length))
+		is.Equal(len(c.Answer(Question{}).Counts), 2) // the first window has been dropped
 	}
 }
 
-// A report of many accounts takes several rows of the store, and several answers of a VM.
+// A report with many accounts takes several answers of a VM and several rows in the store.
 func TestManyAccounts(t *testing.T) {
 	is := is.New(t)
 	const accounts = 16000
-	s := newScene(t)
+	s := newFixture(t)
 	r, _ := s.reporter(1)
 	s.run(r, time.Second)
-	w := s.window(r)
+	w := s.currentWindow(r)
 	at := clock.Now()
 	for i := range accounts {
 		s.group.vms["vm-1"].Ran(fmt.Sprintf("account-%06d", i), at)
 	}
 	s.run(r, 40*time.Second)
 	is.Equal(len(s.platform.reports[w]), accounts)
-	fixed, err := readLedger(context.Background(), s.table)
+	l, err := readLedger(context.Background(), s.table)
 	is.NoErr(err)
-	is.True(fixed.sent >= w)
+	is.True(l.lastSent >= w)
 }
 
-// Answers that come twice, late, in any order, or not at all change no sum but by what is
-// missing.
+// Answers that arrive twice, late, out of order or not at all never make a sum wrong, except that
+// counts are missing until a later answer brings them.
 func TestAnswersInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, tally := NewCounter(length, 1), NewTally()
@@ -323,19 +330,19 @@
 			for range rapid.IntRange(0, 3).Draw(t, "runs") {
 				c.Ran("a", now)
 			}
-			answers = append(answers, c.Answer(tally.Again("vm", tally.Ask(now))))
+			answers = append(answers, c.Answer(tally.NextQuestion("vm", tally.BeginRound(now))))
 			if i := rapid.IntRange(-1, len(answers)-1).Draw(t, "heard"); i >= 0 {
-				tally.Hear("vm", answers[i])
+				tally.Merge("vm", answers[i])
 			}
 		}
-		tally.Hear("vm", c.Answer(tally.Again("vm", tally.Ask(now))))
+		tally.Merge("vm", c.Answer(tally.NextQuestion("vm", tally.BeginRound(now))))
 		if want, got := c.counts[countKey{0, "a"}], tally.Sums(0)["a"]; want != nil && got != want.runs {
-			t.Fatalf("%d runs, told %d", want.runs, got)
+			t.Fatalf("counted %d runs, tally has %d", want.runs, got)
 		}
 	})
 }
 
-// Whatever stands in the store, it is read or named as unreadable.
+// readLedger must read any store content or fail with an error, without a panic.
 func FuzzReadLedger(f *testing.F) {
 	f.Add("usage/w/00000000000000000007/000", []byte(`{"a":5}`))
 	f.Add("usage/sent", []byte(`{"window":9223372036854775807}`))
@@ -349,9 +356,9 @@
 		if err != nil {
 			return
 		}
-		for _, r := range l.open {
+		for _, r := range l.unsent {
 			if r.rows == 0 {
-				t.Errorf("a report without rows: %+v", r)
+				t.Errorf("unsent report has no rows: %+v", r)
 			}
 		}
 	})
