--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,8 +1,7 @@
-// Package lease gives one steward at a time the authority over one service in
-// one data centre, by a record in the platform's table. A holder that cannot
-// renew stops by itself; observers time out an unchanged record on their own
-// monotonic clock, so that no two clocks are compared. Each tenure has a
-// fencing number above all earlier ones.
+// Package lease implements leases by records in the store. A lease gives one VM at a time the
+// authority over one service in one data centre. A holder that cannot renew its lease stops by
+// itself. Observers time out an unchanged record on their own monotonic clock, so that no two
+// clocks are compared. Each tenure has a higher fencing number than all earlier ones.
 package lease
 
 import (
@@ -16,69 +15,72 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
-// ErrNotHeld: the lease is not held, or not any more.
+// ErrNotHeld says that the lease is not held, or not any more.
 var ErrNotHeld = errors.New("lease: not held")
 
-// driftDivisor is the share of the TTL by which an observer waits longer than
-// a holder believes, for clocks that run at different rates: one part in 20.
-const driftDivisor = 20
+// clockDriftDivisor determines how much longer than the TTL an observer waits before it regards a
+// lease as lapsed: one part in 20 of the TTL, for clocks that run at different rates.
+const clockDriftDivisor = 20
 
-// Record is the lease's record in the platform's table.
+// Record is the JSON value of a lease's record in the store.
 type Record struct {
 	Holder string `json:"holder"`
-	// Incarnation tells two processes on one VM apart.
+	// Incarnation distinguishes two processes on one VM.
 	Incarnation uint64 `json:"incarnation"`
 	Fence       uint64 `json:"fence"`
-	// Renewals counts the renewals of this tenure.
+	// Renewals counts the renewals in this tenure.
 	Renewals uint64 `json:"renewals"`
-	// Released is set by a holder that stops.
+	// Released is set by a holder that gives up the lease.
 	Released bool `json:"released"`
 }
 
-// Key is the lease record's key for a service in a data centre.
+// Key returns the key of the lease record for a service in a data centre.
 func Key(dataCentre, service string) string { return "lease/" + dataCentre + "/" + service }
 
-// FenceKey is the key of the record that is written only when the lease
-// changes hands; a transaction that is to hold within one tenure puts a
-// condition on its version.
+// FenceKey returns the key of the record that is written only when the lease changes hands. A
+// transaction that must take effect only within one tenure puts a condition on this record's
+// version.
 func FenceKey(dataCentre, service string) string { return "fence/" + dataCentre + "/" + service }
 
-// CounterKey is the key of the fencing numbers' counter. One counter serves a
-// whole data centre, so that an engine that moves from one service to another
-// can be given a number above all that it has seen.
+// CounterKey returns the key of the counter of fencing numbers. All services of a data centre
+// share one counter, so that an engine that moves from one service to another can be given a
+// number above all that it has seen.
 func CounterKey(dataCentre string) string { return "fencecounter/" + dataCentre }
 
-// Tenure is one uninterrupted holding of the lease.
+// Tenure is one uninterrupted period in which a candidate holds the lease.
 type Tenure struct {
 	Fence uint64
-	// FenceVersion is the version of the record under FenceKey.
+	// FenceVersion is the version of the record at FenceKey.
 	FenceVersion uint64
-	// Since is the clock at the start of the tenure.
+	// Since is the holder's clock at the start of the tenure.
 	Since time.Duration
 }
 
-// Config names a lease and its candidate.
+// Config identifies a lease and a candidate for it.
 type Config struct {
 	DataCentre  string
 	Service     string
 	Holder      string
 	Incarnation uint64
-	TTL         time.Duration
+	// TTL is how long the lease stays valid after a renewal.
+	TTL time.Duration
 }
 
-// Lease is one candidate for one lease. Step is called by one goroutine; the
-// other methods are safe for concurrent use.
+// Lease is one candidate for one lease. Step and Release must not be called at the same time;
+// Held is safe for concurrent use.
 type Lease struct {
 	cfg   Config
 	table store.Table
 	clock Clock
 
-	// Observation of the record, owned by Step.
-	version    uint64
-	record     Record
-	seenAt     time.Duration
-	haveRecord bool
+	// The last observation of the record. Only Step and Release use it. unchangedSince is when
+	// the record was first seen at this version.
+	version        uint64
+	record         Record
+	unchangedSince time.Duration
+	haveRecord     bool
 
+	// mu guards the fields below.
 	mu         sync.Mutex
 	held       bool
 	tenure     Tenure
@@ -90,8 +92,8 @@
 	return &Lease{cfg: cfg, table: table, clock: clock}
 }
 
-// Held returns the current tenure, or false once the holder's own clock says
-// that the lease may have lapsed. Ask it right before each act of authority.
+// Held returns the current tenure, or false once the lease may have lapsed by the holder's own
+// clock. It must be called immediately before every action that requires the lease.
 func (l *Lease) Held() (Tenure, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,12 +103,12 @@
 	return l.tenure, true
 }
 
-// Step observes the record once, renews a held lease, and acquires a lapsed
-// one if contend is set. An error means that the platform could not be asked
-// or that a write's outcome is still unknown; the next Step resolves it.
+// Step observes the record once. It renews the lease if it is held, and acquires it if it has
+// lapsed and contend is set. An error means that the store did not answer or that the outcome of
+// a write is unknown; the next Step resolves it.
 func (l *Lease) Step(ctx context.Context, contend bool) error {
 	if _, ok := l.Held(); ok {
-		// The renewal's condition tells whether the record is as known.
+		// A renewal is conditional on the known version, so the record need not be read first.
 		if err := l.renew(ctx); !errors.Is(err, store.ErrConflict) {
 			return err
 		}
@@ -114,8 +116,8 @@
 	if err := l.observe(ctx); err != nil {
 		return err
 	}
-	if l.ours() {
-		if _, ok := l.Held(); ok || l.adoptable() {
+	if l.recordIsOwn() {
+		if _, ok := l.Held(); ok || l.tenureUnknown() {
 			return l.renew(ctx)
 		}
 	}
@@ -125,7 +127,7 @@
 	return nil
 }
 
-// observe reads the record and notes when it was first seen at this version.
+// observe reads the record and notes when it was first seen at its current version.
 func (l *Lease) observe(ctx context.Context) error {
 	rec, err := l.table.Get(ctx, Key(l.cfg.DataCentre, l.cfg.Service))
 	if errors.Is(err, store.ErrNotFound) {
@@ -134,55 +136,58 @@
 		return nil
 	}
 	if err != nil {
-		return errors.Wrap(err, "read lease")
+		return errors.Wrap(err, "read lease record")
 	}
 	if l.haveRecord && rec.Version == l.version {
 		return nil
 	}
 	var r Record
 	if err := json.Unmarshal(rec.Value, &r); err != nil {
-		return errors.Wrap(err, "decode lease")
+		return errors.Wrap(err, "decode lease record")
 	}
 	l.haveRecord = true
-	l.seenAt = l.clock()
+	l.unchangedSince = l.clock()
 	l.setRecord(r, rec.Version)
 	return nil
 }
 
+// setRecord stores the observed record. It ends the tenure if the record is not this candidate's.
 func (l *Lease) setRecord(r Record, version uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.record, l.version = r, version
-	if l.held && !l.mine(r) {
+	if l.held && !l.isOwn(r) {
 		l.held = false
 	}
 }
 
-func (l *Lease) mine(r Record) bool {
+// isOwn reports whether r was written by this candidate's process and has not been released.
+func (l *Lease) isOwn(r Record) bool {
 	return r.Holder == l.cfg.Holder && r.Incarnation == l.cfg.Incarnation && !r.Released
 }
 
-func (l *Lease) ours() bool { return l.haveRecord && l.mine(l.record) }
+// recordIsOwn reports whether the observed record is this candidate's.
+func (l *Lease) recordIsOwn() bool { return l.haveRecord && l.isOwn(l.record) }
 
-// adoptable reports whether an acquisition whose answer was lost has taken
-// effect: the record is ours but no tenure is known.
-func (l *Lease) adoptable() bool {
+// tenureUnknown reports whether no tenure is known. If the record is this candidate's all the
+// same, an acquisition whose answer was lost has taken effect.
+func (l *Lease) tenureUnknown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.held
 }
 
-// lapsed reports whether the record has stood unchanged for longer than its
-// holder may believe in it.
+// lapsed reports whether the record has been unchanged for longer than its holder may consider
+// the lease valid.
 func (l *Lease) lapsed() bool {
 	if !l.haveRecord || l.record.Released {
 		return true
 	}
-	return l.clock()-l.seenAt > l.cfg.TTL+l.cfg.TTL/driftDivisor
+	return l.clock()-l.unchangedSince > l.cfg.TTL+l.cfg.TTL/clockDriftDivisor
 }
 
-// renew writes the next renewal. The new validity counts from before the
-// write was sent.
+// renew writes the next renewal. The lease is then valid for the TTL from before the write was
+// sent.
 func (l *Lease) renew(ctx context.Context) error {
 	next := l.record
 	next.Renewals++
@@ -194,6 +199,8 @@
 	return l.confirm(ctx, next, version, sent)
 }
 
+// acquire writes a record with a new fencing number, on the condition that the observed record
+// has not changed.
 func (l *Lease) acquire(ctx context.Context) error {
 	fence, err := l.nextFence(ctx)
 	if err != nil {
@@ -208,38 +215,41 @@
 	return l.confirm(ctx, next, version, sent)
 }
 
-// fence is the fencing number of a new tenure and the version of the counter
-// that it was taken from.
-type fence struct {
+// newFence is the fencing number of a new tenure and the version of the counter from which it was
+// taken.
+type newFence struct {
 	number  uint64
 	version uint64
 }
 
+// fenceRecord is the JSON value of the records at FenceKey and CounterKey.
 type fenceRecord struct {
 	Fence uint64 `json:"fence"`
 }
 
-func (l *Lease) nextFence(ctx context.Context) (fence, error) {
+// nextFence reads the counter and returns the next fencing number.
+func (l *Lease) nextFence(ctx context.Context) (newFence, error) {
 	rec, err := l.table.Get(ctx, CounterKey(l.cfg.DataCentre))
 	if errors.Is(err, store.ErrNotFound) {
-		return fence{number: 1}, nil
+		return newFence{number: 1}, nil
 	}
 	if err != nil {
-		return fence{}, errors.Wrap(err, "read fence counter")
+		return newFence{}, errors.Wrap(err, "read fence counter")
 	}
 	var f fenceRecord
 	if err := json.Unmarshal(rec.Value, &f); err != nil {
-		return fence{}, errors.Wrap(err, "decode fence counter")
+		return newFence{}, errors.Wrap(err, "decode fence counter")
 	}
-	return fence{number: f.Fence + 1, version: rec.Version}, nil
+	return newFence{number: f.Fence + 1, version: rec.Version}, nil
 }
 
-// commit writes next on the version observed, and the fence record with it
-// when the lease changes hands.
-func (l *Lease) commit(ctx context.Context, next Record, f *fence) (uint64, error) {
+// commit writes next on the condition that the record still has the observed version. When the
+// lease changes hands, f is the new fencing number, and commit also writes the counter, on the
+// condition that it has not changed, and the fence record. For a renewal f is nil.
+func (l *Lease) commit(ctx context.Context, next Record, f *newFence) (uint64, error) {
 	value, err := json.Marshal(next)
 	if err != nil {
-		return 0, errors.Wrap(err, "encode lease")
+		return 0, errors.Wrap(err, "encode lease record")
 	}
 	key := Key(l.cfg.DataCentre, l.cfg.Service)
 	txn := store.Txn{
@@ -247,25 +257,25 @@
 		Puts:  []store.Put{{Key: key, Value: value}},
 	}
 	if f != nil {
-		fv, err := json.Marshal(fenceRecord{Fence: f.number})
+		fenceValue, err := json.Marshal(fenceRecord{Fence: f.number})
 		if err != nil {
-			return 0, errors.Wrap(err, "encode fence")
+			return 0, errors.Wrap(err, "encode fence record")
 		}
 		counter := CounterKey(l.cfg.DataCentre)
 		txn.Conds = append(txn.Conds, store.Cond{Key: counter, Version: f.version})
 		txn.Puts = append(txn.Puts,
-			store.Put{Key: counter, Value: fv},
-			store.Put{Key: FenceKey(l.cfg.DataCentre, l.cfg.Service), Value: fv})
+			store.Put{Key: counter, Value: fenceValue},
+			store.Put{Key: FenceKey(l.cfg.DataCentre, l.cfg.Service), Value: fenceValue})
 	}
 	return l.table.Commit(ctx, txn)
 }
 
-// confirm takes note of a record that is known to be written. A tenure begins
-// with its first confirmed write; the fence record's version is read then, as
-// the first write's answer may have been lost.
+// confirm records that r is known to be written with the given version, and extends the validity
+// of the lease to the TTL after sent. A tenure begins with its first confirmed write. The version
+// of the fence record is read then, as the answer to the acquisition may have been lost.
 func (l *Lease) confirm(ctx context.Context, r Record, version uint64, sent time.Duration) error {
 	l.haveRecord = true
-	l.seenAt = sent
+	l.unchangedSince = sent
 	l.setRecord(r, version)
 	if _, ok := l.tenureOf(r.Fence); !ok {
 		if err := l.beginTenure(ctx, r); err != nil {
@@ -278,20 +288,23 @@
 	return nil
 }
 
+// tenureOf returns the current tenure and whether it is held with the given fencing number.
 func (l *Lease) tenureOf(fence uint64) (Tenure, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tenure, l.held && l.tenure.Fence == fence
 }
 
+// beginTenure begins the tenure of a confirmed record. It fails with ErrNotHeld if the fence
+// record already belongs to another tenure.
 func (l *Lease) beginTenure(ctx context.Context, r Record) error {
 	rec, err := l.table.Get(ctx, FenceKey(l.cfg.DataCentre, l.cfg.Service))
 	if err != nil {
-		return errors.Wrap(err, "read fence of new tenure")
+		return errors.Wrap(err, "read fence record of new tenure")
 	}
 	var f fenceRecord
 	if err := json.Unmarshal(rec.Value, &f); err != nil {
-		return errors.Wrap(err, "decode fence of new tenure")
+		return errors.Wrap(err, "decode fence record of new tenure")
 	}
 	if f.Fence != r.Fence {
 		return ErrNotHeld
@@ -303,7 +316,7 @@
 	return nil
 }
 
-// Release gives up a held lease, so that a successor need not wait.
+// Release gives up the lease if it is held, so that a successor need not wait for it to lapse.
 func (l *Lease) Release(ctx context.Context) error {
 	if _, ok := l.Held(); !ok {
 		return nil
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -16,7 +16,7 @@
 
 const ttl = 6 * time.Second
 
-// fakeClock is set by hand.
+// fakeClock is a Clock that the test sets.
 type fakeClock struct {
 	mu  sync.Mutex
 	now time.Duration
@@ -38,7 +38,8 @@
 	return New(Config{DataCentre: "kakkanad", Service: "hints", Holder: name, Incarnation: 1, TTL: ttl}, p, clock)
 }
 
-func step(t *testing.T, l *Lease) {
+// mustStep calls Step with contend set and fails the test if it returns an error.
+func mustStep(t *testing.T, l *Lease) {
 	t.Helper()
 	if err := l.Step(context.Background(), true); err != nil {
 		t.Fatal(err)
@@ -54,73 +55,72 @@
 	is := is.New(t)
 	p, clock := store.NewMemory(), &fakeClock{}
 	a, b := candidate(p, "a", clock.read), candidate(p, "b", clock.read)
-	step(t, a)
-	step(t, b)
+	mustStep(t, a)
+	mustStep(t, b)
 	is.True(held(a))
 	is.True(!held(b))
 	first, _ := a.Held()
 
 	clock.add(ttl / 2)
-	step(t, a) // renews
-	step(t, b)
+	mustStep(t, a) // renews
+	mustStep(t, b)
 	clock.add(ttl * 3 / 4)
 	is.True(held(a)) // renewed in time
-	step(t, b)
+	mustStep(t, b)
 	is.True(!held(b))
 
 	clock.add(ttl)
-	is.True(!held(a)) // stops by itself, without asking anyone
-	step(t, b)
+	is.True(!held(a)) // stops by its own clock, without reading the store
+	mustStep(t, b)
 	second, ok := b.Held()
 	is.True(ok)
 	is.True(second.Fence > first.Fence)
 }
 
-// A frozen holder that wakes after its lease lapsed must not act, whether or
-// not anyone has taken over, and must not go on with its old tenure.
+// A frozen holder that resumes after its lease has lapsed must not act, whether or not another VM
+// has taken over, and must not continue its old tenure.
 func TestFrozenHolder(t *testing.T) {
 	is := is.New(t)
 	p, clock := store.NewMemory(), &fakeClock{}
 	a := candidate(p, "a", clock.read)
-	step(t, a)
+	mustStep(t, a)
 	first, _ := a.Held()
 	clock.add(time.Hour)
 	is.True(!held(a))
-	step(t, a) // observes its own unchanged record: a new tenure is needed
+	mustStep(t, a) // observes its own record, which needs a new tenure
 	clock.add(ttl + ttl/2)
-	step(t, a)
+	mustStep(t, a)
 	second, ok := a.Held()
 	is.True(ok)
 	is.True(second.Fence > first.Fence)
 }
 
-// An observer that has just begun must wait a whole TTL by its own clock,
-// however old the record is.
+// A new observer must wait a whole TTL by its own clock, however old the record is.
 func TestObserverStartsItsOwnClock(t *testing.T) {
 	is := is.New(t)
 	p, clock := store.NewMemory(), &fakeClock{}
 	a := candidate(p, "a", clock.read)
-	step(t, a)
+	mustStep(t, a)
 	other := &fakeClock{now: 1000 * time.Hour}
 	b := candidate(p, "b", other.read)
-	step(t, b)
+	mustStep(t, b)
 	is.True(!held(b))
 	other.add(ttl)
-	step(t, b)
-	is.True(!held(b)) // the holder may still believe in it
+	mustStep(t, b)
+	is.True(!held(b)) // the holder may still consider the lease valid
 	other.add(ttl / 10)
-	step(t, b)
+	mustStep(t, b)
 	is.True(held(b))
 }
 
-func TestReleaseIsTakenAtOnce(t *testing.T) {
+func TestReleasedLeaseIsAcquiredAtOnce(t *testing.T) {
 	is := is.New(t)
 	p, clock := store.NewMemory(), &fakeClock{}
 	a, b := candidate(p, "a", clock.read), candidate(p, "b", clock.read)
-	step(t, a)
+	mustStep(t, a)
 	is.NoErr(a.Release(context.Background()))
 	is.True(!held(a))
-	step(t, b)
+	mustStep(t, b)
 	is.True(held(b))
 }
 
@@ -128,20 +128,20 @@
 	cases := []struct {
 		name  string
 		fault store.Fault
-		// heldAfter is whether the holder still holds right after a renewal
-		// under the fault, within the old TTL.
+		// heldAfter is whether the lease is still held after a renewal under the fault, within the
+		// TTL of the previous renewal.
 		heldAfter bool
 	}{
-		{"down", store.FaultDown, true},
-		{"renewal without effect", store.FaultLostWrites, true},
-		{"renewal without an answer", store.FaultLostAnswers, true},
+		{"store is down", store.FaultDown, true},
+		{"renewal is lost", store.FaultLostWrites, true},
+		{"answer to the renewal is lost", store.FaultLostAnswers, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			p, clock := store.NewMemory(), &fakeClock{}
 			a, b := candidate(p, "a", clock.read), candidate(p, "b", clock.read)
-			step(t, a)
+			mustStep(t, a)
 			p.SetFault(c.fault)
 			clock.add(ttl / 2)
 			is.True(a.Step(context.Background(), true) != nil)
@@ -149,15 +149,15 @@
 			clock.add(ttl * 3 / 4)
 			is.True(!held(a)) // an unconfirmed renewal does not count
 			p.SetFault(store.FaultNone)
-			step(t, b)
+			mustStep(t, b)
 			clock.add(2 * ttl)
-			step(t, b)
+			mustStep(t, b)
 			is.True(held(b) && !held(a))
 		})
 	}
 }
 
-// An acquisition whose answer was lost is found out and used.
+// An acquisition whose answer was lost is found by the next Step, which begins the tenure.
 func TestAcquisitionWithoutAnswer(t *testing.T) {
 	is := is.New(t)
 	p, clock := store.NewMemory(), &fakeClock{}
@@ -166,24 +166,24 @@
 	is.True(errors.Is(a.Step(context.Background(), true), store.ErrUnknown))
 	is.True(!held(a))
 	p.SetFault(store.FaultNone)
-	step(t, a)
+	mustStep(t, a)
 	is.True(held(a))
 }
 
-// A restarted process on the same VM is not taken for the old one.
+// A restarted process on the same VM does not take over the lease of the old process.
 func TestRestartedHolder(t *testing.T) {
 	is := is.New(t)
 	p, clock := store.NewMemory(), &fakeClock{}
 	old := candidate(p, "a", clock.read)
-	step(t, old)
+	mustStep(t, old)
 	next := New(Config{DataCentre: "kakkanad", Service: "hints", Holder: "a", Incarnation: 2, TTL: ttl}, p, clock.read)
-	step(t, next)
+	mustStep(t, next)
 	is.True(!held(next))
 }
 
-// Any schedule of steps, pauses, clock rates and faults: never two holders at
-// one moment, and fencing numbers only rise. Each candidate has a clock of its
-// own with its own zero; true time moves all of them, some a little faster.
+// In any schedule of steps, pauses, clock rates and faults there are never two holders at the same
+// time, and fencing numbers only increase. Each candidate has its own clock with its own zero. All
+// clocks advance with the simulated time, some slightly faster than others.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := store.NewMemory()
@@ -199,7 +199,7 @@
 		for range rapid.IntRange(1, 60).Draw(rt, "events") {
 			i := rapid.IntRange(0, n-1).Draw(rt, "who")
 			p.SetFault(rapid.SampledFrom(faults).Draw(rt, "fault"))
-			// An error leaves the outcome open, which is what is tested.
+			// Step may fail because of the fault; only its effect is checked below.
 			_ = leases[i].Step(context.Background(), true)
 			d := time.Duration(rapid.IntRange(0, int(ttl/time.Millisecond)).Draw(rt, "ms")) * time.Millisecond
 			for j := range n {
@@ -207,16 +207,16 @@
 			}
 			holders := 0
 			for _, l := range leases {
-				if ten, ok := l.Held(); ok {
+				if tenure, ok := l.Held(); ok {
 					holders++
-					if ten.Fence < highest {
-						rt.Fatalf("fence %d after %d", ten.Fence, highest)
+					if tenure.Fence < highest {
+						rt.Fatalf("holder has fencing number %d after %d was seen", tenure.Fence, highest)
 					}
-					highest = max(highest, ten.Fence)
+					highest = max(highest, tenure.Fence)
 				}
 			}
 			if holders > 1 {
-				rt.Fatalf("%d holders at one moment", holders)
+				rt.Fatalf("%d holders at the same time", holders)
 			}
 		}
 	})
