--- a/internal/fleet/account.go
+++ b/internal/fleet/account.go
@@ -2,12 +2,14 @@
 
 import "github.com/pkg/errors"
 
-// Account is a client account.
+// Account is a client account of the configuration.
 type Account struct {
 	Name string
-	// Keys name the account in requests. An account that has lost all of them has none.
+	// Keys are the keys that identify the account in requests. An account whose keys have all
+	// been revoked has none.
 	Keys []string
-	// Priority is the rank of its requests, in place of their route's; nil is the route's.
+	// Priority is the priority of the account's requests and replaces that of their route. If it
+	// is nil, the route's priority applies.
 	Priority *int
 }
 
@@ -19,17 +21,18 @@
 	return *a.Priority
 }
 
-// accounts holds a configuration's client accounts by key.
-type accounts map[string]*Account
+// accountsByKey holds the client accounts of a configuration by key.
+type accountsByKey map[string]*Account
 
-// indexAccounts returns accounts by key, or an error that names the account at fault: a
-// key that two accounts share would let one run requests as the other.
-func indexAccounts(list []*Account) (accounts, error) {
-	out := make(accounts)
+// indexAccounts returns the accounts by key. It fails if an account has no name, or if a name or
+// a key is not unique: a key that two accounts share would let one of them run requests as the
+// other.
+func indexAccounts(list []*Account) (accountsByKey, error) {
+	out := make(accountsByKey)
 	names := make(map[string]bool, len(list))
 	for _, a := range list {
 		if a.Name == "" {
-			return nil, errors.New("a client account has no name")
+			return nil, errors.New("client account without a name")
 		}
 		if names[a.Name] {
 			return nil, errors.Errorf("client account %s is listed twice", a.Name)
@@ -40,7 +43,7 @@
 			case key == "":
 				return nil, errors.Errorf("client account %s: key %d is empty", a.Name, i)
 			case other != nil && other != a:
-				return nil, errors.Errorf("client account %s: key %d is also one of %s", a.Name, i, other.Name)
+				return nil, errors.Errorf("client account %s: key %d is also a key of client account %s", a.Name, i, other.Name)
 			}
 			out[key] = a
 		}
@@ -48,7 +51,7 @@
 	return out, nil
 }
 
-// SetAccounts gives the configuration its client accounts; it is called before the
+// SetAccounts sets the client accounts of the configuration. It must be called before the
 // configuration is shared.
 func (c *Config) SetAccounts(list []*Account) error {
 	byKey, err := indexAccounts(list)
@@ -59,8 +62,9 @@
 	return nil
 }
 
-// Keyed reports whether requests on routes that are not anonymous need a key.
+// Keyed reports whether the configuration has client accounts, so that requests need a key unless
+// their route is anonymous.
 func (c *Config) Keyed() bool { return c.accounts != nil }
 
-// Account returns the client account that holds a key, or nil.
+// Account returns the client account with the given key, or nil.
 func (c *Config) Account(key string) *Account { return c.accounts[key] }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet holds what a process believes about the outside: the
-// operators' configuration and the list of targets. A View is immutable and
-// swapped whole, so that one request is decided on one state of both.
+// Package fleet holds a process's current view of the operators' configuration and of the list of
+// targets. A View is immutable and replaced as a whole, so that each request is decided on one
+// consistent state of both.
 package fleet
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Kind says how often a request may be run.
+// Kind says how often a request may be run and how it is answered.
 type Kind int
 
 // The kinds of route.
@@ -19,12 +19,12 @@
 	Idempotent Kind = iota + 1
 	// NonIdempotent requests may be run at most once.
 	NonIdempotent
-	// Streaming requests are answered by a series of events. They may be run
-	// at most once unless the route is resumable.
+	// Streaming requests are answered by a series of events. They may be run at most once unless
+	// the route is resumable.
 	Streaming
 )
 
-// String returns the kind as it appears in logs.
+// String returns the name of the kind as it appears in logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -37,57 +37,57 @@
 	return "unknown"
 }
 
-// Share is one service of a route that is split, with its weight.
+// Share is the weight of one of the services over which a route is split.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Route is one row of the operators' configuration.
+// Route is one route of the operators' configuration.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Shares names the services that may run the route's requests.
+	// Shares lists the services that may run the route's requests.
 	Shares []Share
 	// Timeout bounds how long a request may be kept waiting.
 	Timeout time.Duration
-	// Objective is the latency within which an answer is on time; for a
-	// stream, the latency of its first event.
+	// Objective is the latency within which an answer is on time. For a stream it is the latency
+	// of the first event.
 	Objective time.Duration
-	// MaxGap is the longest pause between two events of a stream on time.
+	// MaxGap is the longest time between two events of a stream that is on time.
 	MaxGap time.Duration
-	// Patience is the longest wait for a stream's next event, its first one too,
-	// after which callers leave; 0 is no such bound.
+	// Patience is the longest time for which callers wait for the next event of a stream,
+	// including its first one, before they disconnect; 0 is no limit.
 	Patience time.Duration
-	// Priority is the route's rank; 0 is the most urgent.
+	// Priority is the route's priority; 0 is the most urgent.
 	Priority int
-	// MaxAttempts bounds the targets that one request may be sent to.
+	// MaxAttempts bounds the number of targets that one request may be sent to.
 	MaxAttempts int
-	// Resumable streams may be continued at another target.
+	// Resumable says that a stream may be continued at another target.
 	Resumable bool
-	// Anonymous requests need no key.
+	// Anonymous says that requests need no key.
 	Anonymous bool
 }
 
-// Repeatable reports whether a request that may have run may be sent again
-// from its beginning.
+// Repeatable reports whether a request that may already have run may be sent again from its
+// beginning.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Streaming && r.Resumable)
 }
 
-// Pick returns the service for a request by the routes' weights; random is
+// Pick returns the service for a request according to the weights of the shares; random must be
 // uniform in [0, 1).
 func (r *Route) Pick(random float64) string {
 	total := 0.0
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	point := random * total
+	remaining := random * total
 	for _, s := range r.Shares {
-		point -= s.Weight
-		if point < 0 {
+		remaining -= s.Weight
+		if remaining < 0 {
 			return s.Service
 		}
 	}
@@ -98,41 +98,42 @@
 type EngineSpec struct {
 	// Slots is how many requests one engine runs at once.
 	Slots int
-	// KVTokens is the size of an engine's KV cache, in tokens.
+	// KVTokens is the size of an engine's KV cache in tokens.
 	KVTokens int
-	// HandleTTL is how long a prefilled prompt is kept for its decode target.
+	// HandleTTL is how long the KV cache of a prefilled prompt is kept for the decode engine to
+	// fetch.
 	HandleTTL time.Duration
-	// SwitchTime is how long an engine is away when it changes its stage.
+	// SwitchTime is how long an engine is unavailable while it changes its stage.
 	SwitchTime time.Duration
-	// Objective is the shortest objective of the service's routes, or 0.
+	// Objective is the shortest objective of the service's routes, or 0 if none has one.
 	Objective time.Duration
-	// MaxGap is the shortest pause between events that a route of the service
-	// allows, or 0: streams of all routes run side by side at an engine.
+	// MaxGap is the shortest MaxGap of the service's routes, or 0 if none has one. It applies to
+	// all of them, as streams of all routes run side by side on an engine.
 	MaxGap time.Duration
 }
 
 // Service is one service of the configuration.
 type Service struct {
 	Name string
-	// MaxConns is how many connections one target accepts from all callers.
+	// MaxConns is how many connections one target accepts from all callers together.
 	MaxConns int
 	// Engine is nil for a plain service.
 	Engine *EngineSpec
-	// Scaling is nil where the number of targets is not ours to choose.
+	// Scaling is nil if the number of targets is not ours to choose.
 	Scaling *Scaling
 }
 
-// Scaling is what is said of the order of a service's targets.
+// Scaling holds the limits and prices for the number of a service's targets.
 type Scaling struct {
-	// Min and Max bound the targets of one data centre.
+	// Min and Max bound the number of targets in one data centre.
 	Min int
 	Max int
-	// Boot is how long a new target takes to serve.
+	// Boot is how long a new target takes until it serves.
 	Boot time.Duration
-	// SpotPrice is what a target costs that may be reclaimed, as a part of another's price; 0
-	// is none to be had.
+	// SpotPrice is the price of a spot target, which may be reclaimed, as a fraction of the price
+	// of an on-demand target; 0 is none available.
 	SpotPrice float64
-	// Prices holds the price of a target's second by data centre.
+	// Prices holds the price of one second of a target by data centre.
 	Prices map[string]float64
 }
 
@@ -149,13 +150,14 @@
 	Version  uint64
 	Services map[string]*Service
 	Limits   Limits
-	// accounts is nil where the configuration has no client accounts.
-	accounts accounts
-	// byHost holds the routes of each host, longest prefix first.
+	// accounts is nil if the configuration has no client accounts.
+	accounts accountsByKey
+	// byHost holds the routes of each host in lower case, longest prefix first.
 	byHost map[string][]*Route
 }
 
-// NewConfig returns the configuration with its routes indexed for Match.
+// NewConfig returns a configuration with its routes indexed for Match. It sets the objectives of
+// the services' engines from the routes.
 func NewConfig(version uint64, routes []*Route, services []*Service, limits Limits) *Config {
 	c := &Config{
 		Version: version, Limits: limits,
@@ -165,7 +167,7 @@
 	for _, s := range services {
 		c.Services[s.Name] = s
 	}
-	c.setAims(routes)
+	c.setEngineObjectives(routes)
 	for _, r := range routes {
 		host := strings.ToLower(r.Host)
 		c.byHost[host] = append(c.byHost[host], r)
@@ -176,29 +178,29 @@
 	return c
 }
 
-// setAims sets the shortest pauses and objectives of the routes to each service's
-// engines.
-func (c *Config) setAims(routes []*Route) {
+// setEngineObjectives sets Objective and MaxGap of each service's engines to the shortest of the
+// service's routes.
+func (c *Config) setEngineObjectives(routes []*Route) {
 	for _, r := range routes {
 		for _, share := range r.Shares {
 			if s := c.Services[share.Service]; s != nil && s.Engine != nil {
-				s.Engine.MaxGap = shorter(s.Engine.MaxGap, r.MaxGap)
-				s.Engine.Objective = shorter(s.Engine.Objective, r.Objective)
+				s.Engine.MaxGap = shorterNonZero(s.Engine.MaxGap, r.MaxGap)
+				s.Engine.Objective = shorterNonZero(s.Engine.Objective, r.Objective)
 			}
 		}
 	}
 }
 
-// shorter returns the shorter of two times, of which 0 is none.
-func shorter(a, b time.Duration) time.Duration {
+// shorterNonZero returns the shorter of two durations, where 0 means that there is none.
+func shorterNonZero(a, b time.Duration) time.Duration {
 	if a <= 0 || (b > 0 && b < a) {
 		return b
 	}
 	return a
 }
 
-// Match returns the route of the host with the longest prefix of path, or nil.
-// A port after the host is ignored.
+// Match returns the route with the longest matching path prefix for the host, or nil. A port in
+// host is ignored.
 func (c *Config) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -211,10 +213,10 @@
 	return nil
 }
 
-// Stage is the part of generation that an engine does.
+// Stage is the part of text generation that a model engine performs.
 type Stage string
 
-// The stages. A target of a plain service has none.
+// The stages. A target of a plain service has NoStage.
 const (
 	NoStage Stage = ""
 	Prefill Stage = "prefill"
@@ -223,30 +225,31 @@
 
 // Target is one entry of the list of targets.
 type Target struct {
-	// ID names the target. One that starts again may keep it.
+	// ID identifies the target. A target that restarts may keep its id.
 	ID string
-	// Born is when the target started, in its own word: Unix milliseconds, or 0 where it
-	// does not say.
+	// Born is when the target started, as it states itself, in Unix milliseconds; 0 if it does
+	// not state it.
 	Born int64
-	// Run names the target's present run, see RunID; empty is ID.
+	// Run identifies the target's current run, as returned by the function RunID; if it is empty,
+	// ID does.
 	Run        string
 	Service    string
 	Address    string
 	DataCentre string
 	Slots      int
-	// Leaving targets take no new requests.
+	// Leaving targets accept no new requests.
 	Leaving bool
 	// Spot targets may be reclaimed, all of a data centre at once.
 	Spot  bool
 	Stage Stage
 }
 
-// runIDBase is the base in which a start is written in a run's id.
+// runIDBase is the number base in which the start time is written in a run id.
 const runIDBase = 36
 
-// RunID names one run of the target, from its start to its end. What is known of a run
-// says nothing of the next one under the same id, which holds no cache, no work and no
-// handle: all state of a target is kept by it.
+// RunID returns the id of the target's current run, from its start to its end. State of a target
+// is kept by run id: the next run under the same target id has no cache, no work and no KV
+// handles of the previous one.
 func (t *Target) RunID() string {
 	if t.Run == "" {
 		return t.ID
@@ -254,7 +257,8 @@
 	return t.Run
 }
 
-// RunID returns the name of the run of target id that was born then.
+// RunID returns the id of the run of target id that started at the given time, in Unix
+// milliseconds, or id itself if the start is 0.
 func RunID(id string, born int64) string {
 	if born == 0 {
 		return id
@@ -262,18 +266,18 @@
 	return id + "." + strconv.FormatInt(born, runIDBase)
 }
 
-// View is the state that a request is decided on.
+// View is the state that one request is decided on. It must not be changed.
 type View struct {
 	// Config is nil until the first configuration has been read.
 	Config *Config
-	// Targets holds each service's targets, by id.
+	// Targets holds each service's targets in the order of their ids.
 	Targets map[string][]*Target
-	// TargetsRevision is the store's revision that the targets are from.
+	// TargetsRevision is the store revision of the list of targets.
 	TargetsRevision uint64
 }
 
-// Usable reports whether requests can be served on the view: a service of the
-// configuration has a target.
+// Usable reports whether requests can be served: at least one service of the configuration has a
+// target.
 func (v *View) Usable() bool {
 	if v.Config == nil {
 		return false
@@ -286,7 +290,7 @@
 	return false
 }
 
-// Has reports whether target t is listed in v and not leaving.
+// Has reports whether the view lists target t and it is not leaving.
 func (v *View) Has(t *Target) bool {
 	for _, other := range v.Targets[t.Service] {
 		if other.ID == t.ID {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -46,7 +46,7 @@
 	is.Equal(zero.Pick(0.5), "b")
 }
 
-func TestKeeperNeverGoesBack(t *testing.T) {
+func TestKeeperIgnoresOlderConfigurations(t *testing.T) {
 	is := is.New(t)
 	k := fleet.NewKeeper()
 	is.True(!k.View().Usable())
@@ -56,7 +56,7 @@
 	is.Equal(k.View().Config.Version, uint64(7))
 }
 
-func TestViewIsNotChangedByLaterNews(t *testing.T) {
+func TestViewIsNotChangedByLaterUpdates(t *testing.T) {
 	is := is.New(t)
 	k := fleet.NewKeeper()
 	a := &fleet.Target{ID: "i-a", Service: "s"}
@@ -68,7 +68,7 @@
 	is.Equal(k.View().TargetsRevision, uint64(4))
 }
 
-func TestLeavingTargetIsNotHad(t *testing.T) {
+func TestLeavingTargetIsNotInTheView(t *testing.T) {
 	is := is.New(t)
 	k := fleet.NewKeeper()
 	a := &fleet.Target{ID: "i-a", Service: "s", Leaving: true}
@@ -76,9 +76,9 @@
 	is.True(!k.View().Has(a))
 }
 
-// Targets of services that the configuration does not name, as an entry of another
-// program may state, serve nobody.
-func TestViewIsUsableWithATargetOfItsServices(t *testing.T) {
+// A target of a service that is not in the configuration, as an entry written by another program
+// may be, does not make the view usable.
+func TestViewIsUsableWithATargetOfAConfiguredService(t *testing.T) {
 	is := is.New(t)
 	k := fleet.NewKeeper()
 	k.SetConfig(fleet.NewConfig(1, nil, []*fleet.Service{{Name: "s"}}, fleet.Limits{}))
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -6,16 +6,19 @@
 	"sync/atomic"
 )
 
-// Keeper holds the newest view. Reads never wait; a change makes a new view.
+// Keeper holds the newest view. Reads never block; every change publishes a new view. It is safe
+// for concurrent use, except for OnChange.
 type Keeper struct {
 	view atomic.Pointer[View]
 
+	// mu serializes changes and guards targets.
 	mu      sync.Mutex
 	targets map[string]*Target
-	changed []func(*View)
+	// listeners are called with each new view.
+	listeners []func(*View)
 }
 
-// NewKeeper returns a keeper that knows nothing yet.
+// NewKeeper returns a keeper with an empty view.
 func NewKeeper() *Keeper {
 	k := &Keeper{targets: make(map[string]*Target)}
 	k.view.Store(&View{})
@@ -25,12 +28,13 @@
 // View returns the newest view.
 func (k *Keeper) View() *View { return k.view.Load() }
 
-// OnChange registers f to be called with each new view. It must be called
-// before the first change; f must not call the keeper's setters.
-func (k *Keeper) OnChange(f func(*View)) { k.changed = append(k.changed, f) }
+// OnChange registers f to be called with each new view. It must be called before the first
+// change. f must not call SetConfig, ApplyTargets, Target or Listed, as it runs under the
+// keeper's lock.
+func (k *Keeper) OnChange(f func(*View)) { k.listeners = append(k.listeners, f) }
 
-// SetConfig takes in a configuration unless a newer one is known. It returns
-// whether it was taken.
+// SetConfig publishes a view with configuration c, unless the current version is the same or
+// newer. It reports whether it did.
 func (k *Keeper) SetConfig(c *Config) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -46,11 +50,11 @@
 // TargetChange is one change of the list of targets.
 type TargetChange struct {
 	ID string
-	// Target is nil when the entry was removed.
+	// Target is nil if the entry was removed.
 	Target *Target
 }
 
-// ApplyTargets takes in changes as of a revision of the store.
+// ApplyTargets publishes a view with changes to the list of targets, as of a store revision.
 func (k *Keeper) ApplyTargets(changes []TargetChange, revision uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -64,14 +68,14 @@
 	k.publishTargets(revision)
 }
 
-// Target returns a target that is known, or nil.
+// Target returns the listed target with the given id, or nil.
 func (k *Keeper) Target(id string) *Target {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.targets[id]
 }
 
-// Listed returns the ids of all targets known.
+// Listed returns the ids of all listed targets, in no particular order.
 func (k *Keeper) Listed() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -82,6 +86,7 @@
 	return ids
 }
 
+// publishTargets publishes a view with the current targets. The caller must hold k.mu.
 func (k *Keeper) publishTargets(revision uint64) {
 	v := *k.view.Load()
 	v.TargetsRevision = max(revision, v.TargetsRevision)
@@ -95,9 +100,10 @@
 	k.publish(&v)
 }
 
+// publish stores a view and calls the listeners. The caller must hold k.mu.
 func (k *Keeper) publish(v *View) {
 	k.view.Store(v)
-	for _, f := range k.changed {
+	for _, f := range k.listeners {
 		f(v)
 	}
 }
