--- a/internal/profile/fit.go
+++ b/internal/profile/fit.go
@@ -6,87 +6,92 @@
 )
 
 const (
-	// window is how many samples a fit remembers. What is older says nothing any
-	// more: some seconds at ten requests a second, so that a release of other
-	// engines is followed within that time.
-	window = 256
-	// refitEvery is how many samples come between two fits of a full window. A fit
-	// takes some 20 microseconds.
-	refitEvery = 16
-	// eagerUntil is the number of samples up to which each one is fitted at once.
-	eagerUntil = 24
-	// priorSamples is how many samples the prior's shape weighs: the relation of the
-	// two coefficients, not their size.
-	priorSamples = 4
-	// stepSamples is the same for decode steps. What each request beside adds to a step is
-	// a small part of it, of which few samples would not outweigh more.
-	stepSamples = 0.2
-	// rounds is how often the weights of outlying samples are found anew.
-	rounds = 4
-	// outlier is the relative error from which a sample weighs less, in proportion.
-	// Stalls, queues and grey engines add whole multiples; other requests in the
-	// same batch add some tenths.
-	outlier = 0.3
-	// floorShare bounds a coefficient from below, as a part of the scaled prior.
-	floorShare = 1e-3
+	// windowSize is how many samples an estimate is based on. Older samples no longer apply: the
+	// window spans some seconds at ten requests a second, so that the estimates follow the
+	// release of new engines within that time.
+	windowSize = 256
+	// refitInterval is the number of samples between two fits of a full window. A fit takes about
+	// 20 microseconds.
+	refitInterval = 16
+	// eagerSamples is the number of first samples after each of which the estimate is fitted at
+	// once.
+	eagerSamples = 24
+	// priorWeight is how many samples the prior counts as. Only the ratio of its
+	// coefficients counts, not their magnitude.
+	priorWeight = 4
+	// stepPriorWeight is the same for the time between events. The contribution of each
+	// concurrent request is small, and a few samples would not outweigh a stronger prior.
+	stepPriorWeight = 0.2
+	// reweightRounds is how often the weights of outliers are recomputed in one fit.
+	reweightRounds = 4
+	// outlierThreshold is the relative error from which the weight of a sample decreases, in
+	// proportion to the error. Stalls, queues and slow engines multiply a time; other requests in
+	// the same batch add a few tenths.
+	outlierThreshold = 0.3
+	// minCoefficientShare is the lower bound of a coefficient as a fraction of the scaled prior.
+	minCoefficientShare = 1e-3
 )
 
-// dims is the number of parts that a figure has at most.
+// dims is the maximum number of terms of a model.
 const dims = 3
 
-// vector holds the sizes that a time depends on, or the time that each takes.
+// vector holds the sizes on which a value depends, or the coefficient of each size.
 type vector [dims]float64
 
-// sample is one measured time.
+// sample is one measured value and the sizes it depends on.
 type sample struct {
-	x vector
-	y float64
-	// noise is how much less than a clean sample it tells; 1 is a clean one.
+	size  vector
+	value float64
+	// noise is the factor by which the sample is less reliable than a clean one, which has 1.
 	noise float64
 }
 
-// fit is a robust estimate of y = c·x from the newest samples. Its prior gives the
-// relation of the coefficients; their size is taken from the samples alone once there
-// is one, so that engines a hundred times as fast as the prior are known after the
-// first few.
+// fit is a robust estimate of the coefficients c of the linear model value = c·size from the
+// newest samples. Its prior gives the ratio of the coefficients. Their magnitude comes from the
+// samples alone as soon as there is one, so that engines a hundred times as fast as the prior are
+// estimated well after the first few samples.
 type fit struct {
 	prior vector
-	// fixed is the coefficient whose prior does not grow with the others, as it is no
-	// matter of the engine's speed, or -1.
+	// fixed is the index of the coefficient whose prior is not scaled with the others, as it does
+	// not depend on the engine's speed, or -1.
 	fixed int
-	// weight is how many samples the prior's shape weighs.
-	weight  float64
+	// weight is how many samples the prior counts as.
+	weight float64
+	// c holds the estimated coefficients.
 	c       vector
 	samples []sample
-	// next is the place of the next sample in a full window, and seen counts all.
+	// next is the index of the sample to replace in a full window, and seen the number of all
+	// samples so far.
 	next int
 	seen int
 }
 
-func newFit(prior vector) *fit { return &fit{prior: prior, fixed: -1, weight: priorSamples, c: prior} }
+// newFit returns a fit without samples, which estimates the prior.
+func newFit(prior vector) *fit { return &fit{prior: prior, fixed: -1, weight: priorWeight, c: prior} }
 
-// at returns the estimate for x.
-func (f *fit) at(x vector) float64 { return dot(f.c, x) }
+// at returns the estimated value for a size.
+func (f *fit) at(size vector) float64 { return dot(f.c, size) }
 
-// add takes in a sample. One without a positive time or size tells nothing.
+// add adds a sample. It ignores samples whose value or size is not positive, or whose value is
+// infinite.
 func (f *fit) add(s sample) {
-	if !(s.y > 0) || !(dot(f.growing(), s.x) > 0) || math.IsInf(s.y, 0) {
+	if !(s.value > 0) || !(dot(f.scalablePrior(), s.size) > 0) || math.IsInf(s.value, 0) {
 		return
 	}
-	if len(f.samples) < window {
+	if len(f.samples) < windowSize {
 		f.samples = append(f.samples, s)
 	} else {
 		f.samples[f.next] = s
-		f.next = (f.next + 1) % window
+		f.next = (f.next + 1) % windowSize
 	}
 	f.seen++
-	if f.seen <= eagerUntil || f.seen%refitEvery == 0 {
+	if f.seen <= eagerSamples || f.seen%refitInterval == 0 {
 		f.refit()
 	}
 }
 
-// growing is the prior without its fixed part.
-func (f *fit) growing() vector {
+// scalablePrior returns the prior without its fixed term.
+func (f *fit) scalablePrior() vector {
 	v := f.prior
 	if f.fixed >= 0 {
 		v[f.fixed] = 0
@@ -94,11 +99,11 @@
 	return v
 }
 
-// refit estimates the coefficients anew: their size is the median of what the cleaner
-// half of the samples say against the prior, and the rest weighted least squares of
-// relative errors about it.
+// refit estimates the coefficients. The prior is first scaled by the median ratio of the cleaner
+// half of the samples to the prior. The coefficients then minimize the weighted squares of the
+// relative errors, with the scaled prior as additional samples.
 func (f *fit) refit() {
-	scale := f.scale()
+	scale := f.priorScale()
 	base := f.prior
 	for i := range base {
 		if i != f.fixed {
@@ -106,32 +111,32 @@
 		}
 	}
 	c := base
-	for range rounds {
-		c = f.solve(base, c)
+	for range reweightRounds {
+		c = f.solveWeighted(base, c)
 	}
 	f.c = c
 }
 
-// scale is how many times the prior the samples are.
-func (f *fit) scale() float64 {
+// priorScale returns the median ratio of the cleaner half of the samples to the prior.
+func (f *fit) priorScale() float64 {
 	noises := make([]float64, 0, len(f.samples))
 	for _, s := range f.samples {
 		noises = append(noises, s.noise)
 	}
-	clean := median(noises)
-	growing := f.growing()
+	medianNoise := median(noises)
+	scalable := f.scalablePrior()
 	ratios := make([]float64, 0, len(f.samples))
 	for _, s := range f.samples {
-		if s.noise <= clean {
-			ratios = append(ratios, s.y/dot(growing, s.x))
+		if s.noise <= medianNoise {
+			ratios = append(ratios, s.value/dot(scalable, s.size))
 		}
 	}
 	return median(ratios)
 }
 
-// solve is one round of weighted least squares about base, with weights by the errors
-// that c makes.
-func (f *fit) solve(base, c vector) vector {
+// solveWeighted performs one round of weighted least squares around base, the scaled prior. The
+// weights depend on the errors of the samples under c, the coefficients of the round before.
+func (f *fit) solveWeighted(base, c vector) vector {
 	var a [dims]vector
 	var b vector
 	for i := range base {
@@ -142,30 +147,30 @@
 		}
 	}
 	for _, s := range f.samples {
-		expected := dot(c, s.x)
+		expected := dot(c, s.size)
 		if expected <= 0 {
 			continue
 		}
 		w := 1 / (s.noise * s.noise * expected * expected)
-		if off := math.Abs(s.y/expected - 1); off > outlier {
-			w *= outlier / off
+		if relErr := math.Abs(s.value/expected - 1); relErr > outlierThreshold {
+			w *= outlierThreshold / relErr
 		}
 		for i := range base {
 			for j := range base {
-				a[i][j] += w * s.x[i] * s.x[j]
+				a[i][j] += w * s.size[i] * s.size[j]
 			}
-			b[i] += w * s.x[i] * s.y
+			b[i] += w * s.size[i] * s.value
 		}
 	}
 	out := solveLinear(a, b)
 	for i := range out {
-		out[i] = max(out[i], floorShare*base[i])
+		out[i] = max(out[i], minCoefficientShare*base[i])
 	}
 	return out
 }
 
-// solveLinear solves a·x = b by Gaussian elimination; a is symmetric and positive
-// definite, as each part has its prior.
+// solveLinear solves a·x = b by Gaussian elimination. The matrix a is symmetric and positive
+// definite, as every term has a prior.
 func solveLinear(a [dims]vector, b vector) vector {
 	for i := range dims {
 		for r := i + 1; r < dims; r++ {
@@ -187,9 +192,10 @@
 	return x
 }
 
+// dot returns the scalar product of two vectors.
 func dot(a, b vector) float64 { return a[0]*b[0] + a[1]*b[1] + a[2]*b[2] }
 
-// median returns the middle of the values, which it sorts, or 0 where there are none.
+// median returns the middle of the values, or 0 if there are none. It sorts values in place.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/profile/least.go
+++ b/internal/profile/least.go
@@ -5,30 +5,34 @@
 	"slices"
 )
 
-// least is the least of the newest values.
-type least struct {
-	values [window]float64
+// slidingMin is the minimum of the newest windowSize values.
+type slidingMin struct {
+	// values is a ring buffer, and next the index of the value to replace. Unused places are
+	// infinite.
+	values [windowSize]float64
 	next   int
-	// least is infinite before there are values.
-	least float64
+	// min is infinite before there are values.
+	min float64
 }
 
-func newLeast() least {
-	l := least{least: math.Inf(1)}
-	for i := range l.values {
-		l.values[i] = math.Inf(1)
+// newSlidingMin returns a minimum of no values.
+func newSlidingMin() slidingMin {
+	m := slidingMin{min: math.Inf(1)}
+	for i := range m.values {
+		m.values[i] = math.Inf(1)
 	}
-	return l
+	return m
 }
 
-func (l *least) add(value float64) {
-	gone := l.values[l.next]
-	l.values[l.next] = value
-	l.next = (l.next + 1) % window
+// add adds a value in place of the oldest one.
+func (m *slidingMin) add(value float64) {
+	removed := m.values[m.next]
+	m.values[m.next] = value
+	m.next = (m.next + 1) % windowSize
 	switch {
-	case value <= l.least:
-		l.least = value
-	case gone <= l.least:
-		l.least = slices.Min(l.values[:])
+	case value <= m.min:
+		m.min = value
+	case removed <= m.min:
+		m.min = slices.Min(m.values[:])
 	}
 }
--- a/internal/profile/lengths.go
+++ b/internal/profile/lengths.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// lengths learns how far answers outlast what their callers expect.
-type lengths struct {
-	// ratios holds the newest answers' lengths by the expected ones, next the place of the
-	// next one and seen how many there were.
-	ratios [window]float64
+// lengthRatios learns how much longer answers are than their callers expect.
+type lengthRatios struct {
+	// ratios is a ring buffer of the newest answers' actual by expected lengths, next the index
+	// of the ratio to replace, and seen the number of all answers so far.
+	ratios [windowSize]float64
 	next   int
 	seen   int
-	// stretch is the ratio that longShare of the answers do not exceed.
-	stretch float64
+	// quantile is the ratio that a share lengthQuantile of the answers does not exceed.
+	quantile float64
 }
 
-// add takes in one answer.
-func (l *lengths) add(ratio float64) {
+// add adds the ratio of one answer.
+func (l *lengthRatios) add(ratio float64) {
 	l.ratios[l.next] = ratio
-	l.next = (l.next + 1) % window
+	l.next = (l.next + 1) % windowSize
 	l.seen++
-	if l.seen < known || (l.seen > eagerUntil && l.seen%refitEvery != 0) {
+	if l.seen < reliableSamples || (l.seen > eagerSamples && l.seen%refitInterval != 0) {
 		return
 	}
-	sorted := slices.Sorted(slices.Values(l.ratios[:min(l.seen, window)]))
-	l.stretch = sorted[int(longShare*float64(len(sorted)-1))]
+	sorted := slices.Sorted(slices.Values(l.ratios[:min(l.seen, windowSize)]))
+	l.quantile = sorted[int(lengthQuantile*float64(len(sorted)-1))]
 }
--- a/internal/profile/profile.go
+++ b/internal/profile/profile.go
@@ -1,262 +1,293 @@
-// Package profile learns how fast the engines of a service are, from the times that
-// this VM's own requests take. It has no clock and no network: callers bring what
-// they measured. Every VM learns for itself: some ten requests tell the size of each
-// figure, and a VM sends that many within a second or two.
+// Package profile estimates how fast the engines of a service are, from the times that this VM's
+// own requests take. It uses no clock and no network: its callers pass in what they measured. Each
+// VM estimates for itself: about ten requests are enough for the magnitude of each estimate, and a
+// VM sends that many within a second or two.
 package profile
 
 import "time"
 
-// The prior of each figure. Its size counts until there is a first sample; it lies in
-// the middle of what engines of one or several accelerators do. What lasts of it is
-// the relation of a figure's two parts, which is the model's architecture more than
-// the engine's speed.
+// The prior of each estimate. Its magnitude matters only until there is a first sample; it is in the
+// middle of the range of engines with one or several accelerators. What matters later is the ratio of
+// the coefficients of an estimate, which depends on the model's architecture more than on the engine's
+// speed.
 const (
-	// priorTokenMS is the time to read one token.
+	// priorTokenMS is the time to prefill one token, without attention.
 	priorTokenMS = 0.01
-	// priorPairsMS is the time for a million pairs of tokens that attend to each
-	// other. In dense models attention takes as long as all else at a context of
-	// some ten times the hidden size, 50,000 tokens: 25,000 pairs a token.
+	// priorPairsMS is the time for a million pairs of tokens that attend to each other. In dense
+	// models attention takes as long as everything else at a context of about ten times the
+	// hidden size, 50,000 tokens, which is 25,000 pairs for each token.
 	priorPairsMS = priorTokenMS * 1e6 / 25e3
-	// priorWayMS is the part of a reading's time that is not the engine's: the way
-	// there and back, and what this VM takes itself.
-	priorWayMS = 2
-	// priorHopMS is the time from the send of a prompt that was read elsewhere to its
-	// first event, without its moving, and priorMoveMS what moving 1,000 tokens adds.
-	priorHopMS  = 5
-	priorMoveMS = 0.5
+	// priorOverheadMS is the part of a measured prefill time that the engine does not take: the
+	// network round trip and the work of this VM.
+	priorOverheadMS = 2
+	// priorHandoffMS is the time from sending a prompt, which another engine has prefilled, to a
+	// decode engine until its first event, without the transfer of the KV cache. priorTransferMS
+	// is what the transfer adds for each 1,000 tokens.
+	priorHandoffMS  = 5
+	priorTransferMS = 0.5
 	// priorEventMS is the time between two events of a stream.
 	priorEventMS = 30
-	// priorEventTokens is how many tokens an event holds.
+	// priorEventTokens is the number of tokens in one event.
 	priorEventTokens = 10
-	// priorRunMS is how long a run keeps its slot.
-	priorRunMS = 1000
-	// priorPlainMS is the time of a plain call at an idle target.
+	// priorRunTimeMS is how long a run occupies its slot.
+	priorRunTimeMS = 1000
+	// priorPlainMS is the time of a request at an idle target of a plain service.
 	priorPlainMS = 20
 )
 
 const (
-	// inPlaceFactor is how many times slower a decode engine reads a prompt
-	// (platform's pages: at half the speed).
+	// inPlaceFactor is how many times slower a decode engine prefills a prompt in place than a
+	// prefill engine does. The platform's documentation says half the speed.
 	inPlaceFactor = 2
-	// queueNoise is how much less a sample tells that waited for others as long as it
-	// took itself: what was ahead may have been partly done.
+	// queueNoise is how much the noise of a prefill sample grows if its prompt waited for other
+	// prompts for as long as its own prefill took: the prompts ahead may have been partly done.
 	queueNoise = 3
-	// inPlaceNoise is the same for a prompt that is read between others' tokens.
+	// inPlaceNoise is the noise of a sample whose prompt was prefilled in place, between the
+	// tokens of other requests.
 	inPlaceNoise = 3
-	// tellingEvents is the number of events from which a stream tells how many tokens
-	// each holds: the last one may hold fewer.
-	tellingEvents = 4
-	// known is the number of samples from which a figure may be relied on.
-	known = 8
+	// minStreamEvents is the number of events from which a stream shows how many tokens an event
+	// holds: its last event may hold fewer.
+	minStreamEvents = 4
+	// reliableSamples is the number of samples from which an estimate may be relied on.
+	reliableSamples = 8
 )
 
 const (
-	// priorGrowth is the part by which each running request makes a decode step longer, for
-	// its context is read in each. Engines differ: it is learned.
-	priorGrowth = 0.008
-	// longShare is the part of the answers that are no longer than Stretch says.
-	longShare = 0.9
-	// priorStretch is Stretch before answers are known: callers' estimates are often far off.
-	priorStretch = 2
+	// priorStepGrowth is the fraction by which each concurrent request lengthens a decode step,
+	// which reads its context too. It differs between engines and is therefore learned.
+	priorStepGrowth = 0.008
+	// lengthQuantile is the share of answers that are no longer than Stretch says.
+	lengthQuantile = 0.9
+	// priorLengthFactor is the value of Stretch before there are enough answers: callers'
+	// estimates are often far off.
+	priorLengthFactor = 2
 )
 
-// Profile is what is known of one service's targets. It is not safe for concurrent
-// use.
+// Profile holds the estimates for the targets of one service. All estimated times are in
+// milliseconds. A Profile is not safe for concurrent use.
 type Profile struct {
-	read  *fit
-	hop   *fit
-	event *fit
-	// step is the time between two events by what runs and is read beside.
-	step        *fit
+	// prefill estimates the time of a prefill.
+	prefill *fit
+	// handoff estimates the time from sending a prompt to a decode engine until its first event.
+	handoff *fit
+	// eventInterval estimates the time between two events of a stream.
+	eventInterval *fit
+	// loadedInterval estimates the same from the engine's other work.
+	loadedInterval *fit
+	// eventTokens estimates the tokens of an event from the lengths that callers expect.
 	eventTokens *fit
-	// atMost holds the most tokens that an event may hold by the length that answers have had.
-	atMost least
-	// lengths holds how many times the expected length whole answers had.
-	lengths lengths
-	run     mean
-	plain   *fit
+	// maxEventTokens is an upper bound of the tokens of an event, from the maximum lengths of
+	// answers.
+	maxEventTokens slidingMin
+	// answerLengths holds the ratios of the actual to the expected lengths of complete answers.
+	answerLengths lengthRatios
+	// runTime estimates how long a run occupies its slot.
+	runTime movingMean
+	// plainTime estimates the time of a plain request.
+	plainTime *fit
 }
 
-// New returns a profile that knows only its prior.
+// New returns a profile that holds only the priors.
 func New() *Profile {
-	read := newFit(vector{priorTokenMS, priorPairsMS, priorWayMS})
-	read.fixed = 2
-	step := newFit(vector{priorEventMS, priorEventMS * priorGrowth, inPlaceFactor * priorTokenMS})
-	step.weight = stepSamples
+	prefill := newFit(vector{priorTokenMS, priorPairsMS, priorOverheadMS})
+	prefill.fixed = 2
+	loaded := newFit(vector{priorEventMS, priorEventMS * priorStepGrowth, inPlaceFactor * priorTokenMS})
+	loaded.weight = stepPriorWeight
 	return &Profile{
-		read: read, lengths: lengths{stretch: priorStretch}, atMost: newLeast(),
-		hop: newFit(vector{priorHopMS, priorMoveMS}), event: newFit(vector{priorEventMS}),
-		step:        step,
-		eventTokens: newFit(vector{priorEventTokens}), run: mean{value: priorRunMS},
-		plain: newFit(vector{priorPlainMS}),
+		prefill: prefill, answerLengths: lengthRatios{quantile: priorLengthFactor}, maxEventTokens: newSlidingMin(),
+		handoff: newFit(vector{priorHandoffMS, priorTransferMS}), eventInterval: newFit(vector{priorEventMS}),
+		loadedInterval: loaded,
+		eventTokens:    newFit(vector{priorEventTokens}), runTime: movingMean{value: priorRunTimeMS},
+		plainTime: newFit(vector{priorPlainMS}),
 	}
 }
 
-// readSize is a prompt's size for reading: its tokens behind the cached ones, and the
-// pairs that these make, in millions.
-func readSize(tokens, cached int) vector {
+// prefillSize returns the size of a prefill: the tokens that are not cached, and the pairs of
+// tokens that these form with the tokens before them, in millions.
+func prefillSize(tokens, cached int) vector {
 	missing := float64(max(tokens-cached, 0))
 	return vector{missing, missing * float64(tokens+cached) / 2 / 1e6}
 }
 
-// WayTime is the part of a reading's time that is not the engine's.
-func (p *Profile) WayTime() time.Duration { return millis(p.read.at(vector{2: 1})) }
+// WayTime returns the part of a measured prefill time that the engine does not take: the network
+// round trip and the work of this VM.
+func (p *Profile) WayTime() time.Duration { return millis(p.prefill.at(vector{2: 1})) }
 
-// ReadTime is how long a prefill engine takes for a prompt of which it holds cached
-// tokens, and InPlaceTime how long a decode engine does, beside its other work.
+// ReadTime returns how long a prefill engine takes to prefill a prompt of which it has cached the
+// given number of tokens.
 func (p *Profile) ReadTime(tokens, cached int) time.Duration {
-	return millis(p.read.at(readSize(tokens, cached)))
+	return millis(p.prefill.at(prefillSize(tokens, cached)))
 }
 
-// InPlaceTime is ReadTime for a decode engine.
+// InPlaceTime returns how long a decode engine takes to prefill the prompt in place, beside its
+// other work.
 func (p *Profile) InPlaceTime(tokens, cached int) time.Duration {
 	return inPlaceFactor * p.ReadTime(tokens, cached)
 }
 
-// KnowsReading reports whether ReadTime rests on enough samples.
-func (p *Profile) KnowsReading() bool { return p.read.seen >= known }
+// KnowsReading reports whether ReadTime is based on enough samples.
+func (p *Profile) KnowsReading() bool { return p.prefill.seen >= reliableSamples }
 
-// ObserveRead takes in that a prefill engine took so long for a prompt, ahead of which
-// it had others' prompts in hand.
+// ObserveRead records that a prefill engine took a time for a prompt. ahead is the part of it in
+// which the engine was expected to work on prompts that it had received before.
 func (p *Profile) ObserveRead(tokens, cached int, ahead, took time.Duration) {
-	p.observeRead(readSize(tokens, cached), 1, ahead, took)
+	p.observePrefill(prefillSize(tokens, cached), 1, ahead, took)
 }
 
-// ObserveInPlace is ObserveRead for a decode engine.
+// ObserveInPlace records the same as ObserveRead for a decode engine that prefilled a prompt in
+// place.
 func (p *Profile) ObserveInPlace(tokens, cached int, ahead, took time.Duration) {
-	x := readSize(tokens, cached)
-	p.observeRead(vector{inPlaceFactor * x[0], inPlaceFactor * x[1]}, inPlaceNoise, ahead, took)
+	size := prefillSize(tokens, cached)
+	p.observePrefill(vector{inPlaceFactor * size[0], inPlaceFactor * size[1]}, inPlaceNoise, ahead, took)
 }
 
-func (p *Profile) observeRead(x vector, noise float64, ahead, took time.Duration) {
-	own := inMillis(took - ahead)
+// observePrefill adds a prefill sample of the given size. A sample that waited for others is
+// noisier.
+func (p *Profile) observePrefill(size vector, noise float64, ahead, took time.Duration) {
+	own := toMillis(took - ahead)
 	if own <= 0 {
 		return
 	}
-	x[2] = 1
+	size[2] = 1
 	if ahead > 0 {
 		noise *= 1 + queueNoise*float64(ahead)/float64(took-ahead)
 	}
-	p.read.add(sample{x: x, y: own, noise: noise})
+	p.prefill.add(sample{size: size, value: own, noise: noise})
 }
 
-// HopTime is the time from the send of a prompt that was read elsewhere to its first
-// event.
-func (p *Profile) HopTime(tokens int) time.Duration { return millis(p.hop.at(hopSize(tokens))) }
+// HopTime returns the time from sending a prompt, which another engine has prefilled, to a decode
+// engine until its first event. It includes the transfer of the KV cache of the given number of
+// tokens.
+func (p *Profile) HopTime(tokens int) time.Duration { return millis(p.handoff.at(kvSize(tokens))) }
 
-// ObserveHop takes in one such time.
+// ObserveHop records one such time.
 func (p *Profile) ObserveHop(tokens int, took time.Duration) {
-	p.hop.add(sample{x: hopSize(tokens), y: inMillis(took), noise: 1})
+	p.handoff.add(sample{size: kvSize(tokens), value: toMillis(took), noise: 1})
 }
 
-func hopSize(tokens int) vector { return vector{1, float64(tokens) / 1e3} }
+// kvSize returns the size of a handoff: a constant and the tokens of the transferred KV cache, in
+// thousands.
+func kvSize(tokens int) vector { return vector{1, float64(tokens) / 1e3} }
 
-// EventPause is the usual time between two events of a stream.
-func (p *Profile) EventPause() time.Duration { return millis(p.event.at(one)) }
+// EventPause returns the usual time between two events of a stream.
+func (p *Profile) EventPause() time.Duration { return millis(p.eventInterval.at(unitSize)) }
 
-// EventTokens is how many tokens an event holds: what callers expect by the events that
-// come, where none of the answers would then have been longer than it may be.
-func (p *Profile) EventTokens() float64 { return min(p.eventTokens.at(one), p.atMost.least) }
+// EventTokens returns the number of tokens in an event. It is the expected length of answers by
+// their number of events, but no more than lets every recent answer stay within its maximum
+// length.
+func (p *Profile) EventTokens() float64 { return min(p.eventTokens.at(unitSize), p.maxEventTokens.min) }
 
-// TokenTime is the usual time of a decode step.
+// TokenTime returns the usual time of a decode step, which produces one token.
 func (p *Profile) TokenTime() time.Duration {
-	return millis(p.event.at(one) / p.EventTokens())
+	return millis(p.eventInterval.at(unitSize) / p.EventTokens())
 }
 
-// StepTime is the time of a decode step of a request beside so many others.
+// StepTime returns the time of a decode step of a request that runs beside the given number of
+// other requests.
 func (p *Profile) StepTime(beside int) time.Duration {
-	return millis(p.step.at(Beside{Running: beside}.size()) / p.EventTokens())
+	return millis(p.loadedInterval.at(Beside{Running: beside}.size()) / p.EventTokens())
 }
 
-// PauseBeside is the time between two events of a stream by what is beside it.
-func (p *Profile) PauseBeside(b Beside) time.Duration { return millis(p.step.at(b.size())) }
+// PauseBeside returns the time between two events of a stream, given the engine's other work.
+func (p *Profile) PauseBeside(b Beside) time.Duration { return millis(p.loadedInterval.at(b.size())) }
 
-// MaxBeside is how many others may run beside a request for its steps to take no longer
-// than step; it is negative where they take longer alone.
+// MaxBeside returns how many other requests may run beside a request for its decode steps to take
+// no longer than step. It is negative if they take longer even without others.
 func (p *Profile) MaxBeside(step time.Duration) float64 {
-	ms := inMillis(step) * p.EventTokens()
-	return (ms - p.step.at(one)) / p.step.at(vector{0, 1})
+	ms := toMillis(step) * p.EventTokens()
+	return (ms - p.loadedInterval.at(unitSize)) / p.loadedInterval.at(vector{0, 1})
 }
 
-// StepGrowth is what one more request beside adds to a decode step.
+// StepGrowth returns the time that one more concurrent request adds to a decode step.
 func (p *Profile) StepGrowth() time.Duration {
-	return millis(p.step.at(vector{0, 1}) / p.EventTokens())
+	return millis(p.loadedInterval.at(vector{0, 1}) / p.EventTokens())
 }
 
-// ObserveLength takes in that an answer of at most so many tokens has had so many events.
+// ObserveLength records that an answer of at most maxOutput tokens has had the given number of
+// events so far.
 func (p *Profile) ObserveLength(events, maxOutput int) {
-	if events >= tellingEvents && maxOutput > 0 {
-		p.atMost.add(float64(maxOutput) / float64(events))
+	if events >= minStreamEvents && maxOutput > 0 {
+		p.maxEventTokens.add(float64(maxOutput) / float64(events))
 	}
 }
 
-// Beside is what an engine does beside a stream.
+// Beside is the work that an engine does beside a stream.
 type Beside struct {
-	// Running is the requests that it runs, and Read the prompt tokens that it reads between
-	// two events.
+	// Running is the number of other requests that the engine runs, and Read the number of prompt
+	// tokens that it prefills between two events of the stream.
 	Running int
 	Read    float64
 }
 
+// size returns the size on which the time between two events depends: a constant, the concurrent
+// requests and the prefilled tokens.
 func (b Beside) size() vector { return vector{1, float64(max(b.Running, 0)), max(b.Read, 0)} }
 
-// Stretch is how many times as long as its caller expects an answer may well be.
-func (p *Profile) Stretch() float64 { return p.lengths.stretch }
+// Stretch returns the ratio of the actual to the expected length of an answer that a share
+// lengthQuantile of the answers does not exceed.
+func (p *Profile) Stretch() float64 { return p.answerLengths.quantile }
 
-// ObserveAnswer takes in a whole answer: its events, and the tokens that its caller expected.
+// ObserveAnswer records a complete answer: its number of events and the number of tokens that its
+// caller expected.
 func (p *Profile) ObserveAnswer(events, expected int) {
-	if events < tellingEvents {
+	if events < minStreamEvents {
 		return
 	}
-	p.eventTokens.add(sample{x: one, y: float64(expected) / float64(events), noise: 1})
-	p.lengths.add(float64(events) * p.EventTokens() / float64(max(expected, 1)))
+	p.eventTokens.add(sample{size: unitSize, value: float64(expected) / float64(events), noise: 1})
+	p.answerLengths.add(float64(events) * p.EventTokens() / float64(max(expected, 1)))
 }
 
-// ObservePace takes in the time of so many events of a stream in a row, and what was beside it.
-// Reading is a size of its own: taken off as reckoned, it left too much or too little for the
-// steps where engines read much, so that these seemed slow and were given still more to read.
+// ObservePace records the time that a number of consecutive events of a stream took, and the
+// engine's other work meanwhile.
+//
+// Concurrent prefill is a term of the model. When its estimated time was subtracted from the
+// sample instead, the rest was wrong for the steps of engines that prefill much: these steps
+// seemed slow and the engines were given still more to prefill.
 func (p *Profile) ObservePace(events int, took time.Duration, b Beside) {
 	if events <= 0 {
 		return
 	}
-	pause := inMillis(took) / float64(events)
-	p.step.add(sample{x: b.size(), y: pause, noise: 1})
-	reading := p.step.at(vector{2: b.size()[2]})
-	p.event.add(sample{x: one, y: max(pause-reading, pause/2), noise: 1})
+	interval := toMillis(took) / float64(events)
+	p.loadedInterval.add(sample{size: b.size(), value: interval, noise: 1})
+	prefill := p.loadedInterval.at(vector{2: b.size()[2]})
+	p.eventInterval.add(sample{size: unitSize, value: max(interval-prefill, interval/2), noise: 1})
 }
 
-// RunTime is how long a run keeps its slot at a decode engine on average: a full engine
-// ends one of its runs each RunTime/slots.
-func (p *Profile) RunTime() time.Duration { return millis(p.run.value) }
+// RunTime returns how long a run occupies its slot on a decode engine on average. A full engine
+// ends one of its runs every RunTime/slots.
+func (p *Profile) RunTime() time.Duration { return millis(p.runTime.value) }
 
-// ObserveRun takes in one run.
-func (p *Profile) ObserveRun(took time.Duration) { p.run.add(inMillis(took)) }
+// ObserveRun records how long one run occupied its slot.
+func (p *Profile) ObserveRun(took time.Duration) { p.runTime.add(toMillis(took)) }
 
-// PlainTime is the usual time of a plain call.
-func (p *Profile) PlainTime() time.Duration { return millis(p.plain.at(one)) }
+// PlainTime returns the usual time of a plain request.
+func (p *Profile) PlainTime() time.Duration { return millis(p.plainTime.at(unitSize)) }
 
-// ObservePlain takes in the time of a plain call.
+// ObservePlain records the time of one plain request.
 func (p *Profile) ObservePlain(took time.Duration) {
-	p.plain.add(sample{x: one, y: inMillis(took), noise: 1})
+	p.plainTime.add(sample{size: unitSize, value: toMillis(took), noise: 1})
 }
 
-// mean is a moving mean.
-type mean struct {
+// movingMean is the mean of about the newest meanWindow samples.
+type movingMean struct {
 	value float64
 	seen  int
 }
 
-// meanWindow is how many samples a moving mean rests on.
+// meanWindow is the number of samples after which older ones lose their weight exponentially.
 const meanWindow = 64
 
-func (m *mean) add(y float64) {
+// add adds a sample.
+func (m *movingMean) add(y float64) {
 	m.seen++
 	m.value += (y - m.value) / float64(min(m.seen, meanWindow))
 }
 
-// one is the size of what has none.
-var one = vector{1, 0}
+// unitSize is the size of what depends on nothing: it selects the constant term of a model.
+var unitSize = vector{1, 0}
 
+// millis returns a duration of the given milliseconds.
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func inMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+// toMillis returns a duration in milliseconds.
+func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/profile/profile_test.go
+++ b/internal/profile/profile_test.go
@@ -13,13 +13,14 @@
 	"garnethoist.org/garnethoist/internal/profile"
 )
 
-// engine is an engine with figures of its own.
+// engine is a simulated engine: the times in milliseconds for a token to prefill, for a million
+// pairs of tokens and for a decode step, and the tokens of an event.
 type engine struct {
 	tokenMS, pairsMS, stepMS, eventTokens float64
 }
 
-// draw returns an engine with speeds drawn over a hundredfold range.
-func draw(r *rand.Rand) engine {
+// randomEngine returns an engine whose speeds are drawn from a hundredfold range.
+func randomEngine(r *rand.Rand) engine {
 	token := math.Pow(10, -3+2*r.Float64())
 	return engine{
 		tokenMS: token, pairsMS: token * 1e6 / (10e3 * math.Pow(10, 0.8*r.Float64())),
@@ -27,32 +28,33 @@
 	}
 }
 
-func (e engine) read(tokens, cached int) float64 {
+// prefillMS returns the true prefill time of a prompt.
+func (e engine) prefillMS(tokens, cached int) float64 {
 	missing := float64(tokens - cached)
 	return missing*e.tokenMS + missing*float64(tokens+cached)/2/1e6*e.pairsMS
 }
 
-// serve has the engine serve one request, with the troubles that measured times have:
-// queues, other requests in the batch, stalls, engines that reset or are slow.
+// serve simulates one request and records it in p, with the disturbances that measured times
+// have: queues, other requests in the batch, stalls, and engines that restart or are slow.
 func (e engine) serve(r *rand.Rand, p *profile.Profile) {
 	tokens := 100 + int(20000*math.Pow(r.Float64(), 2))
 	cached := int(float64(tokens) * r.Float64() * 0.9)
-	own := e.read(tokens, cached)
+	own := e.prefillMS(tokens, cached)
 	ahead := 0.0
 	if r.Float64() < 0.4 {
 		ahead = own * 2 * r.Float64()
 	}
 	took := own*(1+0.15*r.Float64()) + ahead*(0.5+0.5*r.Float64()) + 2*r.Float64()
-	took *= trouble(r)
+	took *= slowdown(r)
 	p.ObserveRead(tokens, cached, ms(ahead), ms(took))
 	events := 1 + r.IntN(30)
-	span := float64(events-1) * e.eventTokens * e.stepMS * (1 + 0.1*r.Float64()) * trouble(r)
+	span := float64(events-1) * e.eventTokens * e.stepMS * (1 + 0.1*r.Float64()) * slowdown(r)
 	expected := float64(events) * e.eventTokens * math.Exp(0.5*r.NormFloat64())
 	observeStream(p, events, ms(span), int(expected+0.5), 0)
 }
 
-// trouble is the factor by which one time in seven is spoiled.
-func trouble(r *rand.Rand) float64 {
+// slowdown returns the factor of a disturbance, which affects about one time in seven.
+func slowdown(r *rand.Rand) float64 {
 	if r.Float64() < 0.15 {
 		return 2 + 20*r.Float64()
 	}
@@ -61,8 +63,8 @@
 
 func ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
-// Engines a hundred times apart are known after some tens of requests.
-func TestEnginesOfAnySpeedAreLearned(t *testing.T) {
+// Engines whose speeds differ a hundredfold are estimated well after some tens of requests.
+func TestEnginesOfAnySpeedAreEstimated(t *testing.T) {
 	bounds := map[int]float64{50: 0.30, 200: 0.25, 1000: 0.25}
 	for _, n := range []int{50, 200, 1000} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -70,29 +72,31 @@
 			var reads, steps []float64
 			for seed := range uint64(50) {
 				r := rand.New(rand.NewPCG(seed, 7))
-				e, p := draw(r), profile.New()
+				e, p := randomEngine(r), profile.New()
 				for range n {
 					e.serve(r, p)
 				}
-				reads = append(reads, readError(e, p))
+				reads = append(reads, prefillError(e, p))
 				steps = append(steps, math.Abs(inMS(p.TokenTime())/e.stepMS-1))
 			}
-			t.Logf("after %d requests: reading off by %s, steps by %s", n, spread(reads), spread(steps))
+			t.Logf("after %d requests: error of prefill times %s, of decode steps %s", n, spread(reads), spread(steps))
 			is.True(percentile(reads, 0.9) < bounds[n])
 			is.True(percentile(steps, 0.9) < 0.35)
 		})
 	}
 }
 
-// readError is the mean error of the reading time over prompts of three lengths.
-func readError(e engine, p *profile.Profile) float64 {
+// prefillError returns the mean relative error of the estimated prefill time for prompts of three
+// lengths.
+func prefillError(e engine, p *profile.Profile) float64 {
 	sum := 0.0
 	for _, q := range [][2]int{{1500, 300}, {9000, 6000}, {17000, 0}} {
-		sum += math.Abs(inMS(p.ReadTime(q[0], q[1]))/e.read(q[0], q[1])-1) / 3
+		sum += math.Abs(inMS(p.ReadTime(q[0], q[1]))/e.prefillMS(q[0], q[1])-1) / 3
 	}
 	return sum
 }
 
+// inMS returns a duration in milliseconds.
 func inMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func percentile(values []float64, share float64) float64 {
@@ -104,23 +108,23 @@
 	return fmt.Sprintf("%.3f (median) %.3f (p90) %.3f (most)", percentile(values, 0.5), percentile(values, 0.9), percentile(values, 1))
 }
 
-// A release of other engines is followed within the window.
-func TestNewEnginesReplaceTheOld(t *testing.T) {
+// After engines are replaced by faster ones, the estimates follow within the window of samples.
+func TestEstimatesFollowReplacedEngines(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(3, 3))
 	slow, fast, p := engine{tokenMS: 0.02, pairsMS: 0.8, stepMS: 4, eventTokens: 9}, engine{tokenMS: 0.004, pairsMS: 0.1, stepMS: 1, eventTokens: 9}, profile.New()
 	for range 500 {
 		slow.serve(r, p)
 	}
-	is.True(readError(slow, p) < 0.25)
+	is.True(prefillError(slow, p) < 0.25)
 	for range 300 {
 		fast.serve(r, p)
 	}
-	is.True(readError(fast, p) < 0.25)
+	is.True(prefillError(fast, p) < 0.25)
 }
 
-// A first sample that a frozen engine spoiled does not last.
-func TestSpoiledFirstSamplesAreOvercome(t *testing.T) {
+// First samples that a frozen engine has distorted do not dominate the estimate for long.
+func TestDistortedFirstSamplesAreOutweighed(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
 	p.ObserveRead(9000, 0, 0, 5*time.Second)
@@ -132,7 +136,7 @@
 	is.True(p.ReadTime(9000, 0) < 60*time.Millisecond)
 }
 
-// What tells nothing is not taken in.
+// Samples without prefilled tokens, time of their own or events are ignored.
 func TestSamplesWithoutSizeAreIgnored(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
@@ -143,20 +147,20 @@
 	is.Equal(p.ReadTime(1000, 0), before)
 }
 
-// In place the same prompt takes twice as long, and tells the same of the engine.
-func TestReadingInPlace(t *testing.T) {
+// A prefill in place takes twice as long, and its samples give the same estimate of the engine.
+func TestPrefillInPlace(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
 	for range 20 {
 		p.ObserveInPlace(2000, 0, 0, 80*time.Millisecond)
 	}
-	off := inMS(p.ReadTime(2000, 0))/40 - 1
-	is.True(math.Abs(off) < 0.1)
+	relErr := inMS(p.ReadTime(2000, 0))/40 - 1
+	is.True(math.Abs(relErr) < 0.1)
 	is.Equal(p.InPlaceTime(2000, 0), 2*p.ReadTime(2000, 0))
 }
 
-// The time of a move grows with the prompt; runs and plain calls have their own.
-func TestHopsRunsAndPlainCalls(t *testing.T) {
+// The time of a handoff grows with the prompt; runs and plain requests have estimates of their own.
+func TestHandoffsRunsAndPlainRequests(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
 	r := rand.New(rand.NewPCG(1, 2))
@@ -172,9 +176,9 @@
 	is.True(math.Abs(inMS(p.PlainTime())/30-1) < 0.05)
 }
 
-// How much each request beside adds to a step is learned, for engines whose steps are bound
-// by their weights as for those bound by what runs beside.
-func TestGrowthOfStepsIsLearned(t *testing.T) {
+// The time that each concurrent request adds to a decode step is estimated, for engines whose steps
+// are bound by reading the weights and for those bound by the concurrent requests.
+func TestStepGrowthIsEstimated(t *testing.T) {
 	for _, growth := range []float64{0.0005, 0.006, 0.02} {
 		t.Run(fmt.Sprint(growth), func(t *testing.T) {
 			is := is.New(t)
@@ -187,7 +191,7 @@
 			for _, beside := range []int{0, 30, 60} {
 				want := 2 * (1 + growth*float64(beside))
 				got := inMS(p.StepTime(beside))
-				t.Logf("beside %d: %.3f of the true time", beside, got/want)
+				t.Logf("beside %d requests: estimate is %.3f of the true time", beside, got/want)
 				is.True(math.Abs(got/want-1) < 0.1)
 			}
 			is.True(p.MaxBeside(ms(1.7)) < 0)
@@ -195,8 +199,8 @@
 	}
 }
 
-// Answers outlast what callers expect by what the newest of them did.
-func TestStretchOfAnswersIsLearned(t *testing.T) {
+// The ratio of actual to expected lengths follows the newest answers.
+func TestLengthRatioIsEstimated(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
 	is.Equal(p.Stretch(), 2.0)
@@ -210,8 +214,9 @@
 	is.True(p.Stretch() < 2.4)
 }
 
-// An event holds no more tokens than its answer may have had by then, whatever callers expect.
-func TestEventsHoldNoMoreThanAnswersMay(t *testing.T) {
+// An event holds no more tokens than the maximum length of an answer allows, whatever its caller
+// expects.
+func TestMaxAnswerLengthBoundsEventTokens(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
 	for range 100 {
@@ -223,18 +228,19 @@
 	for range 300 {
 		p.ObserveLength(100, 12000)
 	}
-	is.True(math.Abs(p.EventTokens()-65) < 1e-6) // the engines have been replaced since
+	is.True(math.Abs(p.EventTokens()-65) < 1e-6) // the old bound has left the window
 }
 
-// observeStream takes in a whole stream: its events, the time from its first to its last one,
-// the tokens that its caller expected, and the requests that ran beside it.
+// observeStream records a complete stream: its events, the time from its first to its last event,
+// the tokens that its caller expected and the number of requests that ran beside it.
 func observeStream(p *profile.Profile, events int, took time.Duration, expected, beside int) {
 	p.ObservePace(events-1, took, profile.Beside{Running: beside})
 	p.ObserveAnswer(events, expected)
 }
 
-// What an engine reads between the events of a stream is told apart from its steps.
-func TestReadingBesideIsToldApart(t *testing.T) {
+// The time for prompts that an engine prefills between the events of a stream is separated from the
+// time of its decode steps.
+func TestConcurrentPrefillIsSeparated(t *testing.T) {
 	for _, readMS := range []float64{0.002, 0.02, 0.1} {
 		t.Run(fmt.Sprint(readMS), func(t *testing.T) {
 			is := is.New(t)
@@ -247,7 +253,7 @@
 			for _, b := range []profile.Beside{{}, {Running: 60}, {Running: 30, Read: 500}} {
 				want := 40*(1+0.006*float64(b.Running)) + readMS*b.Read
 				got := inMS(p.PauseBeside(b))
-				t.Logf("%+v: %.3f of the true time", b, got/want)
+				t.Logf("%+v: estimate is %.3f of the true time", b, got/want)
 				is.True(math.Abs(got/want-1) < 0.1)
 			}
 		})
