--- a/internal/fleet/account.go
+++ b/internal/fleet/account.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// Keyed reports whether the configuration has client accounts, so that requests need a key unless
-// their route is anonymous.
+// Keyed reports whether requests need a key unless their route is anonymous. They do if
+// SetAccounts has been called, even with an empty list.
 func (c *Config) Keyed() bool { return c.accounts != nil }
 
 // Account returns the client account with the given key, or nil.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -150,7 +150,8 @@
 	Version  uint64
 	Services map[string]*Service
 	Limits   Limits
-	// accounts is nil if the configuration has no client accounts.
+	// accounts is nil if the configuration does not use client accounts. It is empty if all of
+	// them have been removed.
 	accounts accountsByKey
 	// byHost holds the routes of each host in lower case, longest prefix first.
 	byHost map[string][]*Route
--- a/internal/stages/controller.go
+++ b/internal/stages/controller.go
@@ -167,7 +167,7 @@
 
 // SetPressed sets the function that reports whether prompts queue at the prefill engines of a
 // service. It must be called before Start.
-func (c *Controller) SetPressed(pressed func([]*fleet.Target) bool) { c.prefillBacklogged = pressed }
+func (c *Controller) SetPressed(f func([]*fleet.Target) bool) { c.prefillBacklogged = f }
 
 // SetCandidate sets the function that reports whether this VM may contend for the lease; in a
 // large group a few candidates are enough. It must be called before Start.
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -331,7 +331,7 @@
 				c.Ran("a", now)
 			}
 			answers = append(answers, c.Answer(tally.NextQuestion("vm", tally.BeginRound(now))))
-			if i := rapid.IntRange(-1, len(answers)-1).Draw(t, "heard"); i >= 0 {
+			if i := rapid.IntRange(-1, len(answers)-1).Draw(t, "answer"); i >= 0 {
 				tally.Merge("vm", answers[i])
 			}
 		}
