--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -25,6 +25,7 @@
 	calls []call
 }
 
+// call is one call that the platform has received.
 type call struct {
 	vm    string
 	fence uint64
@@ -72,6 +73,7 @@
 	return s.Table.Commit(ctx, txn)
 }
 
+// newCluster returns a cluster of n VMs.
 func newCluster(n int) *cluster {
 	cl := &cluster{now: time.Second, table: store.NewMemory()}
 	for i := range n {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -34,8 +34,9 @@
 	c.now += d
 }
 
-func candidate(p store.Table, name string, clock Clock) *Lease {
-	return New(Config{DataCentre: "kakkanad", Service: "hints", Holder: name, Incarnation: 1, TTL: ttl}, p, clock)
+// candidate returns a candidate for the lease of one service.
+func candidate(table store.Table, name string, clock Clock) *Lease {
+	return New(Config{DataCentre: "kakkanad", Service: "hints", Holder: name, Incarnation: 1, TTL: ttl}, table, clock)
 }
 
 // mustStep calls Step with contend set and fails the test if it returns an error.
@@ -46,6 +47,7 @@
 	}
 }
 
+// held reports whether l holds the lease.
 func held(l *Lease) bool {
 	_, ok := l.Held()
 	return ok
--- a/internal/profile/profile.go
+++ b/internal/profile/profile.go
@@ -6,10 +6,10 @@
 
 import "time"
 
-// The prior of each estimate. Its magnitude matters only until there is a first sample; it is in the
-// middle of the range of engines with one or several accelerators. What matters later is the ratio of
-// the coefficients of an estimate, which depends on the model's architecture more than on the engine's
-// speed.
+// The prior of each estimate. Its magnitude matters only until there is a first sample; it is in
+// the middle of the range of engines with one or several accelerators. What matters later is the
+// ratio of the coefficients of an estimate, which depends on the model's architecture more than
+// on the engine's speed.
 const (
 	// priorTokenMS is the time to prefill one token, without attention.
 	priorTokenMS = 0.01
@@ -58,9 +58,9 @@
 	priorStepGrowth = 0.008
 	// lengthQuantile is the share of answers that are no longer than Stretch says.
 	lengthQuantile = 0.9
-	// priorLengthFactor is the value of Stretch before there are enough answers: callers'
+	// priorLengthRatio is the value of Stretch before there are enough answers: callers'
 	// estimates are often far off.
-	priorLengthFactor = 2
+	priorLengthRatio = 2
 )
 
 // Profile holds the estimates for the targets of one service. All estimated times are in
@@ -72,12 +72,13 @@
 	handoff *fit
 	// eventInterval estimates the time between two events of a stream.
 	eventInterval *fit
-	// loadedInterval estimates the same from the engine's other work.
+	// loadedInterval estimates the time between two events from the engine's other work.
 	loadedInterval *fit
-	// eventTokens estimates the tokens of an event from the lengths that callers expect.
+	// eventTokens estimates the number of tokens in an event from the answer lengths that callers
+	// expect.
 	eventTokens *fit
-	// maxEventTokens is an upper bound of the tokens of an event, from the maximum lengths of
-	// answers.
+	// maxEventTokens is an upper bound of the number of tokens in an event, from the maximum
+	// lengths of answers.
 	maxEventTokens slidingMin
 	// answerLengths holds the ratios of the actual to the expected lengths of complete answers.
 	answerLengths lengthRatios
@@ -94,7 +95,7 @@
 	loaded := newFit(vector{priorEventMS, priorEventMS * priorStepGrowth, inPlaceFactor * priorTokenMS})
 	loaded.weight = stepPriorWeight
 	return &Profile{
-		prefill: prefill, answerLengths: lengthRatios{quantile: priorLengthFactor}, maxEventTokens: newSlidingMin(),
+		prefill: prefill, answerLengths: lengthRatios{quantile: priorLengthRatio}, maxEventTokens: newSlidingMin(),
 		handoff: newFit(vector{priorHandoffMS, priorTransferMS}), eventInterval: newFit(vector{priorEventMS}),
 		loadedInterval: loaded,
 		eventTokens:    newFit(vector{priorEventTokens}), runTime: movingMean{value: priorRunTimeMS},
--- a/internal/profile/profile_test.go
+++ b/internal/profile/profile_test.go
@@ -61,6 +61,7 @@
 	return 1
 }
 
+// ms returns the duration of v milliseconds.
 func ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
 // Engines whose speeds differ a hundredfold are estimated well after some tens of requests.
@@ -99,13 +100,15 @@
 // inMS returns a duration in milliseconds.
 func inMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
+// percentile returns the value that the given share of the values does not exceed.
 func percentile(values []float64, share float64) float64 {
 	values = slices.Sorted(slices.Values(values))
 	return values[int(share*float64(len(values)-1))]
 }
 
+// spread returns the median, the 90th percentile and the maximum of the values as text.
 func spread(values []float64) string {
-	return fmt.Sprintf("%.3f (median) %.3f (p90) %.3f (most)", percentile(values, 0.5), percentile(values, 0.9), percentile(values, 1))
+	return fmt.Sprintf("%.3f (median) %.3f (p90) %.3f (max)", percentile(values, 0.5), percentile(values, 0.9), percentile(values, 1))
 }
 
 // After engines are replaced by faster ones, the estimates follow within the window of samples.
--- a/internal/scaling/controller_test.go
+++ b/internal/scaling/controller_test.go
@@ -68,6 +68,7 @@
 	time     *clock.Simulated
 }
 
+// newFixture returns a fixture with simulated time.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	s := &fixture{holder: &holder{fence: 1}, table: store.NewMemory(), time: clock.Simulate()}
--- a/internal/scaling/plan_test.go
+++ b/internal/scaling/plan_test.go
@@ -12,6 +12,7 @@
 	return []DataCentre{{Name: "a", OnDemand: onDemand, Spot: spot}, {Name: "b", OnDemand: onDemand, Spot: spot}, {Name: "c", OnDemand: onDemand, Spot: spot}}
 }
 
+// total returns the planned engines of each kind over all data centres.
 func total(planned map[string]Counts) (onDemand, spot int) {
 	for _, counts := range planned {
 		onDemand += counts.OnDemand
--- a/internal/scaling/series_test.go
+++ b/internal/scaling/series_test.go
@@ -96,6 +96,7 @@
 	p.keeper.ApplyTargets(changes, 1)
 }
 
+// total returns the number of engines that serve.
 func (p *simulatedPlatform) total() int {
 	n := 0
 	for _, have := range p.serving {
--- a/internal/stages/peaks_test.go
+++ b/internal/stages/peaks_test.go
@@ -27,6 +27,7 @@
 	return lowest, highest
 }
 
+// constant returns a demand that does not change over time.
 func constant(n float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return n }
 }
--- a/internal/stages/plan.go
+++ b/internal/stages/plan.go
@@ -148,6 +148,7 @@
 	return out
 }
 
+// abs returns the absolute value of n.
 func abs(n int) int {
 	if n < 0 {
 		return -n
--- a/internal/stages/stages_test.go
+++ b/internal/stages/stages_test.go
@@ -20,6 +20,8 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
+// view returns a view of the targets and a configuration with the model service m and the plain
+// service "plain".
 func view(targets ...*fleet.Target) *fleet.View {
 	v := &fleet.View{
 		Config:  fleet.NewConfig(1, nil, []*fleet.Service{{Name: "m", Engine: &fleet.EngineSpec{Slots: 8}}, {Name: "plain"}}, fleet.Limits{}),
@@ -31,6 +33,7 @@
 	return v
 }
 
+// engine returns an engine of service m.
 func engine(id, dataCentre string, stage fleet.Stage) *fleet.Target {
 	return &fleet.Target{ID: id, Service: "m", DataCentre: dataCentre, Stage: stage}
 }
@@ -133,6 +136,7 @@
 	beforeOrder func()
 }
 
+// sentOrder is an order that an engine has carried out.
 type sentOrder struct {
 	engine string
 	order  stages.Order
@@ -169,12 +173,14 @@
 	return nil
 }
 
+// sent returns the orders carried out so far.
 func (e *engines) sent() []sentOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]sentOrder(nil), e.orders...)
 }
 
+// newKeeper returns a keeper whose view has four decode engines in one data centre.
 func newKeeper() *fleet.Keeper {
 	k := fleet.NewKeeper()
 	v := view()
@@ -191,10 +197,12 @@
 
 const gap = 500 * time.Millisecond
 
+// newController returns a controller that plans half of the engines to prefill.
 func newController(vm string, k *fleet.Keeper, table store.Table, e *engines, c lease.Clock) *stages.Controller {
 	return stages.New(stages.Config{VM: vm, Share: 0.5, Gap: gap}, k, table, e, c, 1, telemetry.Discard())
 }
 
+// start starts a controller and stops it at the end of the test.
 func start(t *testing.T, c *stages.Controller) {
 	t.Helper()
 	if err := c.Start(context.Background()); err != nil {
@@ -207,6 +215,8 @@
 	})
 }
 
+// eventually waits up to 15 seconds for ok to return true, and fails the test with what
+// otherwise.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -18,6 +18,7 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
+// length is the length of a window.
 const length = 5 * time.Second
 
 // vm is the counter of a VM, which answers unless it is unreachable.
@@ -106,6 +107,7 @@
 	table    *faultyTable
 }
 
+// newFixture returns a fixture with simulated time.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	s := &fixture{
