--- a/internal/httpsend/client.go
+++ b/internal/httpsend/client.go
@@ -1,6 +1,6 @@
-// Package httpsend sends one HTTP/1.1 request on one connection, once. Unlike
-// net/http's Transport it never sends a request again by itself, and it says
-// of each failure whether the target may have run the request.
+// Package httpsend is an HTTP/1.1 client that sends each request at most once. Unlike
+// net/http's Transport, it never retries a request by itself, and every failure states whether
+// the target may have run the request.
 package httpsend
 
 import (
@@ -16,21 +16,21 @@
 	"garnethoist.org/garnethoist/internal/silence"
 )
 
-// Phase says how far a failed send got.
+// Phase is the stage of the exchange in which a send failed.
 type Phase int
 
 // The phases of a failed send.
 const (
-	// NotSent: no byte of the request reached the target.
+	// NotSent: no byte of the request was written to a connection.
 	NotSent Phase = iota + 1
-	// Unanswered: the request was sent, at least in part, and has no answer. It
-	// may have run.
+	// Unanswered: the request was sent, at least in part, and no response head was read. The
+	// request may have run.
 	Unanswered
-	// Cut: the answer began and broke off. The request may have run.
+	// Cut: the response broke off after its head. The request may have run.
 	Cut
 )
 
-// String returns the phase as it appears in logs.
+// String returns the name of the phase in logs.
 func (p Phase) String() string {
 	switch p {
 	case NotSent:
@@ -43,7 +43,7 @@
 	return "unknown"
 }
 
-// Error is a failed send.
+// Error reports a failed send: the phase in which it failed and the cause.
 type Error struct {
 	Phase Phase
 	Cause error
@@ -52,41 +52,42 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Phase.String() + ": " + e.Cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, for errors.Is and errors.As.
 func (e *Error) Unwrap() error { return e.Cause }
 
-func failed(p Phase, cause error) *Error { return &Error{Phase: p, Cause: cause} }
+func newError(p Phase, cause error) *Error { return &Error{Phase: p, Cause: cause} }
 
-// ErrOverdue is the cause to end a send's context with whose answer is overdue, so
-// that its connection may have fallen silent.
-var ErrOverdue = errors.New("httpsend: the answer is overdue")
+// ErrOverdue is the cancellation cause for a send whose response is overdue. If it used a kept
+// connection, that connection counts as dead, and so do those that were idle when it began.
+var ErrOverdue = errors.New("httpsend: the response is overdue")
 
-// ErrNoConn: the destination's share of connections is in use.
+// ErrNoConn reports that the destination's MaxConns connections are all in use.
 var ErrNoConn = errors.New("httpsend: all connections to the target are in use")
 
-// Config bounds the client's connections.
+// Config holds the time limits of a Client's connections.
 type Config struct {
-	// DialTimeout bounds opening a connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
 	// MaxIdle is the longest time that a connection is kept unused.
 	MaxIdle time.Duration
-	// Unacked is how long written bytes may stay unacknowledged before a
-	// connection is taken for silent, where a request does not say.
-	Unacked time.Duration
+	// UnackedTimeout is how long written bytes may stay unacknowledged before the kernel
+	// closes the connection. A Request may set its own limit.
+	UnackedTimeout time.Duration
 }
 
-// Destination names a target and bounds its connections.
+// Destination identifies a target and limits the connections to it.
 type Destination struct {
-	// ID keys the pool; connections of one ID are not used for another.
-	ID      string
+	// ID is the key of the connection pool. Connections of one ID are not used for another.
+	ID string
+	// Address is the TCP address of the target, with its port.
 	Address string
-	// MaxConns bounds the connections open at once; 0 is no bound.
+	// MaxConns limits the connections that are open at once; 0 means no limit.
 	MaxConns int
-	// Fresh asks for a new connection, for requests whose loss on a
-	// connection that the target has just closed could not be made good.
+	// Fresh requires a new connection. It is meant for requests that must not be retried: the
+	// target may have just closed a kept connection, and the request would be lost on it.
 	Fresh bool
-	// MaxRest is the longest time that a kept connection may have rested to be
-	// used; 0 is the client's MaxIdle.
+	// MaxRest is the longest time that a kept connection may have been idle to be used; 0
+	// means the client's MaxIdle.
 	MaxRest time.Duration
 }
 
@@ -95,19 +96,23 @@
 type Client struct {
 	cfg Config
 
-	mu    sync.Mutex
+	// mu guards the fields below.
+	mu sync.Mutex
+	// pools holds the connections by Destination.ID.
 	pools map[string]*pool
-	open  int
+	// open counts the connections of all pools that are open or being opened.
+	open int
 }
 
-// pool holds the connections to one destination; Client.mu guards it.
+// pool holds the connections to one destination. Client.mu guards it.
 type pool struct {
-	// idle is in order of last use.
+	// idle holds the unused connections, the least recently used first.
 	idle []*conn
+	// open counts the connections that are idle, in use or being opened.
 	open int
 }
 
-// Open counts the connections that are open or being opened.
+// Open returns the number of connections that are open or being opened.
 func (c *Client) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,40 +124,43 @@
 	return &Client{cfg: cfg, pools: make(map[string]*pool)}
 }
 
-// take returns an idle connection that is still good, or a new one.
-func (c *Client) take(ctx context.Context, d Destination) (*conn, error) {
+// acquire returns a usable idle connection, or opens a new one. It fails with ErrNoConn where
+// the destination's MaxConns connections are in use.
+func (c *Client) acquire(ctx context.Context, d Destination) (*conn, error) {
 	if !d.Fresh {
 		for cn := c.popIdle(d); cn != nil; cn = c.popIdle(d) {
-			if clock.Since(cn.idleSince) < c.cfg.MaxIdle && cn.quiet() {
+			if clock.Since(cn.idleSince) < c.cfg.MaxIdle && cn.usable() {
 				cn.reused = true
 				return cn, nil
 			}
 			c.discard(cn)
 		}
 	}
-	if !c.reserve(d) {
+	if !c.reserveSlot(d) {
 		return nil, ErrNoConn
 	}
-	nc, err := silence.Dialer(c.cfg.DialTimeout, c.cfg.Unacked).DialContext(ctx, "tcp", d.Address)
+	nc, err := silence.Dialer(c.cfg.DialTimeout, c.cfg.UnackedTimeout).DialContext(ctx, "tcp", d.Address)
 	if err != nil {
-		c.release(d.ID)
+		c.releaseSlot(d.ID)
 		return nil, err
 	}
 	cn := newConn(nc, d.ID)
-	cn.unacked = c.cfg.Unacked
+	cn.unackedTimeout = c.cfg.UnackedTimeout
 	return cn, nil
 }
 
-// probeWait is how long a probe's connection must stay open.
+// probeWait is how long the connection of a probe must stay open for the address to count as
+// listening.
 const probeWait = 50 * time.Millisecond
 
-// ErrNobody: nothing listens at an address.
-var ErrNobody = errors.New("httpsend: nobody listens")
+// ErrNobody reports that no process listens at an address.
+var ErrNobody = errors.New("httpsend: no process listens at the address")
 
-// Probe opens a connection to an address and closes it. It returns ErrNobody where the host
-// refuses it or, as balancers do that have no back end, accepts it and closes it unused.
+// Probe opens a connection to address and closes it. It returns ErrNobody if the connection is
+// refused, or if it is accepted and closed within probeWait without data, as a load balancer
+// without healthy targets does.
 func (c *Client) Probe(ctx context.Context, address string) error {
-	nc, err := silence.Dialer(c.cfg.DialTimeout, c.cfg.Unacked).DialContext(ctx, "tcp", address)
+	nc, err := silence.Dialer(c.cfg.DialTimeout, c.cfg.UnackedTimeout).DialContext(ctx, "tcp", address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return errors.Wrap(ErrNobody, err.Error())
 	}
@@ -168,32 +176,35 @@
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
 		return errors.Wrap(ErrNobody, err.Error())
 	}
-	// A target waits for a request, or says something.
+	// A listening target waits for a request, or sends data by itself.
 	return nil
 }
 
-// bound sets how long written bytes may stay unacknowledged on cn.
-func (c *Client) bound(cn *conn, unacked time.Duration) error {
+// setUnackedTimeout sets how long written bytes may stay unacknowledged on cn; 0 means the
+// client's UnackedTimeout.
+func (c *Client) setUnackedTimeout(cn *conn, unacked time.Duration) error {
 	if unacked <= 0 {
-		unacked = c.cfg.Unacked
+		unacked = c.cfg.UnackedTimeout
 	}
-	if unacked == cn.unacked {
+	if unacked == cn.unackedTimeout {
 		return nil
 	}
-	cn.unacked = unacked
+	cn.unackedTimeout = unacked
 	return silence.SetUnacked(cn.nc, unacked)
 }
 
-// silent reports whether a send without an answer tells that its connection has
-// fallen silent: nobody ended it before its time.
-func silent(ctx context.Context, err error) bool {
+// connDead reports whether a send that got no response indicates a dead connection: it timed
+// out at the socket or at the deadline of ctx, or was cancelled with ErrOverdue. Any other
+// cancellation says nothing about the connection.
+func connDead(ctx context.Context, err error) bool {
 	cause := context.Cause(ctx)
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.Is(cause, context.DeadlineExceeded) || errors.Is(cause, ErrOverdue)
 }
 
-// dropResting closes the connections to a destination that have rested since
-// before a time: one that rested with them was found silent.
-func (c *Client) dropResting(id string, before time.Time) {
+// closeIdleSince closes the connections to a destination that have been idle since before the
+// given time. It is called when one such connection turned out to be dead, as the others
+// probably are as well.
+func (c *Client) closeIdleSince(id string, before time.Time) {
 	c.mu.Lock()
 	p := c.pools[id]
 	n := 0
@@ -211,8 +222,9 @@
 	}
 }
 
-// popIdle takes the connection that was used last, unless it has rested too long
-// for the destination; then it stays for others.
+// popIdle removes the most recently used connection from the pool and returns it. It returns
+// nil if there is none, or if it has been idle for longer than d.MaxRest; the connection then
+// stays in the pool for requests without that limit.
 func (c *Client) popIdle(d Destination) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,9 +241,10 @@
 	return cn
 }
 
-// reserve counts a new connection, closing the oldest idle one where the
-// destination's share is in use.
-func (c *Client) reserve(d Destination) bool {
+// reserveSlot counts a connection that is about to be opened. If the destination already has
+// MaxConns connections, it closes the one that has been idle the longest, and returns false if
+// none is idle.
+func (c *Client) reserveSlot(d Destination) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pools[d.ID]
@@ -243,7 +256,7 @@
 		if len(p.idle) == 0 {
 			return false
 		}
-		// The connection's close is not awaited: its place is this one's.
+		// The new connection takes over the slot, so a failed Close changes nothing.
 		_ = p.idle[0].nc.Close()
 		p.idle = p.idle[1:]
 		p.open--
@@ -254,7 +267,8 @@
 	return true
 }
 
-func (c *Client) release(id string) {
+// releaseSlot uncounts a connection that was closed or could not be opened.
+func (c *Client) releaseSlot(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pools[id]
@@ -265,24 +279,24 @@
 	}
 }
 
-// discard closes a connection and gives up its place. An error of Close means
-// that the connection was closed already.
+// discard closes a connection and releases its slot. Close fails only if the connection is
+// already closed, so its error is ignored.
 func (c *Client) discard(cn *conn) {
 	_ = cn.nc.Close()
-	c.release(cn.id)
+	c.releaseSlot(cn.destID)
 }
 
-// keep returns a connection to its pool.
-func (c *Client) keep(cn *conn) {
+// putIdle returns a connection to its pool.
+func (c *Client) putIdle(cn *conn) {
 	cn.idleSince = clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.pools[cn.id]
+	p := c.pools[cn.destID]
 	p.idle = append(p.idle, cn)
 }
 
-// Prune closes idle connections that are too old, and all idle ones of
-// destinations that keep refuses.
+// Prune closes connections that have been idle for MaxIdle or longer, and all idle connections
+// of destinations for which keep returns false.
 func (c *Client) Prune(keep func(id string) bool) {
 	c.mu.Lock()
 	var closing []*conn
@@ -304,10 +318,10 @@
 	}
 }
 
-// quiet reports whether an idle connection is open and nothing unread waits
-// on it. A target that closed it, or sent bytes that answer no request, makes
-// it unusable.
-func (cn *conn) quiet() bool {
+// usable reports whether an idle connection is open and has no unread data. It peeks at the
+// socket without blocking: a target that closed the connection, or sent data that belongs to no
+// request, makes it unusable.
+func (cn *conn) usable() bool {
 	if cn.br.Buffered() > 0 {
 		return false
 	}
@@ -319,12 +333,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		noData = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
--- a/internal/httpsend/httpsend_test.go
+++ b/internal/httpsend/httpsend_test.go
@@ -17,8 +17,9 @@
 	"garnethoist.org/garnethoist/internal/httpsend"
 )
 
-// target answers each request of each connection with the next script.
-type target struct {
+// fakeTarget serves the requests of all its connections, each with the next handler. It counts
+// requests and connections.
+type fakeTarget struct {
 	t        *testing.T
 	l        net.Listener
 	mu       sync.Mutex
@@ -27,16 +28,18 @@
 	open     []net.Conn
 }
 
-// script writes an answer and returns whether the connection goes on.
-type script func(c net.Conn) bool
+// handler writes a response to c and reports whether the connection stays open.
+type handler func(c net.Conn) bool
 
-func newTarget(t *testing.T, scripts ...script) *target {
+// newFakeTarget starts a target on a loopback port. It closes a connection on which a request
+// arrives after the last handler was used.
+func newFakeTarget(t *testing.T, handlers ...handler) *fakeTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &target{t: t, l: l}
+	g := &fakeTarget{t: t, l: l}
 	var served sync.WaitGroup
 	served.Go(func() {
 		for {
@@ -48,7 +51,7 @@
 			g.conns++
 			g.open = append(g.open, c)
 			g.mu.Unlock()
-			served.Go(func() { g.serve(c, scripts) })
+			served.Go(func() { g.serve(c, handlers) })
 		}
 	})
 	t.Cleanup(func() {
@@ -63,7 +66,7 @@
 	return g
 }
 
-func (g *target) serve(c net.Conn, scripts []script) {
+func (g *fakeTarget) serve(c net.Conn, handlers []handler) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for {
@@ -78,40 +81,43 @@
 		n := g.requests
 		g.requests++
 		g.mu.Unlock()
-		if n >= len(scripts) || !scripts[n](c) {
+		if n >= len(handlers) || !handlers[n](c) {
 			return
 		}
 	}
 }
 
-func (g *target) counts() (requests, conns int) {
+func (g *fakeTarget) counts() (requests, conns int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.requests, g.conns
 }
 
-func says(text string, goOn bool) script {
+// emit returns a handler that writes text and then keeps the connection open or closes it.
+func emit(text string, keepOpen bool) handler {
 	return func(c net.Conn) bool {
 		_, err := io.WriteString(c, text)
-		return err == nil && goOn
+		return err == nil && keepOpen
 	}
 }
 
-func (g *target) destination() httpsend.Destination {
+func (g *fakeTarget) destination() httpsend.Destination {
 	return httpsend.Destination{ID: "i-a", Address: g.l.Addr().String(), MaxConns: 2}
 }
 
+// ok is a complete response to the request with the id q.
 const ok = "HTTP/1.1 200 OK\r\nRequest-Id: q\r\nContent-Length: 2\r\n\r\nok"
 
-func ours(_ int, h http.Header) bool { return h.Get("Request-Id") == "q" }
+// matches is the httpsend.Match of all requests of these tests, which have the id q.
+func matches(_ int, h http.Header) bool { return h.Get("Request-Id") == "q" }
 
 func newClient() *httpsend.Client {
-	return httpsend.New(httpsend.Config{DialTimeout: time.Second, MaxIdle: time.Minute, Unacked: time.Second})
+	return httpsend.New(httpsend.Config{DialTimeout: time.Second, MaxIdle: time.Minute, UnackedTimeout: time.Second})
 }
 
-// send sends one request and reads its answer to the end.
+// send sends one request and returns the body of its response.
 func send(ctx context.Context, c *httpsend.Client, d httpsend.Destination) (string, error) {
-	resp, err := c.Send(ctx, d, &httpsend.Request{Method: "GET", URI: "/x", Host: "h"}, ours)
+	resp, err := c.Send(ctx, d, &httpsend.Request{Method: "GET", URI: "/x", Host: "h"}, matches)
 	if err != nil {
 		return "", err
 	}
@@ -120,6 +126,7 @@
 	return string(body), err
 }
 
+// phaseOf returns the phase of a failed send, or 0 if err is no *httpsend.Error.
 func phaseOf(err error) httpsend.Phase {
 	var e *httpsend.Error
 	if errors.As(err, &e) {
@@ -128,38 +135,38 @@
 	return 0
 }
 
-// How far a send is known to have got under each fault of the target. Each
-// request must have left exactly once.
+// TestPhases checks the phase that Send reports for each fault of a target, and that no fault
+// makes it send the request again.
 func TestPhases(t *testing.T) {
 	cases := []struct {
-		name  string
-		say   script
-		body  string
-		phase httpsend.Phase
+		name    string
+		handler handler
+		body    string
+		phase   httpsend.Phase
 	}{
-		{"whole", says(ok, true), "ok", 0},
-		{"closed unanswered", says("", false), "", httpsend.Unanswered},
-		{"not an answer", says("nonsense\r\n\r\n", false), "", httpsend.Unanswered},
-		{"head cut", says("HTTP/1.1 200 OK\r\nCont", false), "", httpsend.Unanswered},
-		{"body cut", says("HTTP/1.1 200 OK\r\nRequest-Id: q\r\nContent-Length: 5\r\n\r\nok", false), "ok", httpsend.Cut},
-		{"chunk cut", says("HTTP/1.1 200 OK\r\nRequest-Id: q\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok", false), "ok", httpsend.Cut},
-		{"no length", says("HTTP/1.1 200 OK\r\nRequest-Id: q\r\n\r\nall of it", false), "all of it", 0},
+		{"whole", emit(ok, true), "ok", 0},
+		{"closed unanswered", emit("", false), "", httpsend.Unanswered},
+		{"not HTTP", emit("nonsense\r\n\r\n", false), "", httpsend.Unanswered},
+		{"head cut", emit("HTTP/1.1 200 OK\r\nCont", false), "", httpsend.Unanswered},
+		{"body cut", emit("HTTP/1.1 200 OK\r\nRequest-Id: q\r\nContent-Length: 5\r\n\r\nok", false), "ok", httpsend.Cut},
+		{"chunk cut", emit("HTTP/1.1 200 OK\r\nRequest-Id: q\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok", false), "ok", httpsend.Cut},
+		{"no length", emit("HTTP/1.1 200 OK\r\nRequest-Id: q\r\n\r\nall of it", false), "all of it", 0},
 		{"no length, reset", func(c net.Conn) bool {
-			says("HTTP/1.1 200 OK\r\nRequest-Id: q\r\n\r\nall", true)(c)
+			emit("HTTP/1.1 200 OK\r\nRequest-Id: q\r\n\r\nall", true)(c)
 			time.Sleep(20 * time.Millisecond)
 			if err := c.(*net.TCPConn).SetLinger(0); err != nil {
 				t.Error(err)
 			}
 			return false
 		}, "all", httpsend.Cut},
-		{"another's answer first", says(strings.ReplaceAll(ok, "q", "z")+ok, true), "ok", 0},
-		{"only another's answer", says(strings.ReplaceAll(ok, "q", "z"), false), "", httpsend.Unanswered},
-		{"continue first", says("HTTP/1.1 100 Continue\r\n\r\n"+ok, true), "ok", 0},
+		{"response to another request first", emit(strings.ReplaceAll(ok, "q", "z")+ok, true), "ok", 0},
+		{"only a response to another request", emit(strings.ReplaceAll(ok, "q", "z"), false), "", httpsend.Unanswered},
+		{"continue first", emit("HTTP/1.1 100 Continue\r\n\r\n"+ok, true), "ok", 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			g := newTarget(t, tc.say, says(ok, true))
+			g := newFakeTarget(t, tc.handler, emit(ok, true))
 			body, err := send(context.Background(), newClient(), g.destination())
 			is.Equal(body, tc.body)
 			is.Equal(phaseOf(err), tc.phase)
@@ -171,16 +178,16 @@
 
 func TestNothingListens(t *testing.T) {
 	is := is.New(t)
-	g := newTarget(t)
+	g := newFakeTarget(t)
 	d := g.destination()
 	g.l.Close()
 	_, err := send(context.Background(), newClient(), d)
 	is.Equal(phaseOf(err), httpsend.NotSent)
 }
 
-func TestConnectionIsKeptAfterAWholeAnswer(t *testing.T) {
+func TestConnectionIsReusedAfterCompleteResponse(t *testing.T) {
 	is := is.New(t)
-	g := newTarget(t, says(ok, true), says(ok, true))
+	g := newFakeTarget(t, emit(ok, true), emit(ok, true))
 	c := newClient()
 	for range 2 {
 		body, err := send(context.Background(), c, g.destination())
@@ -192,17 +199,18 @@
 	is.Equal(conns, 1)
 }
 
-// A connection that the target closed, or sent more on, is not used again.
-func TestSpoiledConnectionIsNotUsed(t *testing.T) {
-	for name, first := range map[string]script{
-		"closed":      says(ok, false),
-		"second":      says(ok+ok, true),
-		"late second": func(c net.Conn) bool { says(ok, true)(c); time.Sleep(20 * time.Millisecond); return says(ok, true)(c) },
-		"close said":  says(strings.Replace(ok, "\r\n", "\r\nConnection: close\r\n", 1), true),
+// TestUnusableConnectionIsNotReused covers connections that the target closed, or on which it
+// sent more than the response.
+func TestUnusableConnectionIsNotReused(t *testing.T) {
+	for name, first := range map[string]handler{
+		"closed after the response": emit(ok, false),
+		"second response at once":   emit(ok+ok, true),
+		"second response later":     func(c net.Conn) bool { emit(ok, true)(c); time.Sleep(20 * time.Millisecond); return emit(ok, true)(c) },
+		"Connection: close":         emit(strings.Replace(ok, "\r\n", "\r\nConnection: close\r\n", 1), true),
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := newTarget(t, first, says(ok, true))
+			g := newFakeTarget(t, first, emit(ok, true))
 			c := newClient()
 			_, err := send(context.Background(), c, g.destination())
 			is.NoErr(err)
@@ -216,10 +224,12 @@
 	}
 }
 
-func TestShareOfConnections(t *testing.T) {
+// TestMaxConns checks that a send fails at once when the destination's connections are all in
+// use, and that the next one succeeds when they are free again.
+func TestMaxConns(t *testing.T) {
 	is := is.New(t)
 	hold := func(net.Conn) bool { time.Sleep(200 * time.Millisecond); return false }
-	g := newTarget(t, hold, hold, says(ok, true))
+	g := newFakeTarget(t, hold, hold, emit(ok, true))
 	c := newClient()
 	var wg sync.WaitGroup
 	for range 2 {
@@ -240,10 +250,10 @@
 	is.Equal(body, "ok")
 }
 
-func TestEndOfContextClosesTheConnection(t *testing.T) {
+func TestContextEndClosesConnection(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
-	g := newTarget(t, func(c net.Conn) bool {
+	g := newFakeTarget(t, func(c net.Conn) bool {
 		_, err := c.Read(make([]byte, 1))
 		if err != nil {
 			close(closed)
@@ -258,26 +268,27 @@
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the target still holds the connection")
+		t.Fatal("the connection is still open at the target")
 	}
 }
 
-// An idle connection needs no time to be opened: without a check of its own the
-// request would be written before the end of the context is noticed.
-func TestNothingIsSentAfterTheContext(t *testing.T) {
+// TestNothingIsSentAfterContextEnd guards against writing a request whose context has already
+// ended. Dialing fails with the context, but a kept connection is not dialed, so Send must check
+// the context itself.
+func TestNothingIsSentAfterContextEnd(t *testing.T) {
 	is := is.New(t)
-	scripts := make([]script, 20)
-	for i := range scripts {
-		scripts[i] = says(ok, true)
+	handlers := make([]handler, 20)
+	for i := range handlers {
+		handlers[i] = emit(ok, true)
 	}
-	g := newTarget(t, scripts...)
+	g := newFakeTarget(t, handlers...)
 	c := newClient()
 	_, err := send(context.Background(), c, g.destination())
 	is.NoErr(err)
-	over, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range 10 {
-		_, err := send(over, c, g.destination())
+		_, err := send(cancelled, c, g.destination())
 		is.Equal(phaseOf(err), httpsend.NotSent)
 		is.True(errors.Is(err, context.Canceled))
 	}
@@ -285,22 +296,22 @@
 	is.NoErr(err)
 	requests, conns := g.counts()
 	is.Equal(requests, 2)
-	is.Equal(conns, 1) // the idle connection is still good
+	is.Equal(conns, 1) // the idle connection was kept
 }
 
 func TestWithheldRequestIsNotSent(t *testing.T) {
 	is := is.New(t)
-	g := newTarget(t, says(ok, true))
-	_, err := newClient().Send(context.Background(), g.destination(), &httpsend.Request{Method: "GET", URI: "/", Host: "h", Before: func() bool { return false }}, ours)
+	g := newFakeTarget(t, emit(ok, true))
+	_, err := newClient().Send(context.Background(), g.destination(), &httpsend.Request{Method: "GET", URI: "/", Host: "h", Before: func() bool { return false }}, matches)
 	is.Equal(phaseOf(err), httpsend.NotSent)
 	is.True(errors.Is(err, httpsend.ErrWithheld))
 	n, _ := g.counts()
 	is.Equal(n, 0)
 }
 
-// A target may answer before it has read a long body; the connection is not
-// used again, as the rest of the body is due on it.
-func TestEarlyAnswerToALongBody(t *testing.T) {
+// TestEarlyResponseToLongBody covers a target that responds before it has read a long body. The
+// connection must not be reused, as the rest of the body is still to be written to it.
+func TestEarlyResponseToLongBody(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -314,12 +325,12 @@
 		if _, err := bufio.NewReader(c).ReadString('\n'); err != nil {
 			return
 		}
-		says(ok, true)(c)
+		emit(ok, true)(c)
 		time.Sleep(300 * time.Millisecond)
 	}()
 	c := newClient()
 	d := httpsend.Destination{ID: "i", Address: l.Addr().String()}
-	resp, err := c.Send(context.Background(), d, &httpsend.Request{Method: "POST", URI: "/", Host: "h", Body: make([]byte, 16<<20)}, ours)
+	resp, err := c.Send(context.Background(), d, &httpsend.Request{Method: "POST", URI: "/", Host: "h", Body: make([]byte, 16<<20)}, matches)
 	is.NoErr(err)
 	body, err := io.ReadAll(resp)
 	is.NoErr(err)
@@ -327,12 +338,12 @@
 	resp.Close()
 	l.Close()
 	_, err = send(context.Background(), c, d)
-	is.Equal(phaseOf(err), httpsend.NotSent) // nothing was kept
+	is.Equal(phaseOf(err), httpsend.NotSent) // the connection was not kept
 }
 
-func TestPruneClosesWhatIsNotListed(t *testing.T) {
+func TestPruneClosesConnectionsOfRemovedDestinations(t *testing.T) {
 	is := is.New(t)
-	g := newTarget(t, says(ok, true), says(ok, true))
+	g := newFakeTarget(t, emit(ok, true), emit(ok, true))
 	c := newClient()
 	_, err := send(context.Background(), c, g.destination())
 	is.NoErr(err)
@@ -343,8 +354,9 @@
 	is.Equal(conns, 2)
 }
 
-// A probe finds nobody where connections are refused, or closed unused as by a balancer without
-// back ends, and somebody where they are kept open.
+// TestProbe checks that a connection that stays open counts as a listening process, and that
+// ErrNobody is returned for one that is refused, or closed unused as by a load balancer without
+// healthy targets.
 func TestProbe(t *testing.T) {
 	is := is.New(t)
 	c := httpsend.New(httpsend.Config{DialTimeout: time.Second})
--- a/internal/httpsend/send.go
+++ b/internal/httpsend/send.go
@@ -17,140 +17,153 @@
 )
 
 const (
-	// readBuffer holds an answer's head and most plain bodies.
-	readBuffer = 4 << 10
-	// inlineBody is the largest body that is written before the answer is
-	// read. A target may answer before it has read a larger one.
-	inlineBody = 8 << 10
-	// maxStray bounds how many answers to other requests are skipped.
-	maxStray = 4
+	// readBufferSize is the size in bytes of a connection's read buffer: large enough for the
+	// head of a response and most bodies of plain services.
+	readBufferSize = 4 << 10
+	// maxInlineWrite is the size in bytes up to which a request is written completely before
+	// the response is read. A larger request is written in parallel, as the target may respond
+	// before it has read all of it.
+	maxInlineWrite = 8 << 10
+	// maxSkipped limits the response heads that are read for one request, of which all but the
+	// last belong to earlier requests or are informational (1xx).
+	maxSkipped = 4
 )
 
-// conn is one connection; one request uses it at a time.
+// conn is a connection to a target. Only one request uses it at a time.
 type conn struct {
-	nc        net.Conn
-	br        *bufio.Reader
-	id        string
+	nc net.Conn
+	br *bufio.Reader
+	// destID is the Destination.ID of the pool that the connection belongs to.
+	destID string
+	// idleSince is when the connection was last returned to its pool.
 	idleSince time.Time
-	reused    bool
-	// unacked is the bound that is set on unacknowledged bytes.
-	unacked time.Duration
+	// reused tells that the connection was taken from the pool.
+	reused bool
+	// unackedTimeout is the socket's current limit on unacknowledged bytes.
+	unackedTimeout time.Duration
 }
 
 func newConn(nc net.Conn, id string) *conn {
-	return &conn{nc: nc, br: bufio.NewReaderSize(nc, readBuffer), id: id}
+	return &conn{nc: nc, br: bufio.NewReaderSize(nc, readBufferSize), destID: id}
 }
 
-// Request is one request as it goes on the wire.
+// Request is a request to send. Content-Length is added to its header.
 type Request struct {
 	Method string
-	// URI is the request target, sent unchanged.
+	// URI is the request target of the request line, sent unchanged.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Before is asked once the connection is open, right before the first byte
-	// is written; nothing is sent when it says no. It may be nil.
+	// Before is called once the connection is open, immediately before the first byte is
+	// written. If it returns false, nothing is sent and Send fails with ErrWithheld. It may be
+	// nil.
 	Before func() bool
-	// ResetOnFailure drops bytes that are still under way when the send fails,
-	// so that they do not arrive later.
+	// ResetOnFailure resets the connection when the send fails, which drops bytes that are
+	// still in the send buffer, so that they do not arrive later.
 	ResetOnFailure bool
-	// Unacked is how long written bytes may stay unacknowledged before the
-	// connection is taken for silent; 0 is the client's own bound.
+	// Unacked is how long written bytes may stay unacknowledged before the kernel closes the
+	// connection; 0 means the client's UnackedTimeout.
 	Unacked time.Duration
 }
 
-// ErrWithheld: Before said no.
-var ErrWithheld = errors.New("httpsend: withheld")
+// ErrWithheld reports that Request.Before returned false.
+var ErrWithheld = errors.New("httpsend: request withheld")
 
-// Match says whose answer an answer's head is.
+// Match reports whether a response with this status and header belongs to the request that was
+// sent.
 type Match func(status int, h http.Header) bool
 
-// Response is an answer whose head has been read. Close must be called.
+// Response is a response whose head has been read. Read returns the body. Close must be called.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the body's length, or -1 where the head does not say it.
+	// Length is the length of the body in bytes, or -1 if the header does not state it.
 	Length int64
 
-	client  *Client
-	conn    *conn
-	resp    *http.Response
-	unbind  func() bool
-	written <-chan error
-	ctx     context.Context
-	once    sync.Once
-	whole   bool
+	client *Client
+	conn   *conn
+	resp   *http.Response
+	// stopWatch stops the closing of the connection at the end of ctx. It returns false if the
+	// connection is already being closed.
+	stopWatch func() bool
+	// writeDone receives the result of writing the request.
+	writeDone <-chan error
+	ctx       context.Context
+	once      sync.Once
+	// complete tells that the body was read to its end.
+	complete bool
 }
 
-// Send writes r once and reads the head of its answer. Answers for which ours
-// is false belong to earlier requests and are skipped. A failure is an *Error.
-// The connection is closed when ctx ends; nothing is sent after that.
-func (c *Client) Send(ctx context.Context, d Destination, r *Request, ours Match) (*Response, error) {
+// Send writes r once and reads the head of its response. Responses for which match returns
+// false belong to earlier requests and are skipped. Every error is an *Error. The connection is
+// closed when ctx ends; nothing is sent after that.
+func (c *Client) Send(ctx context.Context, d Destination, r *Request, match Match) (*Response, error) {
 	if err := ctx.Err(); err != nil {
-		return nil, failed(NotSent, err)
+		return nil, newError(NotSent, err)
 	}
-	cn, err := c.take(ctx, d)
+	cn, err := c.acquire(ctx, d)
 	if err != nil {
-		return nil, failed(NotSent, err)
+		return nil, newError(NotSent, err)
 	}
 	if err := ctx.Err(); err != nil {
 		c.discard(cn)
-		return nil, failed(NotSent, err)
+		return nil, newError(NotSent, err)
 	}
 	if r.Before != nil && !r.Before() {
 		c.discard(cn)
-		return nil, failed(NotSent, ErrWithheld)
+		return nil, newError(NotSent, ErrWithheld)
 	}
 	if tcp, ok := cn.nc.(*net.TCPConn); ok && r.ResetOnFailure {
 		if err := tcp.SetLinger(0); err != nil {
 			c.discard(cn)
-			return nil, failed(NotSent, err)
+			return nil, newError(NotSent, err)
 		}
 	}
-	if err := c.bound(cn, r.Unacked); err != nil {
+	if err := c.setUnackedTimeout(cn, r.Unacked); err != nil {
 		c.discard(cn)
-		return nil, failed(NotSent, err)
+		return nil, newError(NotSent, err)
 	}
-	began := clock.Now()
-	unbind := context.AfterFunc(ctx, func() { _ = cn.nc.Close() })
-	resp, err := c.exchange(ctx, cn, r, ours)
+	start := clock.Now()
+	stopWatch := context.AfterFunc(ctx, func() { _ = cn.nc.Close() })
+	resp, err := c.exchange(ctx, cn, r, match)
 	if err != nil {
-		unbind()
+		stopWatch()
 		c.discard(cn)
-		if cn.reused && silent(ctx, err) {
-			c.dropResting(cn.id, began)
+		if cn.reused && connDead(ctx, err) {
+			c.closeIdleSince(cn.destID, start)
 		}
 		return nil, err
 	}
-	resp.unbind = unbind
+	resp.stopWatch = stopWatch
 	return resp, nil
 }
 
-func (c *Client) exchange(ctx context.Context, cn *conn, r *Request, ours Match) (*Response, error) {
+// exchange writes r to cn and reads the head of its response.
+func (c *Client) exchange(ctx context.Context, cn *conn, r *Request, match Match) (*Response, error) {
 	written, err := cn.write(r)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := cn.readHead(r, ours)
+	resp, err := cn.readHead(r, match)
 	if err != nil {
 		if ctx.Err() != nil {
 			err = context.Cause(ctx)
 		}
-		return nil, failed(Unanswered, err)
+		return nil, newError(Unanswered, err)
 	}
 	return &Response{
 		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength,
-		client: c, conn: cn, resp: resp, written: written, ctx: ctx,
+		client: c, conn: cn, resp: resp, writeDone: written, ctx: ctx,
 	}, nil
 }
 
-// write sends the request. A large body is written beside the reading of the
-// answer; the channel then has the outcome.
+// write sends the request. One larger than maxInlineWrite is written by a goroutine while the
+// response is read. The channel receives the result of the write.
 func (cn *conn) write(r *Request) (<-chan error, error) {
 	data := encode(r)
 	done := make(chan error, 1)
-	if len(data) > inlineBody {
+	if len(data) > maxInlineWrite {
 		go func() {
 			_, err := cn.nc.Write(data)
 			done <- err
@@ -160,15 +173,15 @@
 	n, err := cn.nc.Write(data)
 	switch {
 	case err != nil && n == 0:
-		return nil, failed(NotSent, errors.Wrap(err, "write request"))
+		return nil, newError(NotSent, errors.Wrap(err, "write request"))
 	case err != nil:
-		return nil, failed(Unanswered, errors.Wrap(err, "write request"))
+		return nil, newError(Unanswered, errors.Wrap(err, "write request"))
 	}
 	done <- nil
 	return done, nil
 }
 
-// encode returns the request's bytes. The body is framed by its length.
+// encode returns the request in wire format. The body is framed by Content-Length.
 func encode(r *Request) []byte {
 	var b bytes.Buffer
 	b.Grow(1<<10 + len(r.Body))
@@ -196,68 +209,71 @@
 	return b.Bytes()
 }
 
-// readHead reads the head of the first answer that belongs to the request.
-func (cn *conn) readHead(r *Request, ours Match) (*http.Response, error) {
+// readHead reads the head of the first response for which match returns true. It skips
+// informational responses and those to other requests, at most maxSkipped in all.
+func (cn *conn) readHead(r *Request, match Match) (*http.Response, error) {
 	req := &http.Request{Method: r.Method}
-	for range maxStray {
+	for range maxSkipped {
 		resp, err := http.ReadResponse(cn.br, req)
 		if err != nil {
-			return nil, errors.Wrap(err, "read answer")
+			return nil, errors.Wrap(err, "read response")
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if ours(resp.StatusCode, resp.Header) {
+		if match(resp.StatusCode, resp.Header) {
 			return resp, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return nil, errors.Wrap(err, "skip an answer to another request")
+			return nil, errors.Wrap(err, "skip response to another request")
 		}
 		if resp.Close {
-			return nil, errors.New("connection ends with an answer to another request")
+			return nil, errors.New("connection closed after a response to another request")
 		}
 	}
-	return nil, errors.New("too many answers to other requests")
+	return nil, errors.New("too many responses to other requests")
 }
 
-// Read reads the body. io.EOF means that the body is complete; any other error
-// is an *Error of phase Cut.
+// Read reads the body. It returns io.EOF at the end of a complete body; any other error is an
+// *Error of phase Cut.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.resp.Body.Read(p)
 	switch {
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF):
-		r.whole = true
+		r.complete = true
 		return n, io.EOF
 	case r.ctx.Err() != nil:
 		err = context.Cause(r.ctx)
 	}
-	return n, failed(Cut, errors.Wrap(err, "read body"))
+	return n, newError(Cut, errors.Wrap(err, "read body"))
 }
 
-// Close keeps the connection for reuse after a complete exchange and closes it
-// otherwise. A closed connection tells the target to stop working.
+// Close returns the connection to the pool after a complete exchange and closes it otherwise.
+// Closing the connection tells the target to stop working on the request.
 func (r *Response) Close() {
 	r.once.Do(func() {
-		if r.reusable() && r.unbind() {
-			r.client.keep(r.conn)
+		if r.reusable() && r.stopWatch() {
+			r.client.putIdle(r.conn)
 			return
 		}
-		r.unbind()
+		r.stopWatch()
 		r.client.discard(r.conn)
 	})
 }
 
+// reusable reports whether the exchange is complete and the connection can carry another
+// request.
 func (r *Response) reusable() bool {
-	if !r.whole || r.resp.Close || r.conn.br.Buffered() > 0 {
+	if !r.complete || r.resp.Close || r.conn.br.Buffered() > 0 {
 		return false
 	}
 	select {
-	case err := <-r.written:
+	case err := <-r.writeDone:
 		return err == nil
 	default:
-		// The target answered before it had the whole request.
+		// The target responded before it had received the whole request.
 		return false
 	}
 }
--- a/internal/httpsend/silent_test.go
+++ b/internal/httpsend/silent_test.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// patience is how long the requests of these tests could be waited for.
-	patience = 10 * time.Second
-	// unacked is the sends' bound on bytes that are not acknowledged, and noticed
-	// is by when that must have ended a send.
-	unacked = 250 * time.Millisecond
-	noticed = time.Second
-	// noticedWaiting is the same where nothing is written: probes come each
-	// second.
-	noticedWaiting = 3500 * time.Millisecond
+	// requestTimeout is the deadline of the requests, far longer than a dead connection may
+	// take to be detected.
+	requestTimeout = 10 * time.Second
+	// unackedTimeout is the requests' limit on unacknowledged bytes.
+	unackedTimeout = 250 * time.Millisecond
+	// detectedWithin is the time within which unacknowledged bytes must have failed a send.
+	detectedWithin = time.Second
+	// probedWithin is the same for a connection on which nothing is written: keep-alive probes
+	// are sent once a second.
+	probedWithin = 3500 * time.Millisecond
 )
 
-// silenced returns a target behind a relay that can silence its connections.
-func silenced(t *testing.T, scripts ...script) (*target, *proc.Relay, httpsend.Destination) {
+// newRelayedTarget returns a target behind a relay that can drop the packets of its connections.
+func newRelayedTarget(t *testing.T, handlers ...handler) (*fakeTarget, *proc.Relay, httpsend.Destination) {
 	t.Helper()
-	g := newTarget(t, scripts...)
+	g := newFakeTarget(t, handlers...)
 	r, err := proc.NewRelay(g.l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -38,93 +39,93 @@
 	return g, r, httpsend.Destination{ID: "i-a", Address: r.Addr(), MaxConns: 8}
 }
 
-// sendWithin is send with a bound on what is not acknowledged.
-func sendWithin(c *httpsend.Client, d httpsend.Destination) (string, time.Duration, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// timedSend is send with requestTimeout and unackedTimeout. It also returns how long it took.
+func timedSend(c *httpsend.Client, d httpsend.Destination) (string, time.Duration, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	began := time.Now()
-	resp, err := c.Send(ctx, d, &httpsend.Request{Method: "GET", URI: "/x", Host: "h", Unacked: unacked}, ours)
+	start := time.Now()
+	resp, err := c.Send(ctx, d, &httpsend.Request{Method: "GET", URI: "/x", Host: "h", Unacked: unackedTimeout}, matches)
 	if err != nil {
-		return "", time.Since(began), err
+		return "", time.Since(start), err
 	}
 	defer resp.Close()
 	body, err := io.ReadAll(resp)
-	return string(body), time.Since(began), err
+	return string(body), time.Since(start), err
 }
 
-// A request on a kept connection that has fallen silent fails long before its
-// deadline, and the next one goes over a new connection.
-func TestKeptConnectionFallsSilent(t *testing.T) {
+// TestKeptConnectionDies checks that a request on a kept connection whose packets are lost
+// fails long before its deadline, and that the next request uses a new connection.
+func TestKeptConnectionDies(t *testing.T) {
 	is := is.New(t)
-	_, r, d := silenced(t, says(ok, true), says(ok, true))
+	_, r, d := newRelayedTarget(t, emit(ok, true), emit(ok, true))
 	c := newClient()
-	_, _, err := sendWithin(c, d)
+	_, _, err := timedSend(c, d)
 	is.NoErr(err)
 	r.Disturb(proc.Lost)
-	_, took, err := sendWithin(c, d)
+	_, took, err := timedSend(c, d)
 	is.Equal(phaseOf(err), httpsend.Unanswered)
-	is.True(took < noticed)
-	body, _, err := sendWithin(c, d)
+	is.True(took < detectedWithin)
+	body, _, err := timedSend(c, d)
 	is.NoErr(err)
 	is.Equal(body, "ok")
 }
 
-// What is found of one connection is taken for all that have rested as long: each
-// would cost a request otherwise.
-func TestRestingConnectionsAreDroppedWithTheSilentOne(t *testing.T) {
+// TestIdleConnectionsAreClosedWithDeadOne checks that one dead connection closes all that have
+// been idle as long. Otherwise each of them would fail a request of its own.
+func TestIdleConnectionsAreClosedWithDeadOne(t *testing.T) {
 	is := is.New(t)
 	const kept = 4
-	together := make(chan struct{})
-	var scripts []script
+	allArrived := make(chan struct{})
+	var handlers []handler
 	for range kept {
-		scripts = append(scripts, func(c net.Conn) bool { <-together; return says(ok, true)(c) })
+		handlers = append(handlers, func(c net.Conn) bool { <-allArrived; return emit(ok, true)(c) })
 	}
-	g, r, d := silenced(t, append(scripts, says(ok, true))...)
+	g, r, d := newRelayedTarget(t, append(handlers, emit(ok, true))...)
 	c := newClient()
 	done := make(chan error, kept)
 	for range kept {
 		go func() {
-			_, _, err := sendWithin(c, d)
+			_, _, err := timedSend(c, d)
 			done <- err
 		}()
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(requestTimeout); ; time.Sleep(time.Millisecond) {
 		if n, _ := g.counts(); n == kept || time.Now().After(end) {
 			break
 		}
 	}
-	close(together)
+	close(allArrived)
 	for range kept {
 		is.NoErr(<-done)
 	}
 	r.Disturb(proc.Lost)
-	_, _, err := sendWithin(c, d)
+	_, _, err := timedSend(c, d)
 	is.Equal(phaseOf(err), httpsend.Unanswered)
-	body, _, err := sendWithin(c, d)
+	body, _, err := timedSend(c, d)
 	is.NoErr(err)
 	is.Equal(body, "ok")
 }
 
-// An answer that is waited for, or broken off in its middle, ends once probes
-// find the connection silent.
-func TestConnectionFallsSilentUnderARequest(t *testing.T) {
+// TestConnectionDiesDuringRequest checks that keep-alive probes fail a request whose packets are
+// lost before its response, or in the middle of it.
+func TestConnectionDiesDuringRequest(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nRequest-Id: q\r\nContent-Length: 5\r\n\r\nok"
 	for name, tc := range map[string]struct {
-		says  string
+		sent  string
 		phase httpsend.Phase
 	}{
-		"before the answer": {"", httpsend.Unanswered},
-		"in the answer":     {head, httpsend.Cut},
+		"before the response": {"", httpsend.Unanswered},
+		"in the response":     {head, httpsend.Cut},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			arrived := make(chan struct{})
-			over := make(chan struct{})
-			defer close(over)
-			_, r, d := silenced(t, func(c net.Conn) bool {
-				says(tc.says, true)(c)
+			done := make(chan struct{})
+			defer close(done)
+			_, r, d := newRelayedTarget(t, func(c net.Conn) bool {
+				emit(tc.sent, true)(c)
 				close(arrived)
-				<-over
+				<-done
 				return false
 			})
 			go func() {
@@ -132,55 +133,58 @@
 				time.Sleep(50 * time.Millisecond)
 				r.Disturb(proc.Lost)
 			}()
-			_, took, err := sendWithin(newClient(), d)
+			_, took, err := timedSend(newClient(), d)
 			is.Equal(phaseOf(err), tc.phase)
-			is.True(took < noticedWaiting)
+			is.True(took < probedWithin)
 		})
 	}
 }
 
-// A target's own silence ends nothing: its kernel answers the probes.
+// TestSlowTargetIsWaitedFor checks that a target that sends nothing for longer than the probes
+// take does not fail a request: the kernel of its host acknowledges the probes.
 func TestSlowTargetIsWaitedFor(t *testing.T) {
 	is := is.New(t)
-	_, _, d := silenced(t, func(c net.Conn) bool { time.Sleep(noticedWaiting); return says(ok, true)(c) })
-	body, _, err := sendWithin(newClient(), d)
+	_, _, d := newRelayedTarget(t, func(c net.Conn) bool { time.Sleep(probedWithin); return emit(ok, true)(c) })
+	body, _, err := timedSend(newClient(), d)
 	is.NoErr(err)
 	is.Equal(body, "ok")
 }
 
-// Where what is written is acknowledged all the same, only the caller's own time
-// ends a send; the other resting connections go with it.
-func TestSwallowedRequest(t *testing.T) {
+// TestAcknowledgedButLostRequest covers a connection on which written bytes are acknowledged but
+// not delivered. Only the deadline of the context ends such a send, which then also closes the
+// connections that were idle.
+func TestAcknowledgedButLostRequest(t *testing.T) {
 	is := is.New(t)
-	_, r, d := silenced(t, says(ok, true), says(ok, true))
+	_, r, d := newRelayedTarget(t, emit(ok, true), emit(ok, true))
 	c := newClient()
-	_, _, err := sendWithin(c, d)
+	_, _, err := timedSend(c, d)
 	is.NoErr(err)
 	r.Disturb(proc.Swallowed)
-	ctx, cancel := context.WithTimeout(context.Background(), unacked)
+	ctx, cancel := context.WithTimeout(context.Background(), unackedTimeout)
 	defer cancel()
 	_, err = send(ctx, c, d)
 	is.Equal(phaseOf(err), httpsend.Unanswered)
 	is.True(errors.Is(err, context.DeadlineExceeded))
-	body, _, err := sendWithin(c, d)
+	body, _, err := timedSend(c, d)
 	is.NoErr(err)
 	is.Equal(body, "ok")
 }
 
-// A connection that has rested too long for one request stays for others.
-func TestConnectionThatHasRested(t *testing.T) {
+// TestMaxRest checks that a connection that has been idle for too long for one request is kept
+// for others.
+func TestMaxRest(t *testing.T) {
 	is := is.New(t)
-	g, _, d := silenced(t, says(ok, true), says(ok, true), says(ok, true))
+	g, _, d := newRelayedTarget(t, emit(ok, true), emit(ok, true), emit(ok, true))
 	c := newClient()
 	d.MaxRest = 50 * time.Millisecond
 	for _, wait := range []time.Duration{0, 2 * d.MaxRest} {
 		time.Sleep(wait)
-		_, _, err := sendWithin(c, d)
+		_, _, err := timedSend(c, d)
 		is.NoErr(err)
 	}
 	time.Sleep(2 * d.MaxRest)
 	d.MaxRest = 0
-	_, _, err := sendWithin(c, d)
+	_, _, err := timedSend(c, d)
 	is.NoErr(err)
 	_, conns := g.counts()
 	is.Equal(conns, 2)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -168,7 +168,7 @@
 		return gateway.NewReadyServer(string(cfg.ReadyListen), a.ReadyPath), nil
 	})
 	k.Register(ModuleSender, func(*kernel.Kernel) (any, error) {
-		return httpsend.New(httpsend.Config{DialTimeout: dialTimeout, MaxIdle: maxIdle, Unacked: unacked}), nil
+		return httpsend.New(httpsend.Config{DialTimeout: dialTimeout, MaxIdle: maxIdle, UnackedTimeout: unacked}), nil
 	})
 	k.Register(ModuleStages, func(k *kernel.Kernel) (any, error) { return provideStages(k, cfg, a) })
 	registerDuties(k, cfg, a)
