--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -16,36 +16,37 @@
 	"garnethoist.org/garnethoist/internal/usage"
 )
 
-// duties stands for the modules that the settings' duties need.
-type duties struct{}
+// dutyModules is an empty module. Its dependencies are the modules of the configured duties.
+type dutyModules struct{}
 
-// provideDuties makes the modules of the duties that the settings name.
+// provideDuties provisions the modules of the duties that the settings list.
 func provideDuties(k *kernel.Kernel, cfg *settings.Node) (any, error) {
 	g := &kernel.Getter{Kernel: k}
 	if cfg.Cloud.Has(settings.DutyUsage) {
-		kernel.Need[*usage.Reporter](g, ModuleUsage)
+		kernel.Need[*usage.Reporter](g, ModuleUsageReporter)
 	}
 	if cfg.Cloud.Has(settings.DutyScaling) {
 		kernel.Need[*scaling.Controller](g, ModuleScaling)
 	}
-	return duties{}, g.Err
+	return dutyModules{}, g.Err
 }
 
-// registerDuties adds what counts, and what one VM at a time does for all.
+// registerDuties registers the usage counter, which every VM runs, and the modules of the
+// duties that one VM at a time performs on behalf of all.
 func registerDuties(k *kernel.Kernel, cfg *settings.Node, a Adapter) {
 	k.Register(ModuleDuties, func(k *kernel.Kernel) (any, error) { return provideDuties(k, cfg) })
-	k.Register(ModuleCounter, func(*kernel.Kernel) (any, error) {
+	k.Register(ModuleUsageCounter, func(*kernel.Kernel) (any, error) {
 		return usage.NewCounter(cfg.UsageWindow.D(), time.Now().UnixNano()), nil
 	})
 	k.Register(ModuleCloud, func(k *kernel.Kernel) (any, error) {
 		g := &kernel.Getter{Kernel: k}
-		client := kernel.Need[*httpsend.Client](g, ModuleSender)
+		client := kernel.Need[*httpsend.Client](g, ModuleHTTPClient)
 		if g.Err != nil {
 			return nil, g.Err
 		}
 		return a.Cloud(client, cfg.Cloud), nil
 	})
-	k.Register(ModuleDuty, func(k *kernel.Kernel) (any, error) {
+	k.Register(ModuleDutyHolder, func(k *kernel.Kernel) (any, error) {
 		g := &kernel.Getter{Kernel: k}
 		group := kernel.Need[*peers.Peers](g, ModulePeers)
 		h := duty.New(duty.Config{VM: cfg.VM, Gap: cfg.LeaseGap.D()}, kernel.Need[Store](g, ModuleStore), clock.Boot,
@@ -60,20 +61,20 @@
 	k.Register(ModuleScaling, func(k *kernel.Kernel) (any, error) {
 		g := &kernel.Getter{Kernel: k}
 		placer := kernel.Need[*place.Placer](g, ModulePlacer)
-		keeper := kernel.Need[*fleet.Keeper](g, ModuleKeeper)
+		keeper := kernel.Need[*fleet.Keeper](g, ModuleFleetKeeper)
 		if g.Err != nil {
 			return nil, g.Err
 		}
 		busy := func(service string) bool { return placer.Busy(keeper.View().Targets[service]) }
 		c := scaling.New(scaling.Config{Busy: busy}, keeper, kernel.Need[Store](g, ModuleStore), kernel.Need[Cloud](g, ModuleCloud),
-			kernel.Need[*duty.Holder](g, ModuleDuty), kernel.Need[*telemetry.Logger](g, ModuleLog))
+			kernel.Need[*duty.Holder](g, ModuleDutyHolder), kernel.Need[*telemetry.Logger](g, ModuleLog))
 		return c, g.Err
 	})
-	k.Register(ModuleUsage, func(k *kernel.Kernel) (any, error) {
+	k.Register(ModuleUsageReporter, func(k *kernel.Kernel) (any, error) {
 		g := &kernel.Getter{Kernel: k}
 		group := kernel.Need[*peers.Peers](g, ModulePeers)
-		r := usage.NewReporter(usage.Config{VM: cfg.VM, Length: cfg.UsageWindow.D()}, kernel.Need[*usage.Counter](g, ModuleCounter),
-			kernel.Need[Store](g, ModuleStore), kernel.Need[Cloud](g, ModuleCloud), kernel.Need[*duty.Holder](g, ModuleDuty),
+		r := usage.NewReporter(usage.Config{VM: cfg.VM, Length: cfg.UsageWindow.D()}, kernel.Need[*usage.Counter](g, ModuleUsageCounter),
+			kernel.Need[Store](g, ModuleStore), kernel.Need[Cloud](g, ModuleCloud), kernel.Need[*duty.Holder](g, ModuleDutyHolder),
 			kernel.Need[*telemetry.Logger](g, ModuleLog))
 		if g.Err != nil {
 			return nil, g.Err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node composes the one program that runs on each VM: the callers'
-// gateway, the followers of the store, the exchange with other VMs and the
+// Package node assembles garnet-node, the program that runs on each VM, from its modules: the
+// gateway for callers, the watchers of the store's tables, the exchange with other VMs, and the
 // control of the engines' stages.
 package node
 
@@ -24,84 +24,90 @@
 	"garnethoist.org/garnethoist/internal/watch"
 )
 
-// Names of the node's modules.
+// Names under which the modules are registered with the kernel.
 const (
-	ModuleWriter   = "telemetry.writer"
-	ModuleLog      = "telemetry.log"
-	ModuleMetrics  = "telemetry.metrics"
-	ModuleAdmin    = "telemetry.admin"
-	ModuleStore    = "store.client"
-	ModuleLink     = "watch.link"
-	ModuleKeeper   = "fleet.keeper"
-	ModuleFleet    = "watch.fleet"
-	ModuleConfig   = "watch.config"
-	ModuleTargets  = "watch.targets"
-	ModuleKnown    = "watch.knowledge"
-	ModulePeers    = "peers"
-	ModulePlacer   = "place.placer"
-	ModuleStats    = "gateway.stats"
-	ModuleReady    = "gateway.ready"
-	ModuleSender   = "httpsend.client"
-	ModuleStages   = "stages"
-	ModuleSuspects = "quarantine"
-	ModuleDuties   = "node.duties"
-	ModuleDuty     = "duty"
-	ModuleCounter  = "usage.counter"
-	ModuleUsage    = "usage.reporter"
-	ModuleScaling  = "scaling"
-	ModuleCloud    = "platform.cloud"
-	ModuleGateway  = "gateway"
-	ModuleReload   = "node.reload"
+	ModuleLogWriter     = "telemetry.writer"
+	ModuleLog           = "telemetry.log"
+	ModuleMetrics       = "telemetry.metrics"
+	ModuleAdmin         = "telemetry.admin"
+	ModuleStore         = "store.client"
+	ModuleStoreLink     = "watch.link"
+	ModuleFleetKeeper   = "fleet.keeper"
+	ModuleFleet         = "watch.fleet"
+	ModuleConfigTable   = "watch.config"
+	ModuleTargetsTable  = "watch.targets"
+	ModuleFreshness     = "watch.knowledge"
+	ModulePeers         = "peers"
+	ModulePlacer        = "place.placer"
+	ModuleStats         = "gateway.stats"
+	ModuleReadyServer   = "gateway.ready"
+	ModuleHTTPClient    = "httpsend.client"
+	ModuleStages        = "stages"
+	ModuleQuarantine    = "quarantine"
+	ModuleDuties        = "node.duties"
+	ModuleDutyHolder    = "duty"
+	ModuleUsageCounter  = "usage.counter"
+	ModuleUsageReporter = "usage.reporter"
+	ModuleScaling       = "scaling"
+	ModuleCloud         = "platform.cloud"
+	ModuleGateway       = "gateway"
+	ModuleReload        = "node.reload"
 )
 
-// Roots names the modules that the program is there for. They stop in reverse: a VM that stops
-// hands its duties over before it drains.
-var Roots = []string{ModuleAdmin, ModuleReady, ModulePlacer, ModulePeers, ModuleStages, ModuleReload, ModuleGateway, ModuleDuties}
+// Roots lists the modules that the program starts; the others are started because these depend
+// on them. They stop in reverse order, so that a stopping VM hands over its duties before it
+// drains its requests.
+var Roots = []string{ModuleAdmin, ModuleReadyServer, ModulePlacer, ModulePeers, ModuleStages, ModuleReload, ModuleGateway, ModuleDuties}
 
-// Store is what the node needs of the platform's store.
+// Store is the client of the platform's store: transactions on keys, and the feeds of tables.
 type Store interface {
 	store.Table
 	store.Feed
 }
 
-// Cloud is the calls to the platform that one VM at a time makes for all.
+// Cloud makes the calls to the platform that only one VM at a time makes, on behalf of all.
 type Cloud interface {
 	usage.Platform
 	scaling.Platform
 }
 
-// Adapter is the platform as the node meets it.
+// Adapter supplies everything that depends on the platform: clients, protocols and names.
 type Adapter struct {
-	// Store returns the client of the store.
+	// Store returns a client of the store.
 	Store func(cfg settings.Platform) Store
-	// Protocol is spoken with callers and targets.
+	// Protocol is the HTTP protocol that the gateway speaks with callers and targets.
 	Protocol gateway.Protocol
-	Decoder  watch.Decoder
-	// Engines returns the carrier of orders to engines.
+	// Decoder decodes the rows of the configuration table and the targets table.
+	Decoder watch.Decoder
+	// Engines returns a client that reads engines' reports and sends them orders.
 	Engines func(c *httpsend.Client) stages.Engines
-	// Cloud returns the carrier of the calls that one VM makes for all.
+	// Cloud returns a client for the calls that one VM at a time makes on behalf of all.
 	Cloud func(c *httpsend.Client, cfg settings.Cloud) Cloud
-	// ReadyPath is what the balancer asks for.
+	// ReadyPath is the path of the load balancer's health check.
 	ReadyPath string
-	// The store's tables.
-	ConfigTable  string
+	// ConfigTable is the name of the store's table that holds the configuration.
+	ConfigTable string
+	// TargetsTable is the name of the store's table that lists the targets.
 	TargetsTable string
 }
 
+// Limits of the HTTP client's connections to targets.
 const (
-	dialTimeout = 250 * time.Millisecond
-	maxIdle     = 3 * time.Second
-	// unacked is how long bytes sent to a target may stay unacknowledged where a
-	// request does not say: orders and reports, which are given 700 ms.
-	unacked = 250 * time.Millisecond
+	// targetDialTimeout limits the time to open a connection.
+	targetDialTimeout = 250 * time.Millisecond
+	// targetMaxIdle is how long an unused connection is kept.
+	targetMaxIdle = 3 * time.Second
+	// targetUnackedTimeout is how long sent bytes may stay unacknowledged for requests that set
+	// no limit of their own: orders and reports, whose timeout is 700 ms.
+	targetUnackedTimeout = 250 * time.Millisecond
 )
 
-// Register adds the node's modules to k. path is the settings file that cfg was
-// read from; logs go to logs.
+// Register registers the node's modules with k. path is the settings file that cfg was read
+// from. Log lines are written to logs.
 func Register(k *kernel.Kernel, path string, cfg *settings.Node, a Adapter, logs io.Writer) {
-	k.Register(ModuleWriter, func(*kernel.Kernel) (any, error) { return telemetry.NewBoundedWriter(logs, int(cfg.LogLinesPerS)), nil })
+	k.Register(ModuleLogWriter, func(*kernel.Kernel) (any, error) { return telemetry.NewBoundedWriter(logs, int(cfg.LogLinesPerS)), nil })
 	k.Register(ModuleLog, func(k *kernel.Kernel) (any, error) {
-		w, err := kernel.Get[*telemetry.BoundedWriter](k, ModuleWriter)
+		w, err := kernel.Get[*telemetry.BoundedWriter](k, ModuleLogWriter)
 		if err != nil {
 			return nil, err
 		}
@@ -119,23 +125,23 @@
 		log, err := kernel.Get[*telemetry.Logger](k, ModuleLog)
 		return loggedStore{Store: a.Store(cfg.Store), log: log}, err
 	})
-	k.Register(ModuleKeeper, func(*kernel.Kernel) (any, error) { return fleet.NewKeeper(), nil })
-	k.Register(ModuleLink, func(k *kernel.Kernel) (any, error) {
+	k.Register(ModuleFleetKeeper, func(*kernel.Kernel) (any, error) { return fleet.NewKeeper(), nil })
+	k.Register(ModuleStoreLink, func(k *kernel.Kernel) (any, error) {
 		log, err := kernel.Get[*telemetry.Logger](k, ModuleLog)
 		return watch.NewLink(log), err
 	})
 	k.Register(ModuleFleet, func(k *kernel.Kernel) (any, error) {
 		g := &kernel.Getter{Kernel: k}
-		f := watch.NewFleet(kernel.Need[*fleet.Keeper](g, ModuleKeeper), a.Decoder,
-			kernel.Need[*watch.Link](g, ModuleLink), kernel.Need[*telemetry.Logger](g, ModuleLog))
+		f := watch.NewFleet(kernel.Need[*fleet.Keeper](g, ModuleFleetKeeper), a.Decoder,
+			kernel.Need[*watch.Link](g, ModuleStoreLink), kernel.Need[*telemetry.Logger](g, ModuleLog))
 		return f, g.Err
 	})
-	registerFollowers(k, a)
-	k.Register(ModuleKnown, func(k *kernel.Kernel) (any, error) {
+	registerTables(k, a)
+	k.Register(ModuleFreshness, func(k *kernel.Kernel) (any, error) {
 		g := &kernel.Getter{Kernel: k}
-		known := watch.NewKnowledge(kernel.Need[*watch.Table](g, ModuleConfig), cfg.ConfigBound.D())
-		known.SetRevokeBound(cfg.RevokeBound.D())
-		return known, g.Err
+		freshness := watch.NewKnowledge(kernel.Need[*watch.Table](g, ModuleConfigTable), cfg.ConfigBound.D())
+		freshness.SetRevokeBound(cfg.RevokeBound.D())
+		return freshness, g.Err
 	})
 	k.Register(ModulePeers, func(k *kernel.Kernel) (any, error) {
 		g := &kernel.Getter{Kernel: k}
@@ -146,7 +152,7 @@
 		}
 		return group, g.Err
 	})
-	k.Register(ModuleSuspects, func(k *kernel.Kernel) (any, error) {
+	k.Register(ModuleQuarantine, func(k *kernel.Kernel) (any, error) {
 		g := &kernel.Getter{Kernel: k}
 		group := kernel.Need[*peers.Peers](g, ModulePeers)
 		keeper := quarantine.NewKeeper(kernel.Need[Store](g, ModuleStore), kernel.Need[*telemetry.Logger](g, ModuleLog), clock.Now)
@@ -164,11 +170,11 @@
 		}
 		return gateway.NewStats(m.Meter)
 	})
-	k.Register(ModuleReady, func(*kernel.Kernel) (any, error) {
+	k.Register(ModuleReadyServer, func(*kernel.Kernel) (any, error) {
 		return gateway.NewReadyServer(string(cfg.ReadyListen), a.ReadyPath), nil
 	})
-	k.Register(ModuleSender, func(*kernel.Kernel) (any, error) {
-		return httpsend.New(httpsend.Config{DialTimeout: dialTimeout, MaxIdle: maxIdle, UnackedTimeout: unacked}), nil
+	k.Register(ModuleHTTPClient, func(*kernel.Kernel) (any, error) {
+		return httpsend.New(httpsend.Config{DialTimeout: targetDialTimeout, MaxIdle: targetMaxIdle, UnackedTimeout: targetUnackedTimeout}), nil
 	})
 	k.Register(ModuleStages, func(k *kernel.Kernel) (any, error) { return provideStages(k, cfg, a) })
 	registerDuties(k, cfg, a)
@@ -176,17 +182,19 @@
 	k.Register(ModuleReload, func(k *kernel.Kernel) (any, error) {
 		g := &kernel.Getter{Kernel: k}
 		return &reloader{
-			path: path, running: *cfg, gateway: kernel.Need[*gateway.Gateway](g, ModuleGateway),
-			writer: kernel.Need[*telemetry.BoundedWriter](g, ModuleWriter), log: kernel.Need[*telemetry.Logger](g, ModuleLog),
+			path: path, active: *cfg, gateway: kernel.Need[*gateway.Gateway](g, ModuleGateway),
+			writer: kernel.Need[*telemetry.BoundedWriter](g, ModuleLogWriter), log: kernel.Need[*telemetry.Logger](g, ModuleLog),
 		}, g.Err
 	})
 }
 
-func registerFollowers(k *kernel.Kernel, a Adapter) {
-	follow := func(name, table string, apply func(g *kernel.Getter) watch.Apply, options ...func(*watch.Table)) {
+// registerTables registers the modules that follow the configuration table and the targets
+// table.
+func registerTables(k *kernel.Kernel, a Adapter) {
+	register := func(name, table string, apply func(g *kernel.Getter) watch.Apply, options ...func(*watch.Table)) {
 		k.Register(name, func(k *kernel.Kernel) (any, error) {
 			g := &kernel.Getter{Kernel: k}
-			t := watch.NewTable(kernel.Need[Store](g, ModuleStore), table, kernel.Need[*watch.Link](g, ModuleLink),
+			t := watch.NewTable(kernel.Need[Store](g, ModuleStore), table, kernel.Need[*watch.Link](g, ModuleStoreLink),
 				kernel.Need[*peers.Peers](g, ModulePeers), apply(g), kernel.Need[*telemetry.Logger](g, ModuleLog))
 			for _, option := range options {
 				option(t)
@@ -194,14 +202,16 @@
 			return t, g.Err
 		})
 	}
-	follow(ModuleConfig, a.ConfigTable, func(g *kernel.Getter) watch.Apply {
+	register(ModuleConfigTable, a.ConfigTable, func(g *kernel.Getter) watch.Apply {
 		return kernel.Need[*watch.Fleet](g, ModuleFleet).ApplyConfig
 	}, (*watch.Table).SetWhole)
-	follow(ModuleTargets, a.TargetsTable, func(g *kernel.Getter) watch.Apply {
+	register(ModuleTargetsTable, a.TargetsTable, func(g *kernel.Getter) watch.Apply {
 		return kernel.Need[*watch.Fleet](g, ModuleFleet).ApplyTargets
 	})
 }
 
+// providePlacer returns the placer. It also connects the peers, the placer and the stage
+// controller, each of which needs the others.
 func providePlacer(k *kernel.Kernel, cfg *settings.Node) (any, error) {
 	g := &kernel.Getter{Kernel: k}
 	group := kernel.Need[*peers.Peers](g, ModulePeers)
@@ -222,20 +232,21 @@
 	})
 	group.SetPlacer(placer)
 	group.SetOrders(controller)
-	keeper := kernel.Need[*fleet.Keeper](g, ModuleKeeper)
-	controller.SetDemand(func(targets []*fleet.Target) float64 { return demand(placer, keeper.View(), targets) })
-	controller.SetPressed(func(targets []*fleet.Target) bool { return pressed(placer, keeper.View(), targets) })
+	keeper := kernel.Need[*fleet.Keeper](g, ModuleFleetKeeper)
+	controller.SetDemand(func(targets []*fleet.Target) float64 { return decodeDemand(placer, keeper.View(), targets) })
+	controller.SetPressed(func(targets []*fleet.Target) bool { return prefillOverloaded(placer, keeper.View(), targets) })
 	controller.SetCandidate(func() bool { return !group.PassesOn() || group.Sentinel() })
 	controller.SetView(placer.Streams, func(engine string) bool {
 		_, changing := group.Changing(engine)
 		return changing
 	})
-	group.Follow(kernel.Need[*watch.Table](g, ModuleConfig), kernel.Need[*watch.Table](g, ModuleTargets))
+	group.Follow(kernel.Need[*watch.Table](g, ModuleConfigTable), kernel.Need[*watch.Table](g, ModuleTargetsTable))
 	return placer, nil
 }
 
-// demand is how many decode engines the runs in hand of a service fill.
-func demand(p *place.Placer, v *fleet.View, targets []*fleet.Target) float64 {
+// decodeDemand returns how many decode engines the running requests of a service occupy.
+// targets are the engines of that service.
+func decodeDemand(p *place.Placer, v *fleet.View, targets []*fleet.Target) float64 {
 	if v.Config == nil || len(targets) == 0 {
 		return 0
 	}
@@ -246,9 +257,9 @@
 	return p.Decoding(targets, s.Engine, time.Now())
 }
 
-// pressed reports whether prompts queue for longer at the engines of a service that prefill than
-// their objective allows.
-func pressed(p *place.Placer, v *fleet.View, targets []*fleet.Target) bool {
+// prefillOverloaded reports whether prompts wait longer for the prefill engines of a service
+// than the service's objective allows. targets are the engines of that service.
+func prefillOverloaded(p *place.Placer, v *fleet.View, targets []*fleet.Target) bool {
 	if v.Config == nil || len(targets) == 0 {
 		return false
 	}
@@ -256,20 +267,20 @@
 	return s != nil && s.Engine != nil && s.Engine.Objective > 0 && p.Pressed(targets, s.Engine.Objective)
 }
 
+// provideStages returns the controller of the engines' stages.
 func provideStages(k *kernel.Kernel, cfg *settings.Node, a Adapter) (any, error) {
 	g := &kernel.Getter{Kernel: k}
 	sc := stages.Config{VM: cfg.VM, Share: cfg.PrefillShare, Gap: cfg.LeaseGap.D()}
-	client := kernel.Need[*httpsend.Client](g, ModuleSender)
+	client := kernel.Need[*httpsend.Client](g, ModuleHTTPClient)
 	if g.Err != nil {
 		return nil, g.Err
 	}
-	c := stages.New(sc, kernel.Need[*fleet.Keeper](g, ModuleKeeper), kernel.Need[Store](g, ModuleStore), a.Engines(client),
+	c := stages.New(sc, kernel.Need[*fleet.Keeper](g, ModuleFleetKeeper), kernel.Need[Store](g, ModuleStore), a.Engines(client),
 		clock.Boot, uint64(time.Now().UnixNano()), kernel.Need[*telemetry.Logger](g, ModuleLog))
 	return c, g.Err
 }
 
-// gatewayLimits returns the gateway's part of the settings that may change while it
-// runs.
+// gatewayLimits returns the gateway's settings that can change while it runs.
 func gatewayLimits(cfg *settings.Node) gateway.Limits {
 	return gateway.Limits{
 		Grace: cfg.Grace.D(), RetryRatio: cfg.RetryRatio, RetryBurst: cfg.RetryBurst, RetryWindow: cfg.RetryWindow.D(),
@@ -277,26 +288,27 @@
 	}
 }
 
+// provideGateway returns the gateway and makes its readiness that of the program.
 func provideGateway(k *kernel.Kernel, cfg *settings.Node, a Adapter) (any, error) {
 	g := &kernel.Getter{Kernel: k}
 	group := kernel.Need[*peers.Peers](g, ModulePeers)
-	client := kernel.Need[*httpsend.Client](g, ModuleSender)
+	client := kernel.Need[*httpsend.Client](g, ModuleHTTPClient)
 	descriptors, err := gateway.Descriptors(cfg.FileDescriptors)
 	if err != nil {
 		return nil, err
 	}
 	gw := gateway.New(gateway.Parts{
-		Listen: string(cfg.Listen), Descriptors: descriptors, Keeper: kernel.Need[*fleet.Keeper](g, ModuleKeeper),
+		Listen: string(cfg.Listen), Descriptors: descriptors, Keeper: kernel.Need[*fleet.Keeper](g, ModuleFleetKeeper),
 		Placer: kernel.Need[*place.Placer](g, ModulePlacer), Protocol: a.Protocol, Group: group,
-		Known: kernel.Need[*watch.Knowledge](g, ModuleKnown), Client: client,
-		Usage:      kernel.Need[*usage.Counter](g, ModuleCounter),
-		FirstStart: cfg.FirstStart, Quarantine: kernel.Need[*quarantine.Keeper](g, ModuleSuspects),
+		Known: kernel.Need[*watch.Knowledge](g, ModuleFreshness), Client: client,
+		Usage:      kernel.Need[*usage.Counter](g, ModuleUsageCounter),
+		FirstStart: cfg.FirstStart, Quarantine: kernel.Need[*quarantine.Keeper](g, ModuleQuarantine),
 		Log: kernel.Need[*telemetry.Logger](g, ModuleLog), Stats: kernel.Need[*gateway.Stats](g, ModuleStats),
 	}, gatewayLimits(cfg))
 	if g.Err != nil {
 		return nil, g.Err
 	}
-	kernel.Need[*gateway.ReadyServer](g, ModuleReady).SetReady(gw.Ready)
+	kernel.Need[*gateway.ReadyServer](g, ModuleReadyServer).SetReady(gw.Ready)
 	kernel.Need[*telemetry.Admin](g, ModuleAdmin).SetReady(gw.Ready)
 	return gw, g.Err
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -16,38 +16,41 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// settingsPoll is how often the settings file is looked at: it may change
-// without a signal.
-const settingsPoll = time.Second
+// settingsPollInterval is the time between reads of the settings file, which may change without
+// a SIGHUP.
+const settingsPollInterval = time.Second
 
-// reloader takes in a settings file that has changed. Only what can change in
-// a running process is applied; the rest is logged as needing a restart.
+// reloader applies changes of the settings file, on SIGHUP or when it finds the file changed.
+// Settings that a running process cannot change are only logged as needing a restart.
 type reloader struct {
 	kernel.Background
-	path    string
-	running settings.Node
+	path string
+	// active holds the settings that the process was started with.
+	active  settings.Node
 	gateway *gateway.Gateway
 	writer  *telemetry.BoundedWriter
 	log     *telemetry.Logger
-	last    []byte
+	// lastData is the content of the file when it was last read.
+	lastData []byte
 }
 
-// Start begins to look at the file.
+// Start reads the file and begins to watch it.
 func (r *reloader) Start(context.Context) error {
 	data, err := os.ReadFile(r.path)
 	if err != nil {
 		r.log.Warn(telemetry.EventReload, telemetry.F("cause", err))
 	}
-	r.last = data
-	r.Run(r.follow)
+	r.lastData = data
+	r.Run(r.watch)
 	return nil
 }
 
-func (r *reloader) follow(ctx context.Context) {
+// watch reloads the settings on SIGHUP and at each settingsPollInterval, until ctx ends.
+func (r *reloader) watch(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	ticker := time.NewTicker(settingsPoll)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -61,22 +64,23 @@
 	}
 }
 
-// reload reads the file and applies it if it differs from what was last read.
-func (r *reloader) reload(asked bool) {
+// reload reads the file and applies it if its content has changed. requested tells that an
+// operator asked for it by SIGHUP; only then are read errors and unchanged files logged.
+func (r *reloader) reload(requested bool) {
 	data, err := os.ReadFile(r.path)
 	if err != nil {
-		if asked {
+		if requested {
 			r.log.Warn(telemetry.EventReload, telemetry.F("cause", err))
 		}
 		return
 	}
-	if bytes.Equal(data, r.last) {
-		if asked {
+	if bytes.Equal(data, r.lastData) {
+		if requested {
 			r.log.Info(telemetry.EventReload, telemetry.F("changed", false))
 		}
 		return
 	}
-	r.last = data
+	r.lastData = data
 	next := settings.DefaultNode()
 	if err := settings.Decode(data, next); err != nil {
 		r.log.Warn(telemetry.EventReload, telemetry.F("refused", true), telemetry.F("cause", err))
@@ -87,19 +91,19 @@
 	r.log.Info(telemetry.EventReload, telemetry.F("changed", true), telemetry.F("restart_needed", r.restartNeeded(next)))
 }
 
-// restartNeeded reports whether a setting changed that a running process keeps.
+// restartNeeded reports whether next changes a setting that takes effect only at a restart.
 func (r *reloader) restartNeeded(next *settings.Node) bool {
-	a, b := r.running, *next
+	a, b := r.active, *next
 	deferral := settings.MechanismDeferral
-	a.Off, b.Off = without(a.Off, deferral), without(b.Off, deferral)
-	// It speaks of the start that was.
+	a.Off, b.Off = withoutName(a.Off, deferral), withoutName(b.Off, deferral)
+	// FirstStart concerns only the start of the process, which is over.
 	a.FirstStart = b.FirstStart
 	a.Grace, a.RetryRatio, a.RetryBurst, a.RetryWindow, a.LogLinesPerS = b.Grace, b.RetryRatio, b.RetryBurst, b.RetryWindow, b.LogLinesPerS
 	return !reflect.DeepEqual(a, b)
 }
 
-// without returns the names other than one, in order.
-func without(names []string, name string) []string {
+// withoutName returns names without name, sorted.
+func withoutName(names []string, name string) []string {
 	var out []string
 	for _, n := range names {
 		if n != name {
--- a/internal/node/storelog.go
+++ b/internal/node/storelog.go
@@ -9,14 +9,14 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// loggedStore writes a line for each call to the store: calls are priced and limited
-// for the whole group, so an operator must see which VM made one, and for what.
+// loggedStore logs each call to the store. Calls have a price and are rate-limited for all VMs
+// together, so an operator must be able to see which VM made a call and for which key or table.
 type loggedStore struct {
 	Store
 	log *telemetry.Logger
 }
 
-// Stop stops the store's client.
+// Stop stops the wrapped client if it is a kernel.Stopper.
 func (s loggedStore) Stop(ctx context.Context) error {
 	if stopper, ok := s.Store.(kernel.Stopper); ok {
 		return stopper.Stop(ctx)
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// The operations of a call's line.
+// Values of the log key op: the methods of the store.
 const (
 	opList    = "list"
 	opChanges = "changes"
@@ -32,10 +32,12 @@
 	opCommit  = "commit"
 )
 
-func (s loggedStore) called(op, what string, began time.Time, rows int, err error) {
+// logCall logs a call to the store. what is the key, prefix or table of the call, and rows the
+// number of rows read or written.
+func (s loggedStore) logCall(op, what string, start time.Time, rows int, err error) {
 	fields := []telemetry.Field{
 		telemetry.F("op", op), telemetry.F("what", what), telemetry.F("rows", rows),
-		telemetry.F("ms", time.Since(began).Milliseconds()),
+		telemetry.F("ms", time.Since(start).Milliseconds()),
 	}
 	if err != nil {
 		fields = append(fields, telemetry.F("cause", err))
@@ -45,45 +47,45 @@
 
 // ListRows implements store.Feed.
 func (s loggedStore) ListRows(ctx context.Context, table string) (store.Rows, error) {
-	began := time.Now()
+	start := time.Now()
 	rows, err := s.Store.ListRows(ctx, table)
-	s.called(opList, table, began, len(rows.Rows), err)
+	s.logCall(opList, table, start, len(rows.Rows), err)
 	return rows, err
 }
 
 // Changes implements store.Feed.
 func (s loggedStore) Changes(ctx context.Context, table string, after uint64, wait time.Duration) (store.Rows, error) {
-	began := time.Now()
+	start := time.Now()
 	rows, err := s.Store.Changes(ctx, table, after, wait)
-	s.called(opChanges, table, began, len(rows.Rows), err)
+	s.logCall(opChanges, table, start, len(rows.Rows), err)
 	return rows, err
 }
 
 // Get implements store.Table.
 func (s loggedStore) Get(ctx context.Context, key string) (store.Record, error) {
-	began := time.Now()
+	start := time.Now()
 	r, err := s.Store.Get(ctx, key)
-	s.called(opGet, key, began, 1, err)
+	s.logCall(opGet, key, start, 1, err)
 	return r, err
 }
 
 // List implements store.Table.
 func (s loggedStore) List(ctx context.Context, prefix string) ([]store.Record, error) {
-	began := time.Now()
+	start := time.Now()
 	records, err := s.Store.List(ctx, prefix)
-	s.called(opList, prefix, began, len(records), err)
+	s.logCall(opList, prefix, start, len(records), err)
 	return records, err
 }
 
 // Commit implements store.Table.
 func (s loggedStore) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
-	began := time.Now()
+	start := time.Now()
 	version, err := s.Store.Commit(ctx, txn)
-	s.called(opCommit, firstKey(txn), began, len(txn.Puts)+len(txn.Deletes), err)
+	s.logCall(opCommit, firstKey(txn), start, len(txn.Puts)+len(txn.Deletes), err)
 	return version, err
 }
 
-// firstKey is the first key that a transaction writes.
+// firstKey returns the first key that a transaction writes or deletes, or "" if there is none.
 func firstKey(txn store.Txn) string {
 	switch {
 	case len(txn.Puts) > 0:
