--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -22,10 +22,10 @@
 // provideDuties provisions the modules of the duties that the settings list.
 func provideDuties(k *kernel.Kernel, cfg *settings.Node) (any, error) {
 	g := &kernel.Getter{Kernel: k}
-	if cfg.Cloud.Has(settings.DutyUsage) {
+	if cfg.Cloud.HasDuty(settings.DutyUsage) {
 		kernel.Need[*usage.Reporter](g, ModuleUsageReporter)
 	}
-	if cfg.Cloud.Has(settings.DutyScaling) {
+	if cfg.Cloud.HasDuty(settings.DutyScaling) {
 		kernel.Need[*scaling.Controller](g, ModuleScaling)
 	}
 	return dutyModules{}, g.Err
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -1,6 +1,6 @@
-// Package settings reads the programs' settings files: JSON with comments,
-// unknown fields refused, and every problem reported at once with its field
-// and line.
+// Package settings reads the settings files of the programs. The format is JSON with comments
+// and trailing commas. Unknown fields are errors, and all problems of a file are reported
+// together, each with its field and line.
 package settings
 
 import (
@@ -17,13 +17,13 @@
 	"github.com/tailscale/hujson"
 )
 
-// Problem is one thing wrong with a settings file.
+// Problem is an error in a settings file.
 type Problem struct {
-	// Field is the dotted path, such as peers[1].address; empty for the file.
+	// Field is the path of the field, such as peers[1].address; empty for the whole file.
 	Field string
-	// Line counts from 1.
+	// Line is the line number, from 1.
 	Line int
-	// Message says what is wrong.
+	// Message describes the error.
 	Message string
 }
 
@@ -35,10 +35,10 @@
 	return fmt.Sprintf("line %d: %s: %s", p.Line, p.Field, p.Message)
 }
 
-// Problems is the error that lists every problem of a file, by line.
+// Problems is the error that lists all problems of a file, ordered by line.
 type Problems []Problem
 
-// Error implements error, one problem a line.
+// Error returns the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -47,27 +47,28 @@
 	return strings.Join(lines, "\n")
 }
 
-// Duration is a time.Duration written as a string with a unit, such as "250ms".
+// Duration is a time.Duration that settings files state as a string with a unit, such as "250ms".
 type Duration time.Duration
 
 // D returns d as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// MarshalText writes the duration as a settings file has it.
+// MarshalText returns the duration in the format of settings files.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.D().String()), nil }
 
 // Addr is an IP address with a port, such as "10.1.0.4:7100".
 type Addr string
 
-// checker is a settings type that checks itself once its fields are decoded.
-type checker interface {
-	check(r *report)
+// validator is a settings struct. validate reports its invalid or missing values to dec, after
+// the fields have been decoded.
+type validator interface {
+	validate(dec *decoder)
 }
 
-// ReadFile decodes the settings file at path into dst, a pointer to a settings
-// struct that holds the defaults. The error is a Problems when the file could
-// be read.
-func ReadFile(path string, dst checker) error {
+// ReadFile decodes the settings file at path into dst, a pointer to a settings struct that
+// holds the defaults, and validates the result. The error is of type Problems unless the file
+// could not be read.
+func ReadFile(path string, dst validator) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return errors.Wrap(err, "read settings")
@@ -75,42 +76,46 @@
 	return Decode(data, dst)
 }
 
-// Decode decodes data into dst; see ReadFile.
-func Decode(data []byte, dst checker) error {
-	r := &report{data: data, offsets: map[string]int{}}
+// Decode decodes the content of a settings file into dst and validates it; see ReadFile. Every
+// error is of type Problems.
+func Decode(data []byte, dst validator) error {
+	dec := &decoder{data: data, offsets: map[string]int{}}
 	root, err := hujson.Parse(data)
 	if err != nil {
 		return Problems{{Line: 1, Message: err.Error()}}
 	}
-	r.decode("", root, reflect.ValueOf(dst).Elem())
-	dst.check(r)
-	if len(r.problems) == 0 {
+	dec.decode("", root, reflect.ValueOf(dst).Elem())
+	dst.validate(dec)
+	if len(dec.problems) == 0 {
 		return nil
 	}
-	sort.SliceStable(r.problems, func(i, j int) bool {
-		return r.problems[i].Line < r.problems[j].Line
+	sort.SliceStable(dec.problems, func(i, j int) bool {
+		return dec.problems[i].Line < dec.problems[j].Line
 	})
-	return r.problems
+	return dec.problems
 }
 
-// report gathers the problems of one file and knows where each field stands.
-type report struct {
-	data     []byte
+// decoder decodes one file and collects its problems.
+type decoder struct {
+	data []byte
+	// offsets maps the path of each field in the file to the byte offset of its value, or of
+	// its name if the field is unknown.
 	offsets  map[string]int
 	problems Problems
 }
 
-// add reports a problem with field. A field that the file lacks is reported at
-// the line of its nearest parent.
-func (r *report) add(field, format string, args ...any) {
-	p := Problem{Field: field, Line: r.lineOf(field), Message: fmt.Sprintf(format, args...)}
-	r.problems = append(r.problems, p)
+// addProblem records a problem of field, a path as in Problem.Field. A field that is not in the
+// file is reported at the line of its nearest parent that is.
+func (dec *decoder) addProblem(field, format string, args ...any) {
+	p := Problem{Field: field, Line: dec.lineOf(field), Message: fmt.Sprintf(format, args...)}
+	dec.problems = append(dec.problems, p)
 }
 
-func (r *report) lineOf(field string) int {
+// lineOf returns the line of a field, or of its nearest parent that is in the file.
+func (dec *decoder) lineOf(field string) int {
 	for {
-		if off, ok := r.offsets[field]; ok {
-			return 1 + strings.Count(string(r.data[:off]), "\n")
+		if off, ok := dec.offsets[field]; ok {
+			return 1 + strings.Count(string(dec.data[:off]), "\n")
 		}
 		cut := strings.LastIndexAny(field, ".[")
 		if cut < 0 {
@@ -120,89 +125,96 @@
 	}
 }
 
-func (r *report) decode(field string, v hujson.Value, dst reflect.Value) {
-	r.offsets[field] = v.StartOffset
+// decode stores the JSON value v in dst, a settable value. field is its path.
+func (dec *decoder) decode(field string, v hujson.Value, dst reflect.Value) {
+	dec.offsets[field] = v.StartOffset
 	switch val := v.Value.(type) {
 	case *hujson.Object:
-		r.decodeObject(field, val, dst)
+		dec.decodeObject(field, val, dst)
 	case *hujson.Array:
-		r.decodeArray(field, val, dst)
+		dec.decodeArray(field, val, dst)
 	case hujson.Literal:
-		r.decodeLiteral(field, val, dst)
+		dec.decodeLiteral(field, val, dst)
 	}
 }
 
-func (r *report) decodeObject(field string, obj *hujson.Object, dst reflect.Value) {
+// decodeObject stores obj in the struct dst. Unknown and repeated fields are problems.
+func (dec *decoder) decodeObject(field string, obj *hujson.Object, dst reflect.Value) {
 	if dst.Kind() != reflect.Struct {
-		r.add(field, "is an object, want %s", describe(dst))
+		dec.addProblem(field, "is an object, want %s", typeDescription(dst))
 		return
 	}
 	fields := fieldsByName(dst)
 	seen := map[string]bool{}
 	for _, m := range obj.Members {
 		name := m.Name.Value.(hujson.Literal).String()
-		path := join(field, name)
+		path := joinPath(field, name)
 		f, ok := fields[name]
 		switch {
 		case !ok:
-			r.offsets[path] = m.Name.StartOffset
-			r.add(path, "unknown field")
+			dec.offsets[path] = m.Name.StartOffset
+			dec.addProblem(path, "unknown field")
 		case seen[name]:
-			r.add(path, "given twice")
+			dec.addProblem(path, "given twice")
 		default:
-			r.decode(path, m.Value, f)
+			dec.decode(path, m.Value, f)
 		}
 		seen[name] = true
 	}
 }
 
-func (r *report) decodeArray(field string, arr *hujson.Array, dst reflect.Value) {
+// decodeArray stores arr in the slice dst.
+func (dec *decoder) decodeArray(field string, arr *hujson.Array, dst reflect.Value) {
 	if dst.Kind() != reflect.Slice {
-		r.add(field, "is a list, want %s", describe(dst))
+		dec.addProblem(field, "is a list, want %s", typeDescription(dst))
 		return
 	}
 	out := reflect.MakeSlice(dst.Type(), len(arr.Elements), len(arr.Elements))
 	for i, e := range arr.Elements {
-		r.decode(fmt.Sprintf("%s[%d]", field, i), e, out.Index(i))
+		dec.decode(fmt.Sprintf("%s[%d]", field, i), e, out.Index(i))
 	}
 	dst.Set(out)
 }
 
-func (r *report) decodeLiteral(field string, lit hujson.Literal, dst reflect.Value) {
+// decodeLiteral stores a string, number, boolean or null in dst.
+func (dec *decoder) decodeLiteral(field string, lit hujson.Literal, dst reflect.Value) {
 	switch dst.Interface().(type) {
 	case Duration:
-		r.decodeDuration(field, lit, dst)
+		dec.decodeDuration(field, lit, dst)
 		return
 	case Addr:
-		r.decodeAddr(field, lit, dst)
+		dec.decodeAddr(field, lit, dst)
 		return
 	}
 	if err := json.Unmarshal(lit, dst.Addr().Interface()); err != nil {
-		r.add(field, "is %s, want %s", lit, describe(dst))
+		dec.addProblem(field, "is %s, want %s", lit, typeDescription(dst))
 	}
 }
 
-func (r *report) decodeDuration(field string, lit hujson.Literal, dst reflect.Value) {
+// decodeDuration stores a string such as "2s" in dst, a Duration.
+func (dec *decoder) decodeDuration(field string, lit hujson.Literal, dst reflect.Value) {
 	if lit.Kind() != '"' {
-		r.add(field, `duration without a unit: write it as a string such as "2s"`)
+		dec.addProblem(field, `duration without a unit: write it as a string such as "2s"`)
 		return
 	}
 	d, err := time.ParseDuration(lit.String())
 	if err != nil {
-		r.add(field, "%q is not a duration with a unit, such as 2s", lit.String())
+		dec.addProblem(field, "%q is not a duration with a unit such as \"2s\"", lit.String())
 		return
 	}
 	dst.Set(reflect.ValueOf(Duration(d)))
 }
 
-func (r *report) decodeAddr(field string, lit hujson.Literal, dst reflect.Value) {
+// decodeAddr stores a string such as "10.1.0.4:7100" in dst, an Addr.
+func (dec *decoder) decodeAddr(field string, lit hujson.Literal, dst reflect.Value) {
 	if _, err := netip.ParseAddrPort(lit.String()); err != nil {
-		r.add(field, "%q is not an IP address with a port, such as 10.1.0.4:7100", lit.String())
+		dec.addProblem(field, "%q is not an IP address with a port, such as 10.1.0.4:7100", lit.String())
 		return
 	}
 	dst.Set(reflect.ValueOf(Addr(lit.String())))
 }
 
+// fieldsByName returns the fields of the struct dst by their JSON names.
 func fieldsByName(dst reflect.Value) map[string]reflect.Value {
 	out := make(map[string]reflect.Value, dst.NumField())
 	for i := range dst.NumField() {
@@ -211,14 +223,16 @@
 	return out
 }
 
-func join(field, name string) string {
+// joinPath appends a field's name to the path of its parent.
+func joinPath(field, name string) string {
 	if field == "" {
 		return name
 	}
 	return field + "." + name
 }
 
-func describe(v reflect.Value) string {
+// typeDescription describes the JSON that v can hold, for problem messages.
+func typeDescription(v reflect.Value) string {
 	switch v.Interface().(type) {
 	case Duration:
 		return "a duration such as \"2s\""
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -7,82 +7,87 @@
 	"time"
 )
 
-// Node is the settings of garnet-node.
+// Node holds the settings of garnet-node.
 type Node struct {
-	// VM is this VM's name, unique in the organisation.
+	// VM is the name of this VM, unique in the organisation.
 	VM string `json:"vm"`
-	// DataCentre is this VM's data centre.
+	// DataCentre is the name of this VM's data centre.
 	DataCentre string `json:"data_centre"`
-	// Listen is the callers' address.
+	// Listen is the address that serves callers.
 	Listen Addr `json:"listen"`
-	// ReadyListen is where the balancer asks whether the VM takes callers.
+	// ReadyListen is the address that answers the load balancer's health check.
 	ReadyListen Addr `json:"ready_listen"`
-	// MetricsListen serves /healthz, /readyz and /metrics.
+	// MetricsListen is the address that serves /healthz, /readyz and /metrics.
 	MetricsListen Addr `json:"metrics_listen"`
-	// PeerAddress is where other VMs send what they have in hand (UDP).
+	// PeerAddress is the UDP address at which this VM exchanges reports of its load with other
+	// VMs.
 	PeerAddress Addr `json:"peer_address"`
-	// Store is the platform's store.
+	// Store is the address of the platform's store.
 	Store Platform `json:"store"`
-	// Cloud is the platform's calls that one VM at a time makes for all.
+	// Cloud configures the calls to the platform that one VM at a time makes on behalf of all.
 	Cloud Cloud `json:"cloud"`
-	// UsageWindow is the length of the windows in which the use of client accounts is
+	// UsageWindow is the length of the time windows for which the usage of client accounts is
 	// reported.
 	UsageWindow Duration `json:"usage_window"`
-	// FirstStart says that the whole system starts for the first time.
+	// FirstStart tells that all VMs start for the first time, so that there is no state of
+	// earlier processes to wait for.
 	FirstStart bool `json:"first_start"`
-	// MemoryMB is the memory that the process may use.
+	// MemoryMB is the memory that the process may use, in MiB.
 	MemoryMB int64 `json:"memory_mb"`
-	// FileDescriptors is how many the process may open; 0 is the kernel's limit.
+	// FileDescriptors is the number of file descriptors that the process may open; 0 means the
+	// limit that the kernel sets (RLIMIT_NOFILE).
 	FileDescriptors int64 `json:"file_descriptors"`
-	// LinkMbps is the speed of the VM's network link; 0 is unknown.
+	// LinkMbps is the speed of the VM's network link in Mbit/s; 0 means unknown.
 	LinkMbps float64 `json:"link_mbps"`
-	// Grace is the time from SIGTERM to SIGKILL.
+	// Grace is the time between SIGTERM and SIGKILL when the VM stops.
 	Grace Duration `json:"grace"`
-	// LeaseGap is how long after one holder's last order another may give one.
+	// LeaseGap is the least time between the last order of one lease holder and the first of
+	// the next.
 	LeaseGap Duration `json:"lease_gap"`
-	// ConfigBound is within what time a change of the configuration, once it is
-	// written, is in force on every VM.
+	// ConfigBound is the time within which a change of the configuration must take effect on
+	// every VM after it was written.
 	ConfigBound Duration `json:"config_bound"`
-	// RevokeBound is within what time a key that was removed from the configuration serves no
-	// request any more at any VM, in touch with the store or not; 0 is no such bound.
+	// RevokeBound is the time within which every VM, connected to the store or not, must refuse
+	// a key that was removed from the configuration; 0 means no limit.
 	RevokeBound Duration `json:"revoke_bound"`
-	// RetryRatio bounds sends to a further target, as a share of the requests.
+	// RetryRatio limits sends to a further target, as a fraction of the requests.
 	RetryRatio float64 `json:"retry_ratio"`
-	// RetryBurst bounds such sends at once, for all VMs together.
+	// RetryBurst is the number of such sends allowed beyond RetryRatio, for all VMs together.
 	RetryBurst float64 `json:"retry_burst"`
-	// RetryWindow is the span that both are counted in.
+	// RetryWindow is the sliding window over which both are counted.
 	RetryWindow Duration `json:"retry_window"`
-	// LogLinesPerS bounds the log; what is above is dropped and counted.
+	// LogLinesPerS limits the log lines per second; further lines are dropped and counted.
 	LogLinesPerS int64 `json:"log_lines_per_s"`
-	// PrefillShare is the most of a service's engines that prefill, as a share.
+	// PrefillShare is the largest fraction of a service's engines that may be in the prefill
+	// stage.
 	PrefillShare float64 `json:"prefill_share"`
-	// Off names the mechanisms of placement and admission that are switched off, to
-	// measure what they are worth: see Mechanisms.
+	// Off lists the mechanisms of placement and admission that are switched off, in order to
+	// measure their effect; see Mechanisms.
 	Off []string `json:"off"`
 }
 
-// Cloud is the platform's calls that one VM at a time makes for all.
+// Cloud configures the calls to the platform that one VM at a time makes on behalf of all.
 type Cloud struct {
-	// Address is an IP address with a port, or empty where there are no such calls.
+	// Address is an IP address with a port, or empty if the platform has no such calls.
 	Address string `json:"address"`
-	// CallsPerS bounds the calls of all VMs.
+	// CallsPerS limits the calls of all VMs together, per second.
 	CallsPerS float64 `json:"calls_per_s"`
-	// Duties are the calls that are to be made.
+	// Duties lists the duties to perform.
 	Duties []string `json:"duties"`
 }
 
-// The duties of one VM at a time.
+// Duties that one VM at a time performs on behalf of all.
 const (
-	// DutyUsage reports the use of client accounts.
+	// DutyUsage reports the usage of client accounts to the platform.
 	DutyUsage = "usage_reporting"
-	// DutyScaling orders engines.
+	// DutyScaling orders more or fewer engines from the platform.
 	DutyScaling = "scaling"
 )
 
-// Has reports whether a duty is to be done.
-func (c *Cloud) Has(duty string) bool { return c.Address != "" && slices.Contains(c.Duties, duty) }
+// HasDuty reports whether a duty is configured.
+func (c *Cloud) HasDuty(duty string) bool { return c.Address != "" && slices.Contains(c.Duties, duty) }
 
-// DefaultNode returns the node's defaults.
+// DefaultNode returns the default settings of garnet-node.
 func DefaultNode() *Node {
 	return &Node{
 		Store:        Platform{Timeout: Duration(700 * time.Millisecond)},
@@ -100,70 +105,73 @@
 	}
 }
 
-// The mechanisms that can be switched off.
+// Mechanisms of placement and admission that can be switched off.
 const (
-	// MechanismProfile learns what the engines take.
+	// MechanismProfile learns how long the engines take for prefill and decode.
 	MechanismProfile = "profile"
-	// MechanismPauses keeps prompts away from streams that would wait too long.
+	// MechanismPauses keeps prompts off engines whose running streams would pause too long.
 	MechanismPauses = "pauses"
-	// MechanismSlowdown tells engines of one service apart by their speed.
+	// MechanismSlowdown measures how fast each engine is compared with the others of its
+	// service.
 	MechanismSlowdown = "slowdown"
-	// MechanismCache reckons what the engines hold.
+	// MechanismCache estimates which prompts the engines have cached.
 	MechanismCache = "cache"
-	// MechanismStay has sessions go back to their caches though others wait there.
+	// MechanismStay sends a session back to the engine that has cached its prompt, even if
+	// other requests wait there.
 	MechanismStay = "stay"
-	// MechanismDeferral defers late requests; without it they are refused.
+	// MechanismDeferral defers late requests. Without it they are refused.
 	MechanismDeferral = "deferral"
 )
 
-// Mechanisms lists those that can be switched off.
+// Mechanisms lists the mechanisms that can be switched off.
 var Mechanisms = []string{MechanismProfile, MechanismPauses, MechanismSlowdown, MechanismCache, MechanismStay, MechanismDeferral}
 
 // IsOff reports whether a mechanism is switched off.
 func (s *Node) IsOff(mechanism string) bool { return slices.Contains(s.Off, mechanism) }
 
-func (s *Node) check(r *report) {
-	r.needString("vm", s.VM)
-	r.needString("data_centre", s.DataCentre)
-	r.needAddr("listen", s.Listen)
-	r.needAddr("ready_listen", s.ReadyListen)
-	r.needAddr("metrics_listen", s.MetricsListen)
-	r.needAddr("peer_address", s.PeerAddress)
-	r.needAddr("store.address", s.Store.Address)
-	r.needPositive("store.timeout", int64(s.Store.Timeout))
-	r.needPositive("memory_mb", s.MemoryMB)
-	r.needPositive("grace", int64(s.Grace))
-	r.needPositive("lease_gap", int64(s.LeaseGap))
-	r.needPositive("config_bound", int64(s.ConfigBound))
-	r.needPositive("retry_window", int64(s.RetryWindow))
-	r.needPositive("log_lines_per_s", s.LogLinesPerS)
+// validate reports missing values and values outside their range.
+func (s *Node) validate(dec *decoder) {
+	dec.requireString("vm", s.VM)
+	dec.requireString("data_centre", s.DataCentre)
+	dec.requireAddr("listen", s.Listen)
+	dec.requireAddr("ready_listen", s.ReadyListen)
+	dec.requireAddr("metrics_listen", s.MetricsListen)
+	dec.requireAddr("peer_address", s.PeerAddress)
+	dec.requireAddr("store.address", s.Store.Address)
+	dec.requirePositive("store.timeout", int64(s.Store.Timeout))
+	dec.requirePositive("memory_mb", s.MemoryMB)
+	dec.requirePositive("grace", int64(s.Grace))
+	dec.requirePositive("lease_gap", int64(s.LeaseGap))
+	dec.requirePositive("config_bound", int64(s.ConfigBound))
+	dec.requirePositive("retry_window", int64(s.RetryWindow))
+	dec.requirePositive("log_lines_per_s", s.LogLinesPerS)
 	if s.Cloud.Address != "" {
 		if _, err := netip.ParseAddrPort(s.Cloud.Address); err != nil {
-			r.add("cloud.address", "is not an IP address with a port")
+			dec.addProblem("cloud.address", "is not an IP address with a port")
 		}
 	}
 	if s.Cloud.CallsPerS <= 0 {
-		r.add("cloud.calls_per_s", "must be above zero")
+		dec.addProblem("cloud.calls_per_s", "must be above zero")
 	}
-	r.needPositive("usage_window", int64(s.UsageWindow))
+	dec.requirePositive("usage_window", int64(s.UsageWindow))
 	if s.RevokeBound < 0 {
-		r.add("revoke_bound", "must not be below zero")
+		dec.addProblem("revoke_bound", "must not be below zero")
 	}
 	if s.FileDescriptors < 0 {
-		r.add("file_descriptors", "must not be below zero")
+		dec.addProblem("file_descriptors", "must not be below zero")
 	}
 	if s.RetryRatio < 0 || s.RetryRatio > 1 {
-		r.add("retry_ratio", "must be from 0 to 1")
+		dec.addProblem("retry_ratio", "must be from 0 to 1")
 	}
 	if s.RetryBurst < 0 {
-		r.add("retry_burst", "must not be below zero")
+		dec.addProblem("retry_burst", "must not be below zero")
 	}
 	for _, m := range s.Off {
 		if !slices.Contains(Mechanisms, m) {
-			r.add("off", "holds %q, want one of %s", m, strings.Join(Mechanisms, ", "))
+			dec.addProblem("off", "holds %q, want one of %s", m, strings.Join(Mechanisms, ", "))
 		}
 	}
 	if s.PrefillShare < 0 || s.PrefillShare >= 1 {
-		r.add("prefill_share", "must be at least 0 and below 1")
+		dec.addProblem("prefill_share", "must be at least 0 and below 1")
 	}
 }
--- a/internal/settings/programs.go
+++ b/internal/settings/programs.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// Peer is a steward that this program knows from the start. Others are learned
-// from it and from the platform's VM list.
+// Peer is a steward that is known from the start. Others are discovered through it and through
+// the platform's VM list.
 type Peer struct {
-	// VM is the name of the entry VM.
+	// VM is the name of the peer's entry VM.
 	VM string `json:"vm"`
-	// DataCentre is the VM's data centre.
+	// DataCentre is the name of that VM's data centre.
 	DataCentre string `json:"data_centre"`
-	// Address is where its steward listens for gRPC.
+	// Address is the gRPC address of the peer.
 	Address Addr `json:"address"`
 }
 
-// Platform says where the platform's services are.
+// Platform is the address of a service of the platform.
 type Platform struct {
-	// Address is the platform's HTTP address.
+	// Address is the service's HTTP address.
 	Address Addr `json:"address"`
-	// Timeout bounds one request to the platform.
+	// Timeout limits each request to the service.
 	Timeout Duration `json:"timeout"`
 }
 
-// Entry is the settings of garnet-entry.
+// Entry holds the settings of garnet-entry.
 type Entry struct {
-	// VM is this entry VM's name, unique in the organisation.
+	// VM is the name of this entry VM, unique in the organisation.
 	VM string `json:"vm"`
-	// DataCentre is this VM's data centre.
+	// DataCentre is the name of this VM's data centre.
 	DataCentre string `json:"data_centre"`
-	// Listen is the callers' address.
+	// Listen is the address that serves callers.
 	Listen Addr `json:"listen"`
-	// AdminListen serves /healthz, /readyz and /metrics.
+	// AdminListen is the address that serves /healthz, /readyz and /metrics.
 	AdminListen Addr `json:"admin_listen"`
-	// Stewards are the stewards of this data centre, this VM's own first.
+	// Stewards lists the addresses of the stewards of this data centre, this VM's own first.
 	Stewards []Addr `json:"stewards"`
-	// Platform is used for claims of calls that may not be repeated.
+	// Platform is the store in which requests that must run at most once are claimed.
 	Platform Platform `json:"platform"`
-	// MaxBodyBytes bounds a caller's body.
+	// MaxBodyBytes is the largest request body that is accepted.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
-	// BodyTimeout bounds the time a caller takes to send its body.
+	// BodyTimeout limits the time in which a caller must send its request body.
 	BodyTimeout Duration `json:"body_timeout"`
-	// MaxInFlight bounds the requests this entry holds at once.
+	// MaxInFlight limits the requests that are in flight at this entry.
 	MaxInFlight int `json:"max_in_flight"`
-	// MaxEntries is the most entry VMs this data centre will ever run at
-	// once; the share of a limit that is safe without grants is computed
-	// from it.
+	// MaxEntries is the largest number of entry VMs that this data centre will ever run at
+	// once. It determines the share of a limit that an entry may use without a grant from the
+	// steward.
 	MaxEntries int `json:"max_entries"`
-	// StopTimeout bounds the wait for requests in hand after SIGTERM.
+	// StopTimeout limits the wait for requests in flight after SIGTERM.
 	StopTimeout Duration `json:"stop_timeout"`
-	// ReadyGrace is how long readiness fails before the listener closes, so
-	// that the balancer has seen it.
+	// ReadyGrace is how long the readiness check fails before the listener closes, so that the
+	// load balancer notices it.
 	ReadyGrace Duration `json:"ready_grace"`
 }
 
-// DefaultEntry returns the entry's defaults.
+// DefaultEntry returns the default settings of garnet-entry.
 func DefaultEntry() *Entry {
 	return &Entry{
 		Platform:     Platform{Timeout: Duration(2 * time.Second)},
@@ -68,71 +68,72 @@
 	}
 }
 
-func (s *Entry) check(r *report) {
-	r.needString("vm", s.VM)
-	r.needString("data_centre", s.DataCentre)
-	r.needAddr("listen", s.Listen)
-	r.needAddr("admin_listen", s.AdminListen)
-	r.needAddr("platform.address", s.Platform.Address)
-	r.needPositive("platform.timeout", int64(s.Platform.Timeout))
-	r.needPositive("max_body_bytes", s.MaxBodyBytes)
-	r.needPositive("body_timeout", int64(s.BodyTimeout))
-	r.needPositive("max_in_flight", int64(s.MaxInFlight))
-	r.needPositive("max_entries", int64(s.MaxEntries))
-	r.needPositive("stop_timeout", int64(s.StopTimeout))
+// validate reports missing values and values outside their range.
+func (s *Entry) validate(dec *decoder) {
+	dec.requireString("vm", s.VM)
+	dec.requireString("data_centre", s.DataCentre)
+	dec.requireAddr("listen", s.Listen)
+	dec.requireAddr("admin_listen", s.AdminListen)
+	dec.requireAddr("platform.address", s.Platform.Address)
+	dec.requirePositive("platform.timeout", int64(s.Platform.Timeout))
+	dec.requirePositive("max_body_bytes", s.MaxBodyBytes)
+	dec.requirePositive("body_timeout", int64(s.BodyTimeout))
+	dec.requirePositive("max_in_flight", int64(s.MaxInFlight))
+	dec.requirePositive("max_entries", int64(s.MaxEntries))
+	dec.requirePositive("stop_timeout", int64(s.StopTimeout))
 	if len(s.Stewards) == 0 {
-		r.add("stewards", "at least one steward is needed")
+		dec.addProblem("stewards", "at least one steward is needed")
 	}
-	r.checkAddrs("stewards", s.Stewards)
+	dec.checkDuplicateAddrs("stewards", s.Stewards)
 }
 
-// Steward is the settings of garnet-steward.
+// Steward holds the settings of garnet-steward.
 type Steward struct {
-	// VM is this entry VM's name, unique in the organisation.
+	// VM is the name of this entry VM, unique in the organisation.
 	VM string `json:"vm"`
-	// DataCentre is this VM's data centre.
+	// DataCentre is the name of this VM's data centre.
 	DataCentre string `json:"data_centre"`
 	// Listen is the gRPC address for entries, peers and garnetctl.
 	Listen Addr `json:"listen"`
-	// AdminListen serves /healthz, /readyz and /metrics.
+	// AdminListen is the address that serves /healthz, /readyz and /metrics.
 	AdminListen Addr `json:"admin_listen"`
-	// Peers are stewards known from the start; this one may be among them.
+	// Peers lists the stewards that are known from the start. It may include this one.
 	Peers []Peer `json:"peers"`
-	// Platform is the platform's address.
+	// Platform is the address of the platform.
 	Platform Platform `json:"platform"`
 	// GossipInterval is the time between exchanges with peers.
 	GossipInterval Duration `json:"gossip_interval"`
 	// PollInterval is the time between polls of a target's status.
 	PollInterval Duration `json:"poll_interval"`
-	// PlatformInterval is the time between version checks on the platform.
+	// PlatformInterval is the time between checks of the platform's table for a new version.
 	PlatformInterval Duration `json:"platform_interval"`
-	// LeaseTTL is how long an unrenewed lease stays in force.
+	// LeaseTTL is how long a lease stays in force without renewal.
 	LeaseTTL Duration `json:"lease_ttl"`
-	// EngineReadTimeout is the engines' own time-out for reading a request;
-	// a successor waits longer than it before a differing order to engines
-	// that ignore fencing numbers.
+	// EngineReadTimeout is the timeout after which an engine closes a connection whose request
+	// has not arrived. A new lease holder waits longer than that before it sends a different
+	// order to engines that ignore fencing numbers.
 	EngineReadTimeout Duration `json:"engine_read_timeout"`
-	// RoleInterval is the time between role plans.
+	// RoleInterval is the time between plans of the engines' roles.
 	RoleInterval Duration `json:"role_interval"`
-	// Engine is what one engine can do, for the role plans.
+	// Engine is the throughput of an engine, which the plans are based on.
 	Engine EngineSpeed `json:"engine"`
 }
 
-// EngineSpeed is what one engine can do.
+// EngineSpeed describes the throughput of an engine and the cost of changing its role.
 type EngineSpeed struct {
-	// PrefillTokensPerS and DecodeTokensPerS are the rates of an engine that
-	// does only that.
+	// PrefillTokensPerS is the throughput of an engine that does only prefill.
 	PrefillTokensPerS float64 `json:"prefill_tokens_per_s"`
-	DecodeTokensPerS  float64 `json:"decode_tokens_per_s"`
-	// Mixed is the rate of an engine that does both, relative to one that
-	// does one thing.
+	// DecodeTokensPerS is the throughput of an engine that does only decode.
+	DecodeTokensPerS float64 `json:"decode_tokens_per_s"`
+	// Mixed is the throughput of an engine that does both, as a fraction of that of an engine
+	// that does only one; above 0 and at most 1.
 	Mixed float64 `json:"mixed"`
-	// Away is how long a change takes an engine away, drain and cold cache
-	// included.
+	// Away is the working time that an engine loses with a change of its role, including the
+	// drain before it and the cold cache after it.
 	Away Duration `json:"away"`
 }
 
-// DefaultSteward returns the steward's defaults.
+// DefaultSteward returns the default settings of garnet-steward.
 func DefaultSteward() *Steward {
 	return &Steward{
 		Platform:          Platform{Timeout: Duration(2 * time.Second)},
@@ -148,58 +149,60 @@
 	}
 }
 
-func (s *Steward) check(r *report) {
-	r.needString("vm", s.VM)
-	r.needString("data_centre", s.DataCentre)
-	r.needAddr("listen", s.Listen)
-	r.needAddr("admin_listen", s.AdminListen)
-	r.needAddr("platform.address", s.Platform.Address)
-	r.needPositive("platform.timeout", int64(s.Platform.Timeout))
-	r.needPositive("gossip_interval", int64(s.GossipInterval))
-	r.needPositive("poll_interval", int64(s.PollInterval))
-	r.needPositive("platform_interval", int64(s.PlatformInterval))
-	r.needPositive("lease_ttl", int64(s.LeaseTTL))
-	r.needPositive("role_interval", int64(s.RoleInterval))
-	r.checkPeers(s.Peers)
-	s.Engine.check(r)
+// validate reports missing values and values outside their range.
+func (s *Steward) validate(dec *decoder) {
+	dec.requireString("vm", s.VM)
+	dec.requireString("data_centre", s.DataCentre)
+	dec.requireAddr("listen", s.Listen)
+	dec.requireAddr("admin_listen", s.AdminListen)
+	dec.requireAddr("platform.address", s.Platform.Address)
+	dec.requirePositive("platform.timeout", int64(s.Platform.Timeout))
+	dec.requirePositive("gossip_interval", int64(s.GossipInterval))
+	dec.requirePositive("poll_interval", int64(s.PollInterval))
+	dec.requirePositive("platform_interval", int64(s.PlatformInterval))
+	dec.requirePositive("lease_ttl", int64(s.LeaseTTL))
+	dec.requirePositive("role_interval", int64(s.RoleInterval))
+	dec.checkPeers(s.Peers)
+	s.Engine.validate(dec)
 }
 
-func (e EngineSpeed) check(r *report) {
+// validate reports values outside their range; NaN counts as outside.
+func (e EngineSpeed) validate(dec *decoder) {
 	if !(e.PrefillTokensPerS > 0) {
-		r.add("engine.prefill_tokens_per_s", "must be above zero")
+		dec.addProblem("engine.prefill_tokens_per_s", "must be above zero")
 	}
 	if !(e.DecodeTokensPerS > 0) {
-		r.add("engine.decode_tokens_per_s", "must be above zero")
+		dec.addProblem("engine.decode_tokens_per_s", "must be above zero")
 	}
 	if !(e.Mixed > 0 && e.Mixed <= 1) {
-		r.add("engine.mixed", "must be above 0 and at most 1")
+		dec.addProblem("engine.mixed", "must be above 0 and at most 1")
 	}
-	r.needPositive("engine.away", int64(e.Away))
+	dec.requirePositive("engine.away", int64(e.Away))
 }
 
-// Standin is the settings of garnet-standin.
+// Standin holds the settings of garnet-standin, which simulates a platform or a target.
 type Standin struct {
-	// Kind is platform, engine or plain.
+	// Kind is what to simulate: platform, engine or plain.
 	Kind string `json:"kind"`
-	// Name is the target's name; unused for a platform.
+	// Name is the name of the target; unused for a platform.
 	Name string `json:"name"`
 	// Listen is the HTTP address.
 	Listen Addr `json:"listen"`
-	// TokenInterval is the time between the tokens of one stream.
+	// TokenInterval is the time between two tokens of a stream.
 	TokenInterval Duration `json:"token_interval"`
-	// PrefillPerToken is the time a prompt token takes.
+	// PrefillPerToken is the prefill time of a prompt token.
 	PrefillPerToken Duration `json:"prefill_per_token"`
-	// RoleChange is how long a role change takes the engine away.
+	// RoleChange is how long the engine is unavailable while it changes its role.
 	RoleChange Duration `json:"role_change"`
-	// IgnoreFencing makes the engine accept orders with old fencing numbers.
+	// IgnoreFencing makes the engine accept orders with outdated fencing numbers.
 	IgnoreFencing bool `json:"ignore_fencing"`
-	// ReadTimeout closes a connection whose request has not arrived in time.
+	// ReadTimeout is the time after which a connection is closed whose request has not arrived.
 	ReadTimeout Duration `json:"read_timeout"`
-	// VMs fills a platform's VM list.
+	// VMs is the content of a simulated platform's VM list.
 	VMs []StandinVM `json:"vms"`
 }
 
-// StandinVM is one line of a stand-in platform's VM list.
+// StandinVM is an entry of a simulated platform's VM list.
 type StandinVM struct {
 	Name       string `json:"name"`
 	DataCentre string `json:"data_centre"`
@@ -208,7 +211,7 @@
 	Kind string `json:"kind"`
 }
 
-// DefaultStandin returns the stand-in's defaults.
+// DefaultStandin returns the default settings of garnet-standin.
 func DefaultStandin() *Standin {
 	return &Standin{
 		TokenInterval:   Duration(10 * time.Millisecond),
@@ -218,36 +221,42 @@
 	}
 }
 
-func (s *Standin) check(r *report) {
+// validate reports an unknown kind and a missing address.
+func (s *Standin) validate(dec *decoder) {
 	switch s.Kind {
 	case "platform", "engine", "plain":
 	default:
-		r.add("kind", "%q is not platform, engine or plain", s.Kind)
+		dec.addProblem("kind", "%q is not platform, engine or plain", s.Kind)
 	}
-	r.needAddr("listen", s.Listen)
+	dec.requireAddr("listen", s.Listen)
 }
 
-func (r *report) needString(field, v string) {
-	if v == "" && !r.broken(field) {
-		r.add(field, "missing")
+// requireString reports field as missing if v is empty, unless a problem of the field is
+// already known.
+func (dec *decoder) requireString(field, v string) {
+	if v == "" && !dec.hasProblem(field) {
+		dec.addProblem(field, "missing")
 	}
 }
 
-func (r *report) needAddr(field string, a Addr) {
-	if a == "" && !r.broken(field) {
-		r.add(field, "missing")
+// requireAddr is requireString for an address.
+func (dec *decoder) requireAddr(field string, a Addr) {
+	if a == "" && !dec.hasProblem(field) {
+		dec.addProblem(field, "missing")
 	}
 }
 
-func (r *report) needPositive(field string, v int64) {
-	if v <= 0 && !r.broken(field) {
-		r.add(field, "must be above zero")
+// requirePositive reports v if it is not above zero, unless a problem of the field is already
+// known.
+func (dec *decoder) requirePositive(field string, v int64) {
+	if v <= 0 && !dec.hasProblem(field) {
+		dec.addProblem(field, "must be above zero")
 	}
 }
 
-// broken reports whether field was already reported.
-func (r *report) broken(field string) bool {
-	for _, p := range r.problems {
+// hasProblem reports whether a problem of field is already known.
+func (dec *decoder) hasProblem(field string) bool {
+	for _, p := range dec.problems {
 		if p.Field == field {
 			return true
 		}
@@ -255,33 +264,36 @@
 	return false
 }
 
-func (r *report) checkAddrs(field string, addrs []Addr) {
+// checkDuplicateAddrs reports addresses that are listed more than once.
+func (dec *decoder) checkDuplicateAddrs(field string, addrs []Addr) {
 	seen := map[Addr]bool{}
 	for i, a := range addrs {
 		if a != "" && seen[a] {
-			r.add(index(field, i), "%s is given twice", a)
+			dec.addProblem(indexPath(field, i), "%s is given twice", a)
 		}
 		seen[a] = true
 	}
 }
 
-func (r *report) checkPeers(peers []Peer) {
+// checkPeers reports incomplete peers, and names and addresses that occur more than once.
+func (dec *decoder) checkPeers(peers []Peer) {
 	vms := map[string]bool{}
 	addrs := map[Addr]bool{}
 	for i, p := range peers {
-		field := index("peers", i)
-		r.needString(field+".vm", p.VM)
-		r.needString(field+".data_centre", p.DataCentre)
-		r.needAddr(field+".address", p.Address)
+		field := indexPath("peers", i)
+		dec.requireString(field+".vm", p.VM)
+		dec.requireString(field+".data_centre", p.DataCentre)
+		dec.requireAddr(field+".address", p.Address)
 		if p.VM != "" && vms[p.VM] {
-			r.add(field+".vm", "duplicate peer %s", p.VM)
+			dec.addProblem(field+".vm", "duplicate peer %s", p.VM)
 		}
 		if p.Address != "" && addrs[p.Address] {
-			r.add(field+".address", "duplicate peer address %s", p.Address)
+			dec.addProblem(field+".address", "duplicate peer address %s", p.Address)
 		}
 		vms[p.VM] = true
 		addrs[p.Address] = true
 	}
 }
 
-func index(field string, i int) string { return fmt.Sprintf("%s[%d]", field, i) }
+// indexPath returns the path of element i of the list at field.
+func indexPath(field string, i int) string { return fmt.Sprintf("%s[%d]", field, i) }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,8 @@
 	"github.com/matryer/is"
 )
 
-const goodEntry = `{
+// validEntry is a settings file without problems, which TestProblems changes in one place.
+const validEntry = `{
   // comments are allowed
   "vm": "vm-1", "data_centre": "kakkanad",
   "listen": "10.0.0.1:8080", "admin_listen": "10.0.0.1:8081",
@@ -19,14 +20,15 @@
   "platform": {"address": "10.0.9.9:9000", "timeout": "2s"},
 }`
 
-func TestGoodEntry(t *testing.T) {
+func TestValidEntry(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultEntry()
-	is.NoErr(Decode([]byte(goodEntry), cfg))
+	is.NoErr(Decode([]byte(validEntry), cfg))
 	is.Equal(cfg.VM, "vm-1")
-	is.Equal(cfg.MaxInFlight, DefaultEntry().MaxInFlight) // defaults stay
+	is.Equal(cfg.MaxInFlight, DefaultEntry().MaxInFlight) // a field that is not in the file keeps its default
 }
 
+// TestProblems checks the message and line of each kind of problem.
 func TestProblems(t *testing.T) {
 	cases := []struct {
 		name string
@@ -52,13 +54,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(goodEntry, c.old, c.new, 1)
-			is.True(text != goodEntry) // the case changes the file
+			text := strings.Replace(validEntry, c.old, c.new, 1)
+			is.True(text != validEntry) // the case changes the file
 			err := Decode([]byte(text), DefaultEntry())
 			var ps Problems
 			is.True(errors.As(err, &ps))
 			for _, want := range c.want {
-				is.True(strings.Contains(err.Error(), want)) // problem is named
+				is.True(strings.Contains(err.Error(), want)) // the problem is reported
 			}
 		})
 	}
@@ -78,7 +80,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(goodEntry))
+	f.Add([]byte(validEntry))
 	f.Add([]byte(`{"vm": [{"x": 1}], "stewards": {}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		err := Decode(data, DefaultEntry())
@@ -88,13 +90,13 @@
 		}
 		for _, p := range ps {
 			if p.Line < 1 || p.Message == "" {
-				t.Fatalf("problem without a place or message: %+v", p)
+				t.Fatalf("problem without a line or message: %+v", p)
 			}
 		}
 	})
 }
 
-// The example files are right.
+// TestExamples checks that the example settings files are valid.
 func TestExamples(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(ReadFile("../../examples/garnet-entry.jsonc", DefaultEntry()))
@@ -103,8 +105,8 @@
 	is.NoErr(ReadFile("../../examples/garnet-node.jsonc", DefaultNode()))
 }
 
-// What is switched off has a name on the closed list.
-func TestMechanismsThatAreOff(t *testing.T) {
+// TestSwitchedOffMechanisms checks that only names in Mechanisms can be switched off.
+func TestSwitchedOffMechanisms(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile("../../examples/garnet-node.jsonc")
 	is.NoErr(err)
@@ -119,8 +121,9 @@
 	is.True(err != nil && strings.Contains(err.Error(), `off: holds "deferrals"`))
 }
 
-// Settings that a program wrote out whole, defaults and all, can be read again. The address of
-// calls that a deployment does not have was refused as it is empty, so that no such VM started.
+// TestDefaultsCanBeWrittenAndRead checks that settings that a program has written, including
+// the defaults, can be read again. The empty cloud address of a deployment without such calls
+// was once refused, so that none of its VMs started.
 func TestDefaultsCanBeWrittenAndRead(t *testing.T) {
 	is := is.New(t)
 	n := DefaultNode()
