--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -7,44 +7,47 @@
 	"github.com/pkg/errors"
 )
 
-// ErrHistoryGone: the changes since the revision asked for are not kept any
-// more; the rows must be listed again.
+// ErrHistoryGone reports that the store no longer keeps the changes since the requested
+// revision. The rows must be listed again.
 var ErrHistoryGone = errors.New("store: history gone")
 
-// Row is one row of a table as a reader sees it.
+// Row is a row of a table, or a change of one.
 type Row struct {
 	Key   string
 	Value []byte
-	// Version is the revision of the store that wrote the row.
+	// Version is the revision of the store at which the row was written.
 	Version uint64
-	// Removed rows have no value; only a feed holds them.
+	// Removed marks the removal of a row, which has no value. Only changes have it.
 	Removed bool
 }
 
-// Rows is the state of a table, or its changes, as of a revision.
+// Rows is the content of a table, or the changes to it, as of a revision of the store.
 type Rows struct {
 	Rows     []Row
 	Revision uint64
-	// Now is the store's steady clock as it answered; 0 is unknown.
+	// Now is the reading of the store's monotonic clock when it responded; 0 means unknown.
 	Now time.Duration
 }
 
-// Delta is a table's changes after revision From, as one VM passes them on to
-// others.
+// Delta is the changes to a table after revision From, which one VM forwards to others.
 type Delta struct {
+	// From is the revision that the changes apply to.
 	From uint64
+	// Rows holds the changes, and the revision that they lead to.
 	Rows Rows
-	// WasAway says that the store had been away, and SinceBack for how long it
-	// had been back when the changes were read; 0 while it was still away.
-	WasAway   bool
+	// WasAway tells that the store had been unreachable before the changes were read.
+	WasAway bool
+	// SinceBack is how long the store had been reachable again when the changes were read; 0
+	// if it was still unreachable. It is set only with WasAway.
 	SinceBack time.Duration
 }
 
-// Feed reads a table and its changes.
+// Feed reads a table of the store and its changes.
 type Feed interface {
 	// ListRows returns all rows of a table.
 	ListRows(ctx context.Context, table string) (Rows, error)
-	// Changes returns the changes after a revision. It waits until there is
-	// one, or returns none after wait. It fails with ErrHistoryGone.
+	// Changes returns the changes to a table after revision after. It waits for the first
+	// change, and returns no rows if there is none within wait. It fails with ErrHistoryGone if
+	// the store no longer keeps these changes.
 	Changes(ctx context.Context, table string, after uint64, wait time.Duration) (Rows, error)
 }
--- a/internal/store/httpstore/client.go
+++ b/internal/store/httpstore/client.go
@@ -1,5 +1,5 @@
-// Package httpstore is the adapter from the platform interfaces to a
-// platform that speaks HTTP with conditional requests.
+// Package httpstore implements the interfaces of package store for a platform that offers them
+// over HTTP, with conditional requests. garnet-standin serves the same protocol.
 package httpstore
 
 import (
@@ -18,7 +18,7 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
-// Paths of the HTTP protocol, shared with the stand-in.
+// Paths of the HTTP protocol.
 const (
 	PathRecord  = "/table/record"
 	PathRecords = "/table/records"
@@ -28,13 +28,13 @@
 	PathWeights = "/weights/reserve"
 )
 
-// maxAnswerBytes bounds one answer of the platform.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes is the largest response body that is read.
+const maxResponseBytes = 64 << 20
 
-// Client implements all four platform interfaces. It is safe for concurrent
-// use.
+// Client implements store.Table, store.Objects, store.VMList and store.WeightStore. It is safe
+// for concurrent use.
 type Client struct {
-	base    string
+	baseURL string
 	timeout time.Duration
 	http    *http.Client
 }
@@ -46,13 +46,14 @@
 	_ store.WeightStore = (*Client)(nil)
 )
 
-// New returns a client of the platform at address. Each request ends after
-// timeout.
+// New returns a client of the platform at address, a host with a port. timeout limits each
+// request.
 func New(address string, timeout time.Duration) *Client {
 	return NewCounted(address, timeout, func(c net.Conn) net.Conn { return c })
 }
 
-// NewCounted is New with wrap applied to each connection, to count its bytes.
+// NewCounted is like New, but passes each new connection through wrap, which can count its
+// bytes.
 func NewCounted(address string, timeout time.Duration, wrap func(net.Conn) net.Conn) *Client {
 	d := net.Dialer{Timeout: timeout}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -63,7 +64,7 @@
 		return wrap(conn), nil
 	}
 	return &Client{
-		base:    "http://" + address,
+		baseURL: "http://" + address,
 		timeout: timeout,
 		http: &http.Client{Transport: &http.Transport{
 			DialContext:         dial,
@@ -82,18 +83,18 @@
 // Get implements store.Table.
 func (c *Client) Get(ctx context.Context, key string) (store.Record, error) {
 	var r store.Record
-	err := c.read(ctx, PathRecord+"?key="+url.QueryEscape(key), &r)
+	err := c.getJSON(ctx, PathRecord+"?key="+url.QueryEscape(key), &r)
 	return r, err
 }
 
 // List implements store.Table.
 func (c *Client) List(ctx context.Context, prefix string) ([]store.Record, error) {
 	var rs []store.Record
-	err := c.read(ctx, PathRecords+"?prefix="+url.QueryEscape(prefix), &rs)
+	err := c.getJSON(ctx, PathRecords+"?prefix="+url.QueryEscape(prefix), &rs)
 	return rs, err
 }
 
-// CommitAnswer is the body of a commit's answer.
+// CommitAnswer is the body of the response to a commit.
 type CommitAnswer struct {
 	Version uint64 `json:"version"`
 }
@@ -123,7 +124,7 @@
 // VMs implements store.VMList.
 func (c *Client) VMs(ctx context.Context, known uint64) (store.VMListing, error) {
 	var l store.VMListing
-	data, err := c.getUnless(ctx, PathVMs, Revision(known))
+	data, err := c.getIfChanged(ctx, PathVMs, Revision(known))
 	if err != nil || data == nil {
 		return store.VMListing{Revision: known}, err
 	}
@@ -133,15 +134,15 @@
 	return l, nil
 }
 
-// Revision is the entity tag of a revision of the VM list.
+// Revision returns the ETag of a revision of the VM list.
 func Revision(r uint64) string { return `"` + strconv.FormatUint(r, 10) + `"` }
 
-// ReserveAnswer is the body of the weight store's answer.
+// ReserveAnswer is the body of the weight store's response. WaitMS is 0 if the load is granted.
 type ReserveAnswer struct {
 	WaitMS int64 `json:"wait_ms"`
 }
 
-// ReserveRequest is the body of a request to the weight store.
+// ReserveRequest is the body of a request to the weight store. Bytes is the size of the load.
 type ReserveRequest struct {
 	Model string `json:"model"`
 	Bytes int64  `json:"bytes"`
@@ -158,7 +159,8 @@
 	return time.Duration(a.WaitMS) * time.Millisecond, err
 }
 
-func (c *Client) read(ctx context.Context, path string, dst any) error {
+// getJSON reads path and decodes the body into dst.
+func (c *Client) getJSON(ctx context.Context, path string, dst any) error {
 	data, err := c.get(ctx, path)
 	if err != nil {
 		return err
@@ -169,15 +171,17 @@
 	return nil
 }
 
+// get reads path and returns the body.
 func (c *Client) get(ctx context.Context, path string) ([]byte, error) {
-	return c.getUnless(ctx, path, "")
+	return c.getIfChanged(ctx, path, "")
 }
 
-// getUnless reads path; an entity that still has the tag is answered with nil.
-func (c *Client) getUnless(ctx context.Context, path, tag string) ([]byte, error) {
+// getIfChanged reads path and returns the body, or nil if the entity still has the given ETag.
+// An empty tag matches nothing. Every failure to get a response is store.ErrUnavailable.
+func (c *Client) getIfChanged(ctx context.Context, path, tag string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+path, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "build request")
 	}
@@ -192,29 +196,30 @@
 	if tag != "" && resp.StatusCode == http.StatusNotModified {
 		return nil, nil
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, errors.Wrapf(store.ErrUnavailable, "%v", err)
 	}
 	return data, statusError(resp.StatusCode, store.ErrUnavailable)
 }
 
-// write sends one write and never repeats it: GetBody is cleared, so that the
-// HTTP client cannot send the body twice.
+// write sends a write request and decodes the body of the response into dst, unless dst is nil.
+// It clears GetBody, so that the HTTP client cannot retry the request: a retry could make the
+// write take effect twice.
 func (c *Client) write(ctx context.Context, method, path string, body []byte, dst any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "build request")
 	}
 	req.GetBody = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return errors.Wrapf(writeFailure(err), "%v", err)
+		return errors.Wrapf(classifyWriteError(err), "%v", err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return errors.Wrapf(store.ErrUnknown, "%v", err)
 	}
@@ -225,14 +230,14 @@
 		return nil
 	}
 	if err := json.Unmarshal(data, dst); err != nil {
-		return errors.Wrapf(store.ErrUnknown, "decode answer: %v", err)
+		return errors.Wrapf(store.ErrUnknown, "decode response: %v", err)
 	}
 	return nil
 }
 
-// writeFailure tells a write that never left this machine from one whose
-// outcome is unknown. Only a failed dial is certain.
-func writeFailure(err error) error {
+// classifyWriteError returns store.ErrUnavailable for a write that was certainly not sent, and
+// store.ErrUnknown otherwise. Only a failed dial is certain.
+func classifyWriteError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return store.ErrUnavailable
@@ -240,9 +245,9 @@
 	return store.ErrUnknown
 }
 
-// statusError maps a status to the platform's errors; any status that the
-// protocol does not name becomes other.
-func statusError(status int, other error) error {
+// statusError returns the error of package store for an HTTP status, or nil for success. A
+// status that the protocol does not define becomes fallback.
+func statusError(status int, fallback error) error {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
 		return nil
@@ -253,5 +258,5 @@
 	case http.StatusServiceUnavailable:
 		return store.ErrUnavailable
 	}
-	return errors.Wrapf(other, "status %d", status)
+	return errors.Wrapf(fallback, "status %d", status)
 }
--- a/internal/store/memory.go
+++ b/internal/store/memory.go
@@ -8,67 +8,74 @@
 	"time"
 )
 
-// Memory is the fake of the platform: all four services in memory, with
-// faults that a test or the stand-in sets. It is safe for concurrent use.
+// Memory is an in-memory fake of the platform. It implements Table, Objects, VMList and
+// WeightStore, and injects the faults that a test or garnet-standin sets. It is safe for
+// concurrent use.
 type Memory struct {
-	mu       sync.Mutex
-	records  map[string]Record
-	objects  map[string][]byte
+	// mu guards the fields below.
+	mu      sync.Mutex
+	records map[string]Record
+	objects map[string][]byte
+	// revision is the version of the records that were last written.
 	revision uint64
 	listing  VMListing
 	fault    Fault
-	reads    uint64
-	writes   uint64
-	nextLoad time.Time
-	loadRate int64
-	now      func() time.Time
+	// reads and writes count the requests, including those that a fault fails.
+	reads  uint64
+	writes uint64
+	// nextReserve is when the next load of model weights is granted.
+	nextReserve time.Time
+	// bytesPerS is the rate at which model weights are loaded.
+	bytesPerS int64
+	now       func() time.Time
 }
 
-// Fault is a failure mode of the fake.
+// Fault is a failure mode of Memory.
 type Fault string
 
-// The failure modes of the fake.
+// Failure modes of Memory.
 const (
-	// FaultNone: works.
+	// FaultNone is normal operation.
 	FaultNone Fault = ""
-	// FaultDown: every request fails with ErrUnavailable.
+	// FaultDown makes every request fail with ErrUnavailable.
 	FaultDown Fault = "down"
-	// FaultLostWrites: writes fail with ErrUnknown and have no effect.
+	// FaultLostWrites makes writes fail with ErrUnknown without effect.
 	FaultLostWrites Fault = "lost_writes"
-	// FaultLostAnswers: writes take effect and fail with ErrUnknown.
+	// FaultLostAnswers makes writes take effect but fail with ErrUnknown.
 	FaultLostAnswers Fault = "lost_answers"
 )
 
-// defaultLoadRate is the fake weight store's rate in bytes a second.
-const defaultLoadRate = 2 << 30
+// defaultBytesPerS is the rate of the weight store in bytes per second.
+const defaultBytesPerS = 2 << 30
 
-// NewMemory returns an empty platform.
+// NewMemory returns a fake without records, objects and VMs, in normal operation.
 func NewMemory() *Memory {
-	return &Memory{records: map[string]Record{}, objects: map[string][]byte{}, loadRate: defaultLoadRate, now: time.Now}
+	return &Memory{records: map[string]Record{}, objects: map[string][]byte{}, bytesPerS: defaultBytesPerS, now: time.Now}
 }
 
-// SetClock replaces the clock of the weight store's rate.
+// SetClock replaces time.Now, the clock by which Reserve limits the rate of loads.
 func (m *Memory) SetClock(now func() time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.now = now
 }
 
-// SetFault switches the failure mode.
+// SetFault sets the failure mode.
 func (m *Memory) SetFault(f Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.fault = f
 }
 
-// Counts returns the reads and writes served so far.
+// Counts returns the number of reads and writes so far, including those that a fault failed.
+// Calls of Reserve count as neither.
 func (m *Memory) Counts() (reads, writes uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.reads, m.writes
 }
 
-// SetVM adds or changes a line of the VM list.
+// SetVM adds vm to the VM list, or replaces the entry of that name.
 func (m *Memory) SetVM(vm VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,7 +90,7 @@
 	m.listing.VMs = append(m.listing.VMs, vm)
 }
 
-// RemoveVM takes a VM off the list.
+// RemoveVM removes the entry of that name from the VM list.
 func (m *Memory) RemoveVM(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -217,9 +224,9 @@
 		return 0, ErrUnavailable
 	}
 	now := m.now()
-	if wait := m.nextLoad.Sub(now); wait > 0 {
+	if wait := m.nextReserve.Sub(now); wait > 0 {
 		return wait, nil
 	}
-	m.nextLoad = now.Add(time.Duration(float64(size) / float64(m.loadRate) * float64(time.Second)))
+	m.nextReserve = now.Add(time.Duration(float64(size) / float64(m.bytesPerS) * float64(time.Second)))
 	return 0, nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,7 @@
-// Package store states what garnethoist needs of the platform: a
-// transactional table, an object store, a VM list and a weight store. The
-// interfaces are narrow so that an adapter is one small package; platformtest
-// holds the contract tests that any adapter must pass.
+// Package store defines the interfaces to the services of the platform: a transactional table,
+// an object store, a VM list, a store of model weights and feeds of tables. The interfaces are
+// narrow, so that an adapter to a platform is one small package. contract_test.go holds the
+// tests that every adapter must pass; Memory is an in-memory implementation for tests.
 package store
 
 import (
@@ -11,42 +11,43 @@
 	"github.com/pkg/errors"
 )
 
-// The errors of the platform. Every adapter maps its own failures to these.
+// Errors of the platform's services. Every adapter maps its own errors to these.
 var (
-	// ErrNotFound: the key does not exist.
+	// ErrNotFound reports that the key or object does not exist.
 	ErrNotFound = errors.New("platform: not found")
-	// ErrConflict: a condition did not hold; nothing was written.
+	// ErrConflict reports that a condition did not hold. Nothing was written.
 	ErrConflict = errors.New("platform: condition does not hold")
-	// ErrUnavailable: the request certainly had no effect.
+	// ErrUnavailable reports that the service did not answer a read, or that a write certainly
+	// had no effect.
 	ErrUnavailable = errors.New("platform: unavailable")
-	// ErrUnknown: a write may or may not have taken effect, now or later.
-	// Read back before anything else.
+	// ErrUnknown reports that a write may have taken effect, or may still do so. The caller must
+	// read the record before it writes again.
 	ErrUnknown = errors.New("platform: outcome unknown")
 )
 
-// Record is one key of the table. Version changes with every write to the key
-// and is never zero.
+// Record is a key of the table with its value. Version changes with every write to the key and
+// is never zero.
 type Record struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value"`
 	Version uint64 `json:"version"`
 }
 
-// Cond is a condition of a transaction: key is at Version, or absent when
-// Version is zero.
+// Cond is a condition of a transaction: Key has this Version, or does not exist if Version is
+// zero.
 type Cond struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 }
 
-// Put is one write of a transaction.
+// Put is a write in a transaction.
 type Put struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
 }
 
-// Txn is a transaction: all of its writes take effect if all of its conditions
-// hold, else none does.
+// Txn is a transaction. Either all of its conditions hold and all of its writes take effect, or
+// none does. Deletes lists keys.
 type Txn struct {
 	Conds   []Cond   `json:"conds"`
 	Puts    []Put    `json:"puts"`
@@ -55,57 +56,61 @@
 
 // Table is the platform's transactional table service.
 type Table interface {
-	// Get returns one record, or ErrNotFound.
+	// Get returns the record of key. It fails with ErrNotFound or ErrUnavailable.
 	Get(ctx context.Context, key string) (Record, error)
-	// List returns the records whose keys start with prefix, by key.
+	// List returns the records whose keys start with prefix, sorted by key.
 	List(ctx context.Context, prefix string) ([]Record, error)
-	// Commit runs txn and returns the version that its writes have. It fails
-	// with ErrConflict, ErrUnavailable or ErrUnknown.
+	// Commit executes txn and returns the version of the records that it wrote. It fails with
+	// ErrConflict, ErrUnavailable or ErrUnknown.
 	Commit(ctx context.Context, txn Txn) (uint64, error)
 }
 
-// Objects is the platform's object store. Objects are written once.
+// Objects is the platform's object store. Objects are immutable.
 type Objects interface {
-	// PutObject creates an object; an existing one is ErrConflict.
+	// PutObject creates an object. It fails with ErrConflict if the object exists.
 	PutObject(ctx context.Context, name string, data []byte) error
-	// GetObject returns an object, or ErrNotFound.
+	// GetObject returns the content of an object. It fails with ErrNotFound if there is none.
 	GetObject(ctx context.Context, name string) ([]byte, error)
 }
 
-// VMState is the platform's word on a VM.
+// VMState is the state of a VM as the platform reports it.
 type VMState string
 
-// The states of a VM.
+// States of a VM.
 const (
-	VMLive    VMState = "live"
+	// VMLive is a VM that is in service.
+	VMLive VMState = "live"
+	// VMLeaving is a VM that the platform is about to remove.
 	VMLeaving VMState = "leaving"
 )
 
-// VMKind is what runs on a VM.
+// VMKind is the kind of program that runs on a VM.
 type VMKind string
 
-// The kinds of VM.
+// Kinds of VM.
 const (
-	VMEntry  VMKind = "entry"
+	// VMEntry runs an entry, which serves callers.
+	VMEntry VMKind = "entry"
+	// VMEngine runs an engine, which serves a language model.
 	VMEngine VMKind = "engine"
-	VMPlain  VMKind = "plain"
+	// VMPlain runs a target of a plain service.
+	VMPlain VMKind = "plain"
 )
 
-// VM is one line of the platform's VM list, which lags behind the truth.
+// VM is an entry of the platform's VM list. The list is updated with a delay.
 type VM struct {
 	Name       string  `json:"name"`
 	DataCentre string  `json:"data_centre"`
 	Address    string  `json:"address"`
 	Kind       VMKind  `json:"kind"`
 	State      VMState `json:"state"`
-	// Changed is the list's revision that last changed this line.
+	// Changed is the revision of the list that last changed this entry.
 	Changed uint64 `json:"changed"`
 }
 
 // VMList is the platform's list of live and leaving VMs.
 type VMList interface {
-	// VMs returns the list at its revision; without its lines when that is
-	// the revision known.
+	// VMs returns the list. If its revision still is known, only Revision is set.
 	VMs(ctx context.Context, known uint64) (VMListing, error)
 }
 
@@ -117,7 +122,7 @@
 
 // WeightStore is the platform's rate-limited store of model weights.
 type WeightStore interface {
-	// Reserve asks to load size bytes of weights now. A refusal says how long
-	// to wait before asking again.
+	// Reserve asks for permission to load size bytes of the weights of model now. It returns 0
+	// if that is granted, and otherwise how long to wait before asking again.
 	Reserve(ctx context.Context, model string, size int64) (wait time.Duration, err error)
 }
