--- a/internal/kernel/background.go
+++ b/internal/kernel/background.go
@@ -8,42 +8,43 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Background owns a module's goroutines: it ends them and waits for them. Its
-// zero value is ready; Stop makes it a Stopper.
+// Background runs a module's goroutines until the module stops. A module embeds it and becomes a
+// Stopper by its Stop. The zero value is ready to use.
 type Background struct {
 	cancel context.CancelFunc
-	done   sync.WaitGroup
+	wg     sync.WaitGroup
 }
 
-// Run starts each function in a goroutine of its own. The context that they
-// get ends with Stop. It is called once, from the module's Start.
+// Run runs each function in a goroutine of its own. Their context ends with Stop. Run must be
+// called at most once, from the module's Start.
 func (b *Background) Run(fs ...func(context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	b.cancel = cancel
 	for _, f := range fs {
-		b.done.Go(func() { f(ctx) })
+		b.wg.Go(func() { f(ctx) })
 	}
 }
 
-// Stop ends the goroutines and waits for them.
+// Stop cancels the context of the goroutines and waits until they have returned.
 func (b *Background) Stop(context.Context) error {
 	if b.cancel != nil {
 		b.cancel()
 	}
-	b.done.Wait()
+	b.wg.Wait()
 	return nil
 }
 
-// Retrying bounds the calls of Until.
+// Retrying configures the retries of Until.
 type Retrying struct {
-	// First and Most bound the waits between calls, which grow and are spread.
+	// First is the wait after the first failure, before jitter. The wait grows exponentially.
 	First time.Duration
-	Most  time.Duration
-	// Timeout bounds each call.
+	// Most is the longest wait between calls, before jitter.
+	Most time.Duration
+	// Timeout limits each call.
 	Timeout time.Duration
 }
 
-// Until calls f until it succeeds or ctx ends.
+// Until calls f until it succeeds or ctx ends, with exponential backoff and jitter.
 func Until(ctx context.Context, r Retrying, f func(context.Context) error) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval, wait.MaxInterval = r.First, r.Most
@@ -58,7 +59,8 @@
 	}
 }
 
-// Every calls f at once and then at each interval until ctx ends.
+// Every calls f immediately and then once per interval, until ctx ends. A call that takes longer
+// than the interval delays the next one.
 func Every(ctx context.Context, interval time.Duration, f func(context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,8 +1,7 @@
-// Package kernel is the micro-kernel of every garnethoist program. It knows
-// only module names and a life cycle: provision, validate, start, stop.
-// Modules register under a dotted name and find each other by that name
-// through Get; the dependency graph is resolved on first use. The life cycle
-// is run by uber/fx.
+// Package kernel assembles every garnethoist program from modules. Modules are registered under
+// dotted names and look each other up by name, which determines the order in which they are
+// provisioned. The life cycle of a module is: provision, validate, start, stop. Start and stop
+// are run by uber/fx.
 package kernel
 
 import (
@@ -14,39 +13,41 @@
 	"go.uber.org/fx/fxevent"
 )
 
-// Factory provisions a module. It may call Get for the modules it needs, but
-// must start nothing: no goroutine, listener or connection before Start.
+// Factory creates a module. It may call Get for the modules that it depends on. It must not start
+// a goroutine, open a listener or make a connection; that is left to Start.
 type Factory func(k *Kernel) (any, error)
 
-// Validator is a module that can refuse its configuration before any module
-// has started.
+// Validator is a module that checks its configuration. Validate is called before any module
+// starts; an error prevents the start of the program.
 type Validator interface {
 	Validate() error
 }
 
-// Starter is a module with something to start. Start must return soon; it
-// must not tie a goroutine to ctx, which ends when the start phase ends.
+// Starter is a module that needs to be started. Start must return soon. Its goroutines must not
+// use ctx, which ends with the start phase.
 type Starter interface {
 	Start(ctx context.Context) error
 }
 
-// Stopper is a module that waits in Stop for everything it started.
+// Stopper is a module that needs to be stopped. Stop ends everything that the module started and
+// waits for it.
 type Stopper interface {
 	Stop(ctx context.Context) error
 }
 
-// Kernel holds a program's modules. It is built by one goroutine and is not
-// safe for concurrent use until Run.
+// Kernel holds the modules of a program. It is not safe for concurrent use.
 type Kernel struct {
 	factories map[string]Factory
-	modules   map[string]any
-	pending   map[string]bool
-	// order lists names in the order in which their provision ended, which is
-	// the order to start them.
-	order []string
+	// modules holds the modules that have been provisioned.
+	modules map[string]any
+	// pending holds the names of the modules that are being provisioned, to detect cycles.
+	pending map[string]bool
+	// startOrder lists the names of the provisioned modules, each after those that it depends
+	// on.
+	startOrder []string
 }
 
-// New returns an empty kernel.
+// New returns a kernel without modules.
 func New() *Kernel {
 	return &Kernel{
 		factories: make(map[string]Factory),
@@ -55,8 +56,7 @@
 	}
 }
 
-// Register adds a module under a dotted name. A name registered twice is an
-// error in the program and panics.
+// Register registers a module under a dotted name. It panics if the name is already registered.
 func (k *Kernel) Register(name string, f Factory) {
 	if _, dup := k.factories[name]; dup {
 		panic("kernel: module registered twice: " + name)
@@ -64,8 +64,9 @@
 	k.factories[name] = f
 }
 
-// Get returns the module called name, provisioning it if need be. It fails on
-// an unknown name, a cycle, or a module of another type than T.
+// Get returns the module called name and provisions it first if necessary. It fails if the name
+// is not registered, if the module depends on itself, if its factory fails, or if it is not of
+// type T.
 func Get[T any](k *Kernel, name string) (T, error) {
 	var zero T
 	m, err := k.provision(name)
@@ -79,16 +80,17 @@
 	return t, nil
 }
 
+// provision returns the module called name, after creating it if necessary.
 func (k *Kernel) provision(name string) (any, error) {
 	if m, ok := k.modules[name]; ok {
 		return m, nil
 	}
 	f, ok := k.factories[name]
 	if !ok {
-		return nil, errors.Errorf("no module is called %s", name)
+		return nil, errors.Errorf("module %s is not registered", name)
 	}
 	if k.pending[name] {
-		return nil, errors.Errorf("module %s needs itself", name)
+		return nil, errors.Errorf("module %s depends on itself", name)
 	}
 	k.pending[name] = true
 	defer delete(k.pending, name)
@@ -97,25 +99,26 @@
 		return nil, errors.Wrapf(err, "provision %s", name)
 	}
 	k.modules[name] = m
-	k.order = append(k.order, name)
+	k.startOrder = append(k.startOrder, name)
 	return m, nil
 }
 
-// Timeouts bound the start and stop phases.
+// Timeouts limits the duration of the start phase and of the stop phase.
 type Timeouts struct {
 	Start time.Duration
 	Stop  time.Duration
 }
 
-// App builds the fx application of the named root modules and all that they
-// need. Every module has been provisioned and validated when it returns.
+// App provisions and validates the root modules and everything that they depend on, and returns
+// the fx application that starts and stops them. Modules start after those that they depend on
+// and stop in reverse order.
 func (k *Kernel) App(t Timeouts, roots ...string) (*fx.App, error) {
 	for _, name := range roots {
 		if _, err := k.provision(name); err != nil {
 			return nil, err
 		}
 	}
-	for _, name := range k.order {
+	for _, name := range k.startOrder {
 		if v, ok := k.modules[name].(Validator); ok {
 			if err := v.Validate(); err != nil {
 				return nil, errors.Wrapf(err, "validate %s", name)
@@ -131,12 +134,14 @@
 	return app, app.Err()
 }
 
+// appendHooks adds the start and stop of all provisioned modules to the life cycle.
 func (k *Kernel) appendHooks(lc fx.Lifecycle) {
-	for _, name := range k.order {
+	for _, name := range k.startOrder {
 		lc.Append(hook(name, k.modules[name]))
 	}
 }
 
+// hook returns the hook that starts and stops a module, as far as it is a Starter or a Stopper.
 func hook(name string, module any) fx.Hook {
 	var h fx.Hook
 	if s, ok := module.(Starter); ok {
@@ -152,14 +157,16 @@
 	return h
 }
 
-// Getter gathers the first error of several lookups, so that a factory can
-// look up all that it needs and check once.
+// Getter keeps the first error of several lookups with Need, so that a factory has to check for
+// errors only once.
 type Getter struct {
 	Kernel *Kernel
-	Err    error
+	// Err is the first error, or nil.
+	Err error
 }
 
-// Need returns the module called name, or the zero T after noting the error.
+// Need returns the module called name. On failure it records the error in g and returns the zero
+// value of T.
 func Need[T any](g *Getter, name string) T {
 	v, err := Get[T](g.Kernel, name)
 	if err != nil && g.Err == nil {
