--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -13,24 +13,25 @@
 	"github.com/pkg/errors"
 )
 
-// maxStatusBytes bounds a status body.
+// maxStatusBytes is the largest body of a status report that is read.
 const maxStatusBytes = 1 << 20
 
-// Client reads targets' status and gives engines orders. It is safe for
-// concurrent use.
+// Client reads the status of targets and sends orders to engines. It is safe for concurrent
+// use.
 type Client struct {
 	timeout time.Duration
 	http    *http.Client
-	// wrap is applied to each connection, to count its bytes.
+	// wrap is applied to each new connection; it can count the connection's bytes.
 	wrap func(net.Conn) net.Conn
 }
 
-// NewClient returns a client whose requests end after timeout.
+// NewClient returns a client. timeout limits each request.
 func NewClient(timeout time.Duration) *Client {
 	return NewCountedClient(timeout, func(c net.Conn) net.Conn { return c })
 }
 
-// NewCountedClient is NewClient with wrap applied to each connection.
+// NewCountedClient is like NewClient, but passes each new connection through wrap, which can
+// count its bytes.
 func NewCountedClient(timeout time.Duration, wrap func(net.Conn) net.Conn) *Client {
 	c := &Client{timeout: timeout, wrap: wrap}
 	c.http = &http.Client{Transport: &http.Transport{
@@ -41,6 +42,7 @@
 	return c
 }
 
+// dial opens a connection and wraps it.
 func (c *Client) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: c.timeout}
 	conn, err := d.DialContext(ctx, network, address)
@@ -56,7 +58,8 @@
 	return nil
 }
 
-// Status reads the status of the target at address.
+// Status reads the status of the target at address. Every failure to get a valid report is
+// ErrUnreachable.
 func (c *Client) Status(ctx context.Context, address string) (Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -79,12 +82,12 @@
 	return s, nil
 }
 
-// Order sends o to the engine at address. The connection is opened first, then
-// still is asked, then the order is written: after a pause between the two
-// last steps that outlives the engine's read time-out, the engine has closed
-// the connection and the late bytes have no effect. The order is written at
-// most once.
-func (c *Client) Order(ctx context.Context, address string, o Order, still func() bool) error {
+// Order sends o to the engine at address, at most once. It opens the connection, then calls
+// leaseHeld, and then writes the order. If this process is paused between the last two steps
+// for longer than the engine's read timeout, the engine has closed the connection by then and
+// the late bytes have no effect. Order fails with ErrFenced if leaseHeld returns false or the
+// engine rejects the fencing number, and with ErrRefused or ErrUnreachable otherwise.
+func (c *Client) Order(ctx context.Context, address string, o Order, leaseHeld func() bool) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return errors.Wrap(err, "encode order")
@@ -106,12 +109,13 @@
 		return errors.Wrap(err, "build request")
 	}
 	req.Close = true
-	if !still() {
+	if !leaseHeld() {
 		return errors.Wrap(ErrFenced, "lease lapsed before the order was sent")
 	}
 	return sendOrder(conn, req)
 }
 
+// sendOrder writes the order to conn and maps the engine's response to the errors of orders.
 func sendOrder(conn net.Conn, req *http.Request) error {
 	if err := req.Write(conn); err != nil {
 		return errors.Wrapf(ErrUnreachable, "%v", err)
--- a/internal/target/client_test.go
+++ b/internal/target/client_test.go
@@ -14,8 +14,8 @@
 	"garnethoist.org/garnethoist/internal/target"
 )
 
-// engineAt serves an engine stand-in with its read time-out.
-func engineAt(t *testing.T, cfg standin.EngineConfig) (*standin.Engine, string) {
+// startEngine serves a simulated engine on a loopback port and returns it with its address.
+func startEngine(t *testing.T, cfg standin.EngineConfig) (*standin.Engine, string) {
 	t.Helper()
 	e := standin.NewEngine(cfg)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,26 +28,28 @@
 	return e, l.Addr().String()
 }
 
-func always() bool { return true }
+// leaseHeld is the check of a lease that has not lapsed.
+func leaseHeld() bool { return true }
 
-func orderOf(id string, fence uint64, version string) target.Order {
+// newOrder returns an order to serve a version of the model m in both roles.
+func newOrder(id string, fence uint64, version string) target.Order {
 	return target.Order{ID: id, Fence: fence, Want: target.Want{Role: target.RoleBoth, Model: "m", Version: version}}
 }
 
-// TestEngineContract holds an engine that checks fencing numbers and one that
-// ignores them to the same protocol.
+// TestEngineContract checks the protocol of orders and status with an engine that checks fencing
+// numbers and with one that ignores them.
 func TestEngineContract(t *testing.T) {
 	for _, ignore := range []bool{false, true} {
 		is := is.New(t)
 		ctx := t.Context()
-		e, addr := engineAt(t, standin.EngineConfig{IgnoreFencing: ignore})
+		e, addr := startEngine(t, standin.EngineConfig{IgnoreFencing: ignore})
 		c := target.NewClient(time.Second)
-		is.NoErr(c.Order(ctx, addr, orderOf("o1", 5, "v1"), always))
-		is.NoErr(c.Order(ctx, addr, orderOf("o1", 5, "v1"), always)) // again: harmless
+		is.NoErr(c.Order(ctx, addr, newOrder("o1", 5, "v1"), leaseHeld))
+		is.NoErr(c.Order(ctx, addr, newOrder("o1", 5, "v1"), leaseHeld)) // a repeated order has no effect
 		is.Equal(len(e.Orders()), 1)
-		old := c.Order(ctx, addr, orderOf("o0", 4, "v0"), always)
+		old := c.Order(ctx, addr, newOrder("o0", 4, "v0"), leaseHeld)
 		is.Equal(errors.Is(old, target.ErrFenced), !ignore)
-		is.NoErr(c.Order(ctx, addr, orderOf("o2", 6, "v2"), always))
+		is.NoErr(c.Order(ctx, addr, newOrder("o2", 6, "v2"), leaseHeld))
 		first, err := c.Status(ctx, addr)
 		is.NoErr(err)
 		is.Equal(first.Version, "v2")
@@ -59,24 +61,24 @@
 	}
 }
 
-// A lease that lapses between the opening of the connection and the write
-// stops the order.
-func TestOrderIsNotSentAfterTheLease(t *testing.T) {
+// TestOrderIsNotSentAfterLeaseLapses checks that an order is not written if the lease lapses
+// while the connection is opened.
+func TestOrderIsNotSentAfterLeaseLapses(t *testing.T) {
 	is := is.New(t)
-	e, addr := engineAt(t, standin.EngineConfig{IgnoreFencing: true})
-	err := target.NewClient(time.Second).Order(t.Context(), addr, orderOf("o1", 1, "v1"), func() bool { return false })
+	e, addr := startEngine(t, standin.EngineConfig{IgnoreFencing: true})
+	err := target.NewClient(time.Second).Order(t.Context(), addr, newOrder("o1", 1, "v1"), func() bool { return false })
 	is.True(errors.Is(err, target.ErrFenced))
 	is.Equal(len(e.Orders()), 0)
 }
 
-// A sender frozen after its last look at the lease wakes when the engine has
-// closed the connection: the late bytes have no effect, although the engine
-// ignores fencing numbers.
-func TestLateBytesMeetAClosedConnection(t *testing.T) {
+// TestLateOrderHasNoEffect covers a sender that is paused after it checked its lease and resumes
+// once the engine's read timeout has closed the connection. The late order must have no effect,
+// even on an engine that ignores fencing numbers.
+func TestLateOrderHasNoEffect(t *testing.T) {
 	is := is.New(t)
-	e, addr := engineAt(t, standin.EngineConfig{IgnoreFencing: true, ReadTimeout: 50 * time.Millisecond})
+	e, addr := startEngine(t, standin.EngineConfig{IgnoreFencing: true, ReadTimeout: 50 * time.Millisecond})
 	closed := make(chan struct{})
-	// The relay in the middle tells when the engine has closed.
+	// A relay between the sender and the engine detects when the engine closes the connection.
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer l.Close()
@@ -94,22 +96,22 @@
 		_, _ = io.Copy(in, out) // ends when the engine closes
 		close(closed)
 	}()
-	frozen := func() bool {
+	leaseHeldUntilClosed := func() bool {
 		<-closed
 		return true
 	}
-	err = target.NewClient(5*time.Second).Order(context.Background(), l.Addr().String(), orderOf("o1", 1, "v1"), frozen)
+	err = target.NewClient(5*time.Second).Order(context.Background(), l.Addr().String(), newOrder("o1", 1, "v1"), leaseHeldUntilClosed)
 	is.True(errors.Is(err, target.ErrUnreachable))
 	is.Equal(len(e.Orders()), 0)
 }
 
-// Whatever comes in place of a status is no status.
+// TestStatusFaults checks that a missing, incomplete or invalid response is ErrUnreachable.
 func TestStatusFaults(t *testing.T) {
-	cases := []struct{ name, answer string }{
-		{"no answer", ""},
+	cases := []struct{ name, response string }{
+		{"no response", ""},
 		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"boot\":"},
 		{"not JSON", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"},
-		{"an error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"},
+		{"status 500", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -124,7 +126,7 @@
 				}
 				defer conn.Close()
 				_, _ = conn.Read(make([]byte, 4096))
-				_, _ = io.WriteString(conn, c.answer)
+				_, _ = io.WriteString(conn, c.response)
 			}()
 			_, err = target.NewClient(time.Second).Status(t.Context(), l.Addr().String())
 			is.True(errors.Is(err, target.ErrUnreachable))
--- a/internal/target/engine.go
+++ b/internal/target/engine.go
@@ -1,6 +1,6 @@
-// Package target speaks to the targets behind a service: model engines and
-// plain services. It holds the types of their published protocol, the clients
-// and, in targettest, the contract tests.
+// Package target is a client of the targets of a service: engines and targets of plain services.
+// It defines the types of their HTTP protocol. client_test.go holds the contract tests of
+// engines.
 package target
 
 import (
@@ -11,17 +11,17 @@
 	"garnethoist.org/garnethoist/internal/roles"
 )
 
-// Role is what an engine does.
+// Role tells whether an engine does prefill, decode or both.
 type Role = roles.Role
 
-// The roles of an engine.
+// Roles of an engine.
 const (
 	RoleBoth    = roles.RoleBoth
 	RolePrefill = roles.RolePrefill
 	RoleDecode  = roles.RoleDecode
 )
 
-// Paths of the targets' HTTP protocol.
+// Paths of the HTTP protocol of targets.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathStreams     = "/v1/streams/"
@@ -30,75 +30,82 @@
 	PathCacheEvents = "/cache/events"
 )
 
-// Headers of the engines' protocol.
+// Headers of the engines' HTTP protocol.
 const (
-	// HeaderLastEventID resumes a stream after the event that it names.
+	// HeaderLastEventID is the id of the event after which a stream is to be resumed.
 	HeaderLastEventID = "Last-Event-ID"
-	// HeaderRequestID names the request in both logs.
+	// HeaderRequestID is the id of the request in the logs of both sides.
 	HeaderRequestID = "X-Request-Id"
 )
 
-// Codes in the error bodies of engines.
+// Codes in the error bodies of targets. With each of them, the request was not run.
 const (
-	// CodeTransferFailed: the KV cache could not be imported; not run.
+	// CodeTransferFailed is returned if the KV cache could not be transferred to the engine.
 	CodeTransferFailed = "kv_transfer_failed"
-	// CodeChanging: the engine is changing its role or model; not run.
+	// CodeChanging is returned while the engine changes its role or model.
 	CodeChanging = "changing"
-	// CodeLeaving: the target is on its way out; not run.
+	// CodeLeaving is returned once the target is shutting down.
 	CodeLeaving = "leaving"
-	// CodeUnknownStream: the stream to resume is not known; not run.
+	// CodeUnknownStream is returned if the engine does not know the stream to resume.
 	CodeUnknownStream = "unknown_stream"
 )
 
-// notRunCodes are the error codes by which a target vouches that the request
-// was not run.
+// notRunCodes holds the error codes by which a target guarantees that it did not run the
+// request.
 var notRunCodes = map[string]bool{
 	CodeTransferFailed: true, CodeChanging: true, CodeLeaving: true, CodeUnknownStream: true,
 }
 
-// VouchesNotRun reports whether an error code says that the request was not
-// run.
+// VouchesNotRun reports whether an error code guarantees that the target did not run the
+// request.
 func VouchesNotRun(code string) bool { return notRunCodes[code] }
 
-// The errors of orders.
+// Errors of requests to a target.
 var (
-	// ErrFenced: the engine has seen a higher fencing number.
+	// ErrFenced reports that the order's fencing number is lower than one that the engine has
+	// seen, or that the lease lapsed before the order was sent.
 	ErrFenced = errors.New("target: order carries an old fencing number")
-	// ErrRefused: the engine refused the order for another reason.
+	// ErrRefused reports that the engine refused the order for another reason.
 	ErrRefused = errors.New("target: order refused")
-	// ErrUnreachable: the target did not answer; the order may be in force.
-	ErrUnreachable = errors.New("target: no answer")
+	// ErrUnreachable reports that the target sent no valid response. An order may still take
+	// effect.
+	ErrUnreachable = errors.New("target: no valid response")
 )
 
-// Status is a target's own report.
+// Status is a target's report of its state.
 type Status struct {
-	// Boot is the incarnation: it grows with every start.
+	// Boot is the incarnation of the target's process. It increases with every start.
 	Boot uint64 `json:"boot"`
-	// Seq grows with every report of one boot.
+	// Seq increases with every report of one Boot.
 	Seq uint64 `json:"seq"`
-	// Leaving is set once the target is on its way out.
+	// Leaving is set once the target is shutting down.
 	Leaving bool `json:"leaving"`
-	// Changing is set while a role or model change is under way.
-	Changing bool     `json:"changing"`
-	Role     Role     `json:"role"`
+	// Changing is set while the engine changes its role or model.
+	Changing bool `json:"changing"`
+	// Role is the engine's role.
+	Role Role `json:"role"`
+	// Model, Version and Adapters are what the engine serves: a model, its version, and
+	// adapters to it.
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters,omitempty"`
-	Running  int      `json:"running"`
-	Waiting  int      `json:"waiting"`
-	// QueuedTokens is the prompt tokens that wait for prefill.
+	// Running and Waiting are the numbers of requests that run and that are queued.
+	Running int `json:"running"`
+	Waiting int `json:"waiting"`
+	// QueuedTokens is the number of prompt tokens that wait for prefill.
 	QueuedTokens int `json:"queued_tokens"`
-	Slots        int `json:"slots"`
-	// Fence is the highest fencing number seen.
+	// Slots is the number of requests that can run at once.
+	Slots int `json:"slots"`
+	// Fence is the highest fencing number that the engine has seen.
 	Fence uint64 `json:"fence"`
-	// LastOrder is the id of the order last taken.
+	// LastOrder is the id of the order that the engine accepted last.
 	LastOrder string `json:"last_order"`
-	// PrefillTokens and DecodeTokens count the work since boot.
+	// PrefillTokens and DecodeTokens count the tokens processed since Boot.
 	PrefillTokens uint64 `json:"prefill_tokens"`
 	DecodeTokens  uint64 `json:"decode_tokens"`
 }
 
-// Want is the state that an order asks for.
+// Want is the state of an engine that an order asks for.
 type Want struct {
 	Role     Role     `json:"role"`
 	Model    string   `json:"model"`
@@ -106,7 +113,7 @@
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// Equal reports whether two wants ask for the same.
+// Equal reports whether w and o ask for the same state. The order of adapters counts.
 func (w Want) Equal(o Want) bool {
 	if w.Role != o.Role || w.Model != o.Model || w.Version != o.Version || len(w.Adapters) != len(o.Adapters) {
 		return false
@@ -119,27 +126,29 @@
 	return true
 }
 
-// Order tells an engine to change. The same id sent again has no further
-// effect.
+// Order tells an engine to change its state. An order with an id that the engine has already
+// accepted has no effect.
 type Order struct {
-	ID    string `json:"id"`
+	ID string `json:"id"`
+	// Fence is the fencing number of the lease under which the order is sent.
 	Fence uint64 `json:"fence"`
 	Want  Want   `json:"want"`
 }
 
-// ErrorBody is the body of a target's refusal.
+// ErrorBody is the body of a target's error response.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail is the usual error object of the chat completions protocol.
+// ErrorDetail is the error object of the chat completions protocol.
 type ErrorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    string `json:"code"`
 }
 
-// KVTransfer is the published kv_transfer_params object.
+// KVTransfer is the kv_transfer_params object, by which a decode engine fetches the KV cache of a
+// prompt from the prefill engine.
 type KVTransfer struct {
 	DoRemoteDecode  bool     `json:"do_remote_decode"`
 	DoRemotePrefill bool     `json:"do_remote_prefill"`
@@ -149,11 +158,13 @@
 	RemotePort      int      `json:"remote_port,omitempty"`
 }
 
-// CacheEvent says that a prefix entered or left an engine's cache. Events come
-// late and with gaps, which show as jumps of Seq.
+// CacheEvent reports that a prefix was added to an engine's cache or evicted from it. Events are
+// delayed and can be lost, which shows as a gap in Seq.
 type CacheEvent struct {
-	Seq    uint64    `json:"seq"`
-	Prefix uint64    `json:"prefix"`
+	Seq uint64 `json:"seq"`
+	// Prefix is the hash of the prefix.
+	Prefix uint64 `json:"prefix"`
+	// Stored is true if the prefix was added, and false if it was evicted.
 	Stored bool      `json:"stored"`
 	At     time.Time `json:"at"`
 }
