--- a/internal/telemetry/admin.go
+++ b/internal/telemetry/admin.go
@@ -11,49 +11,50 @@
 	"github.com/pkg/errors"
 )
 
-// adminHeaderTimeout bounds reading a request's header.
+// adminHeaderTimeout limits the time to read the header of a request.
 const adminHeaderTimeout = 5 * time.Second
 
-// Admin serves /healthz, /readyz and /metrics.
+// Admin is the HTTP server for /healthz, /readyz and /metrics.
 type Admin struct {
 	listen  string
 	metrics *Metrics
-	// ready says why the program is not ready, or "".
+	// ready returns why the program is not ready, or "" if it is.
 	ready  func() string
 	server *http.Server
-	served sync.WaitGroup
+	wg     sync.WaitGroup
 }
 
-// NewAdmin returns the admin endpoint at the address listen. It is not ready
-// until SetReady has been called.
+// NewAdmin returns the admin server for the address listen. /readyz fails until SetReady has
+// been called.
 func NewAdmin(listen string, m *Metrics) *Admin {
 	return &Admin{listen: listen, metrics: m, ready: func() string { return "starting" }}
 }
 
-// SetReady sets the function that says why the program is not ready, or "".
-// It must be called before Start. The module that decides readiness depends on
-// the endpoint, not the other way round, so that the endpoint stops last and
-// shows a program that drains as not ready.
+// SetReady sets the function that returns why the program is not ready, or "" if it is. It must
+// be called before Start. The module that decides readiness depends on the admin server and not
+// the other way round, so that the server stops last and reports a draining program as not
+// ready.
 func (a *Admin) SetReady(ready func() string) { a.ready = ready }
 
-// Start listens.
+// Start begins to listen and serve.
 func (a *Admin) Start(context.Context) error {
 	l, err := net.Listen("tcp", a.listen)
 	if err != nil {
-		return errors.Wrap(err, "listen for admin")
+		return errors.Wrap(err, "listen on admin address")
 	}
 	g := gin.New()
 	g.GET("/healthz", func(c *gin.Context) { c.String(http.StatusOK, "ok\n") })
 	g.GET("/readyz", a.serveReady)
 	g.GET("/metrics", gin.WrapH(a.metrics.Handler()))
 	a.server = &http.Server{Handler: g, ReadHeaderTimeout: adminHeaderTimeout}
-	a.served.Go(func() {
-		// The only other error is that of a listener closed by Stop.
+	a.wg.Go(func() {
+		// The only error that Serve can return here is that of the listener that Stop closed.
 		_ = a.server.Serve(l)
 	})
 	return nil
 }
 
+// serveReady answers /readyz: 200, or 503 with the reason why the program is not ready.
 func (a *Admin) serveReady(c *gin.Context) {
 	if why := a.ready(); why != "" {
 		c.String(http.StatusServiceUnavailable, why+"\n")
@@ -62,9 +63,9 @@
 	c.String(http.StatusOK, "ready\n")
 }
 
-// Stop closes the endpoint.
+// Stop shuts the server down and waits for requests in flight until ctx ends.
 func (a *Admin) Stop(ctx context.Context) error {
 	err := a.server.Shutdown(ctx)
-	a.served.Wait()
-	return errors.Wrap(err, "close admin")
+	a.wg.Wait()
+	return errors.Wrap(err, "shut down admin server")
 }
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -10,36 +10,36 @@
 	"time"
 )
 
-// logQueue is how many lines wait for a slow output.
-const logQueue = 256
+// logQueueLines is the number of lines that are queued for a slow output.
+const logQueueLines = 256
 
-// BoundedWriter passes lines on without ever blocking their writer. Lines
-// above a rate, or that find the queue full, are dropped and counted; the count
-// is written once a second while there are any.
+// BoundedWriter is a rate-limited writer of log lines that never blocks. Lines that exceed the
+// rate, or that find the queue full, are dropped and counted. The count is written once a second
+// if it is not zero.
 type BoundedWriter struct {
-	out     io.Writer
-	perS    atomic.Int64
-	queue   chan []byte
-	second  atomic.Int64
-	inThis  atomic.Int64
-	dropped atomic.Int64
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
+	out             io.Writer
+	linesPerS       atomic.Int64
+	queue           chan []byte
+	currentSecond   atomic.Int64
+	linesThisSecond atomic.Int64
+	dropped         atomic.Int64
+	cancel          context.CancelFunc
+	wg              sync.WaitGroup
 }
 
-// NewBoundedWriter returns a writer to out of at most perSecond lines a second.
+// NewBoundedWriter returns a writer that writes at most perSecond lines per second to out.
 func NewBoundedWriter(out io.Writer, perSecond int) *BoundedWriter {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &BoundedWriter{out: out, queue: make(chan []byte, logQueue), cancel: cancel}
+	w := &BoundedWriter{out: out, queue: make(chan []byte, logQueueLines), cancel: cancel}
 	w.SetRate(perSecond)
-	w.done.Go(func() { w.run(ctx) })
+	w.wg.Go(func() { w.run(ctx) })
 	return w
 }
 
-// SetRate changes the bound on lines a second.
-func (w *BoundedWriter) SetRate(perSecond int) { w.perS.Store(int64(perSecond)) }
+// SetRate sets the limit of lines per second.
+func (w *BoundedWriter) SetRate(perSecond int) { w.linesPerS.Store(int64(perSecond)) }
 
-// Write takes one line; it never fails and never waits.
+// Write queues one line, or drops it. It never blocks and always succeeds.
 func (w *BoundedWriter) Write(line []byte) (int, error) {
 	if !w.admit() {
 		w.dropped.Add(1)
@@ -54,14 +54,16 @@
 	return len(line), nil
 }
 
+// admit counts a line and reports whether it is within this second's limit.
 func (w *BoundedWriter) admit() bool {
 	now := time.Now().Unix()
-	if w.second.Swap(now) != now {
-		w.inThis.Store(0)
+	if w.currentSecond.Swap(now) != now {
+		w.linesThisSecond.Store(0)
 	}
-	return w.inThis.Add(1) <= w.perS.Load()
+	return w.linesThisSecond.Add(1) <= w.linesPerS.Load()
 }
 
+// run writes queued lines and the count of dropped ones until ctx ends.
 func (w *BoundedWriter) run(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -78,15 +80,17 @@
 	}
 }
 
-// emit writes a line. There is nowhere to report that the output is gone.
+// emit writes a line to the output. It ignores errors, as there is nowhere to report them.
 func (w *BoundedWriter) emit(line []byte) { _, _ = w.out.Write(line) }
 
+// reportDropped writes the number of lines dropped since the last report, unless it is zero.
 func (w *BoundedWriter) reportDropped() {
 	if n := w.dropped.Swap(0); n > 0 {
 		w.emit([]byte(fmt.Sprintf("time=%q level=warning event=%s lines=%d\n", time.Now().Format(time.RFC3339), EventLogDropped, n)))
 	}
 }
 
+// flush writes the lines that are queued.
 func (w *BoundedWriter) flush() {
 	for {
 		select {
@@ -99,20 +103,21 @@
 	}
 }
 
-// Stop writes what waits and ends.
+// Stop writes the queued lines and ends the writer's goroutine.
 func (w *BoundedWriter) Stop(context.Context) error {
 	w.cancel()
-	w.done.Wait()
+	w.wg.Wait()
 	return nil
 }
 
-// StdLogger returns a standard logger whose lines are events of l, for
-// libraries that want one.
+// StdLogger returns a standard logger for libraries that require one. Each of its lines is logged
+// to l as an EventServer.
 func StdLogger(l *Logger) *stdlog.Logger { return stdlog.New(lineWriter{l}, "", 0) }
 
+// lineWriter logs each line that is written to it as an EventServer.
 type lineWriter struct{ log *Logger }
 
-// Write logs one line.
+// Write logs p as one line.
 func (w lineWriter) Write(p []byte) (int, error) {
 	w.log.Warn(EventServer, F("cause", string(p)))
 	return len(p), nil
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -13,7 +13,7 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// output is a log's destination that can be blocked.
+// output is a log output that can be blocked.
 type output struct {
 	mu    sync.Mutex
 	text  bytes.Buffer
@@ -35,7 +35,7 @@
 	return o.text.String()
 }
 
-func TestLinesAboveTheRateAreDroppedAndCounted(t *testing.T) {
+func TestLinesAboveRateAreDroppedAndCounted(t *testing.T) {
 	is := is.New(t)
 	out := &output{}
 	w := telemetry.NewBoundedWriter(out, 10)
@@ -45,11 +45,11 @@
 	}
 	is.NoErr(w.Stop(context.Background()))
 	n := strings.Count(out.String(), "line\n")
-	is.True(n >= 10 && n <= 20) // a second may have begun in between
+	is.True(n >= 10 && n <= 20) // a new second may have begun in between
 	is.True(strings.Contains(out.String(), "event=log_dropped lines="))
 }
 
-func TestBlockedOutputBlocksNobody(t *testing.T) {
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	is := is.New(t)
 	out := &output{block: make(chan struct{})}
 	w := telemetry.NewBoundedWriter(out, 100000)
@@ -65,7 +65,7 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a writer waits for the output")
+		t.Fatal("Write blocked on the output")
 	}
 	close(out.block)
 	is.NoErr(w.Stop(context.Background()))
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -1,5 +1,5 @@
-// Package telemetry sets up logs and metrics: one logrus line of key=value
-// pairs for each event, and OpenTelemetry metrics behind a scrape endpoint.
+// Package telemetry provides logging and metrics: log lines of key=value pairs, one for each
+// event, and OpenTelemetry metrics with a Prometheus endpoint. Logs are written by logrus.
 package telemetry
 
 import (
@@ -8,13 +8,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-// FieldEvent is the key under which every log line names its event.
+// FieldEvent is the key of the event's name, which is on every log line.
 const FieldEvent = "event"
 
-// Event is the name of a logged event.
+// Event is the name of an event in the log.
 type Event string
 
-// The events that the programs log.
+// Events that the programs log.
 const (
 	EventStarted          Event = "started"
 	EventStopping         Event = "stopping"
@@ -63,13 +63,13 @@
 	EventClaimsRemoved    Event = "claims_removed"
 )
 
-// Logger writes one key=value line for each event.
+// Logger writes a line of key=value pairs for each event.
 type Logger struct {
 	entry *logrus.Entry
 }
 
-// NewLogger returns a logger that writes to w and names its program and VM on
-// every line.
+// NewLogger returns a logger that writes to w, with the names of the program and the VM on every
+// line.
 func NewLogger(w io.Writer, program, vm string) *Logger {
 	l := logrus.New()
 	l.SetOutput(w)
@@ -86,15 +86,16 @@
 	Value any
 }
 
-// F returns the pair key=value.
+// F returns the field key=value.
 func F(key string, value any) Field { return Field{Key: key, Value: value} }
 
 // Info logs an event of normal operation.
 func (l *Logger) Info(e Event, fields ...Field) { l.with(e, fields).Info(string(e)) }
 
-// Warn logs an event that an operator may want to look at.
+// Warn logs an event that may need an operator's attention.
 func (l *Logger) Warn(e Event, fields ...Field) { l.with(e, fields).Warn(string(e)) }
 
+// with returns an entry with the event's name and fields.
 func (l *Logger) with(e Event, fields []Field) *logrus.Entry {
 	m := make(logrus.Fields, len(fields)+1)
 	m[FieldEvent] = string(e)
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -11,19 +11,20 @@
 	sdkmetric "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// Metrics is a program's OpenTelemetry meter with its scrape endpoint. Each
-// program owns one; nothing is registered globally.
+// Metrics is an OpenTelemetry meter and the Prometheus endpoint that exposes it. Each program
+// has one. Nothing is registered globally.
 type Metrics struct {
+	// Meter creates the instruments of the program.
 	Meter   metric.Meter
 	handler http.Handler
 }
 
-// NewMetrics returns the metrics of the program called name.
+// NewMetrics returns the metrics of a program. name is the name of the meter.
 func NewMetrics(name string) (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	exporter, err := promexporter.New(promexporter.WithRegisterer(registry))
 	if err != nil {
-		return nil, errors.Wrap(err, "metrics exporter")
+		return nil, errors.Wrap(err, "create metrics exporter")
 	}
 	provider := sdkmetric.NewMeterProvider(sdkmetric.WithReader(exporter))
 	return &Metrics{
@@ -32,5 +33,5 @@
 	}, nil
 }
 
-// Handler serves the scrape endpoint.
+// Handler returns the handler of the Prometheus endpoint.
 func (m *Metrics) Handler() http.Handler { return m.handler }
