--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,7 +24,8 @@
 	"garnethoist.org/garnethoist/internal/watch"
 )
 
-// Names under which the modules are registered with the kernel.
+// Names under which the modules are registered with the kernel. Most consist of the package and
+// the type of the module.
 const (
 	ModuleLogWriter     = "telemetry.writer"
 	ModuleLog           = "telemetry.log"
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -17,14 +17,16 @@
 // rate, or that find the queue full, are dropped and counted. The count is written once a second
 // if it is not zero.
 type BoundedWriter struct {
-	out             io.Writer
-	linesPerS       atomic.Int64
-	queue           chan []byte
+	out       io.Writer
+	linesPerS atomic.Int64
+	queue     chan []byte
+	// currentSecond is the Unix time that linesThisSecond counts lines for.
 	currentSecond   atomic.Int64
 	linesThisSecond atomic.Int64
-	dropped         atomic.Int64
-	cancel          context.CancelFunc
-	wg              sync.WaitGroup
+	// dropped counts the lines dropped since the last report.
+	dropped atomic.Int64
+	cancel  context.CancelFunc
+	wg      sync.WaitGroup
 }
 
 // NewBoundedWriter returns a writer that writes at most perSecond lines per second to out.
