--- a/internal/httpsend/client.go
+++ b/internal/httpsend/client.go
@@ -55,6 +55,7 @@
 // Unwrap returns the cause, for errors.Is and errors.As.
 func (e *Error) Unwrap() error { return e.Cause }
 
+// newError returns an Error of phase p.
 func newError(p Phase, cause error) *Error { return &Error{Phase: p, Cause: cause} }
 
 // ErrOverdue is the cancellation cause for a send whose response is overdue. If it used a kept
--- a/internal/httpsend/httpsend_test.go
+++ b/internal/httpsend/httpsend_test.go
@@ -66,6 +66,7 @@
 	return g
 }
 
+// serve reads requests from c until the connection ends, and passes each to the next handler.
 func (g *fakeTarget) serve(c net.Conn, handlers []handler) {
 	defer c.Close()
 	br := bufio.NewReader(c)
@@ -87,6 +88,7 @@
 	}
 }
 
+// counts returns the requests and connections so far.
 func (g *fakeTarget) counts() (requests, conns int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/httpsend/send.go
+++ b/internal/httpsend/send.go
@@ -37,12 +37,13 @@
 	destID string
 	// idleSince is when the connection was last returned to its pool.
 	idleSince time.Time
-	// reused tells that the connection was taken from the pool.
+	// reused is true if the connection was taken from the pool.
 	reused bool
 	// unackedTimeout is the socket's current limit on unacknowledged bytes.
 	unackedTimeout time.Duration
 }
 
+// newConn returns a connection for the pool of a destination.
 func newConn(nc net.Conn, id string) *conn {
 	return &conn{nc: nc, br: bufio.NewReaderSize(nc, readBufferSize), destID: id}
 }
@@ -91,7 +92,7 @@
 	writeDone <-chan error
 	ctx       context.Context
 	once      sync.Once
-	// complete tells that the body was read to its end.
+	// complete is true once the body was read to its end.
 	complete bool
 }
 
--- a/internal/httpsend/silent_test.go
+++ b/internal/httpsend/silent_test.go
@@ -170,9 +170,9 @@
 	is.Equal(body, "ok")
 }
 
-// TestMaxRest checks that a connection that has been idle for too long for one request is kept
+// TestIdleLimitOfDestination checks that a connection that has been idle for too long for one request is kept
 // for others.
-func TestMaxRest(t *testing.T) {
+func TestIdleLimitOfDestination(t *testing.T) {
 	is := is.New(t)
 	g, _, d := newRelayedTarget(t, emit(ok, true), emit(ok, true), emit(ok, true))
 	c := newClient()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// reload reads the file and applies it if its content has changed. requested tells that an
+// reload reads the file and applies it if its content has changed. requested is true if an
 // operator asked for it by SIGHUP; only then are read errors and unchanged files logged.
 func (r *reloader) reload(requested bool) {
 	data, err := os.ReadFile(r.path)
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -29,7 +29,7 @@
 	// UsageWindow is the length of the time windows for which the usage of client accounts is
 	// reported.
 	UsageWindow Duration `json:"usage_window"`
-	// FirstStart tells that all VMs start for the first time, so that there is no state of
+	// FirstStart is true if all VMs start for the first time, so that there is no state of
 	// earlier processes to wait for.
 	FirstStart bool `json:"first_start"`
 	// MemoryMB is the memory that the process may use, in MiB.
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -35,7 +35,7 @@
 	From uint64
 	// Rows holds the changes, and the revision that they lead to.
 	Rows Rows
-	// WasAway tells that the store had been unreachable before the changes were read.
+	// WasAway is true if the store had been unreachable before the changes were read.
 	WasAway bool
 	// SinceBack is how long the store had been reachable again when the changes were read; 0
 	// if it was still unreachable. It is set only with WasAway.
