--- a/internal/route/busy.go
+++ b/internal/route/busy.go
@@ -1,47 +1,50 @@
 package route
 
 const (
-	// busyWindow is the time over which a target's busy share is taken, in
-	// seconds. It is long against the age of reports: entries that all see
-	// the same old share must not swing together.
-	busyWindow = 60.0
-	// busySamples is how many reports of the window are kept.
-	busySamples = 16
+	// workWindow is the time over which a target's work rate is averaged, in
+	// seconds. It is much longer than the age of the reports, so that entries
+	// that all act on the same outdated value do not oscillate together.
+	workWindow = 60.0
+	// maxWorkSamples is how many samples spread over the window are kept.
+	maxWorkSamples = 16
 )
 
-// Busy is how much work a target did a second over the last while, from its
-// reports of the work done so far; with work in seconds it is the share of the
-// time that the target was busy. It is not safe for concurrent use.
+// Busy measures how much work a target did per second over the last
+// workWindow, from its reports of the total work done so far. With work counted
+// in seconds the result is the share of the time in which the target was busy.
+// It is not safe for concurrent use.
 type Busy struct {
-	samples []busySample
+	samples []workSample
 }
 
-type busySample struct {
+// workSample is the total work that a target had done at one time.
+type workSample struct {
 	at   float64
 	work float64
 }
 
-// Report takes in that the target had done so much work by time at. Work that
-// shrinks, as after a restart, begins anew.
+// Report records that the target had done work in total by time at, in
+// seconds. A total below the last one, as after a restart of the target,
+// discards all samples. A report no newer than the last is ignored.
 func (b *Busy) Report(at, work float64) {
 	n := len(b.samples)
 	switch {
 	case n > 0 && at <= b.samples[n-1].at:
 		return
 	case n == 0 || work < b.samples[n-1].work:
-		b.samples = append(b.samples[:0], busySample{at: at, work: work})
+		b.samples = append(b.samples[:0], workSample{at: at, work: work})
 		return
-	case n > 1 && b.samples[n-1].at-b.samples[n-2].at < busyWindow/busySamples:
-		b.samples[n-1] = busySample{at: at, work: work}
+	case n > 1 && b.samples[n-1].at-b.samples[n-2].at < workWindow/maxWorkSamples:
+		b.samples[n-1] = workSample{at: at, work: work}
 	default:
-		b.samples = append(b.samples, busySample{at: at, work: work})
+		b.samples = append(b.samples, workSample{at: at, work: work})
 	}
-	for len(b.samples) > 2 && at-b.samples[1].at >= busyWindow {
+	for len(b.samples) > 2 && at-b.samples[1].at >= workWindow {
 		b.samples = append(b.samples[:0], b.samples[1:]...)
 	}
 }
 
-// Share returns the share; zero until two reports have come.
+// Share returns the work done per second, or zero before the second report.
 func (b *Busy) Share() float64 {
 	n := len(b.samples)
 	if n < 2 {
--- a/internal/route/health.go
+++ b/internal/route/health.go
@@ -2,16 +2,21 @@
 
 import "time"
 
-// Health decides when a target that fails is set aside and when it is tried
-// again: after a wait that doubles, with one request at a time.
+// Health is a circuit breaker for one target. A target that fails repeatedly is
+// set aside, that is, gets no requests for a time that doubles with each further
+// failure. After that it gets one probe request at a time until one succeeds.
+// Times are durations since an arbitrary start. It is not safe for concurrent
+// use.
 type Health struct {
-	failures int
-	until    time.Duration
-	trying   bool
+	// failures counts the failures since the last success.
+	failures      int
+	setAsideUntil time.Duration
+	// probing is true while a probe request is running.
+	probing bool
 }
 
 const (
-	// failuresToSetAside is how many failures in a row set a target aside.
+	// failuresToSetAside is how many consecutive failures set a target aside.
 	failuresToSetAside = 2
 	firstSetAside      = time.Second
 	maxSetAside        = 30 * time.Second
@@ -22,32 +27,32 @@
 	if h.failures < failuresToSetAside {
 		return true
 	}
-	return now >= h.until && !h.trying
+	return now >= h.setAsideUntil && !h.probing
 }
 
-// Sent notes that a request goes to the target.
+// Sent records that a request is being sent to the target.
 func (h *Health) Sent() {
 	if h.failures >= failuresToSetAside {
-		h.trying = true
+		h.probing = true
 	}
 }
 
-// OK notes a success; the target is whole again.
+// OK records a success, which makes the target fully available again.
 func (h *Health) OK() { *h = Health{} }
 
-// Failed notes a failure at time now and returns for how long the target is
-// set aside, or zero.
+// Failed records a failure at time now. It returns for how long the target is
+// set aside, or zero if it stays available.
 func (h *Health) Failed(now time.Duration) time.Duration {
 	h.failures++
-	h.trying = false
+	h.probing = false
 	if h.failures < failuresToSetAside {
 		return 0
 	}
 	wait := firstSetAside << min(h.failures-failuresToSetAside, 10)
 	wait = min(wait, maxSetAside)
-	h.until = now + wait
+	h.setAsideUntil = now + wait
 	return wait
 }
 
-// Unknown notes that a try told nothing of the target.
-func (h *Health) Unknown() { h.trying = false }
+// Unknown records that a request ended without showing whether the target works.
+func (h *Health) Unknown() { h.probing = false }
--- a/internal/route/heat.go
+++ b/internal/route/heat.go
@@ -2,30 +2,34 @@
 
 import "math"
 
-// Heat estimates how often each prefix arrives at this entry, in a table of
-// fixed size in which a hotter prefix keeps its slot. It is not safe for
-// concurrent use.
+// Heat estimates the arrival rate of each prefix at this entry, by counts that
+// decay exponentially. It is a hash table of fixed size; of the prefixes that
+// share a slot, the one in it stays while its decayed count is at least 1. It is
+// not safe for concurrent use.
 type Heat struct {
-	slots []heatSlot
+	slots []rateSlot
 	// window is the time constant of the counts, in seconds.
 	window float64
 }
 
-type heatSlot struct {
-	key   uint64
+// rateSlot is the decaying count of one prefix.
+type rateSlot struct {
+	// key is the hash of the prefix.
+	key uint64
+	// count is the decayed count of arrivals as of time at, in seconds.
 	count float64
 	at    float64
 	// since is when the prefix took the slot.
 	since float64
 }
 
-// NewHeat returns an empty estimate of size prefixes, a power of two, that
-// forgets with the time constant window, in seconds.
+// NewHeat returns an estimator with size slots, which must be a power of two,
+// whose counts decay with the time constant window, in seconds.
 func NewHeat(size int, window float64) *Heat {
-	return &Heat{slots: make([]heatSlot, size), window: window}
+	return &Heat{slots: make([]rateSlot, size), window: window}
 }
 
-// Add counts an arrival at time now.
+// Add counts an arrival of the prefix at time now, in seconds.
 func (h *Heat) Add(prefix uint64, now float64) {
 	s := &h.slots[mix(prefix)&uint64(len(h.slots)-1)]
 	count := s.count * math.Exp((s.at-now)/h.window)
@@ -33,21 +37,23 @@
 	case s.key == prefix:
 		s.count, s.at = count+1, now
 	case count < 1:
-		*s = heatSlot{key: prefix, count: 1, at: now, since: now}
+		*s = rateSlot{key: prefix, count: 1, at: now, since: now}
 	}
 }
 
-// shortest is the least time, in seconds, that a rate is taken over.
-const shortest = 0.5
+// minRateInterval is the shortest interval over which a rate is computed, in
+// seconds.
+const minRateInterval = 0.5
 
-// Rate returns the arrivals a second of the prefix. A single arrival says
-// nothing of a rate; a second one soon after says that the prefix is hot, so
-// that a sudden one is spread within moments.
+// Rate returns the arrivals of the prefix per second as of time now. A single
+// arrival gives no rate, so it counts as zero. A second one shortly after gives
+// a high rate at once, so that a prefix that suddenly becomes hot is spread over
+// more targets within moments.
 func (h *Heat) Rate(prefix uint64, now float64) float64 {
 	s := &h.slots[mix(prefix)&uint64(len(h.slots)-1)]
 	if s.key != prefix {
 		return 0
 	}
-	over := max(min(now-s.since, h.window), shortest)
+	over := max(min(now-s.since, h.window), minRateInterval)
 	return max(s.count*math.Exp((s.at-now)/h.window)-1, 0) / over
 }
--- a/internal/route/load.go
+++ b/internal/route/load.go
@@ -1,55 +1,59 @@
 package route
 
-// Load is what one entry knows of the prefill work queued at one target: the
-// last report, and its own sends since. It is not safe for concurrent use.
+// Load estimates the prefill work queued at one target, from the target's last
+// report and the work that this entry has sent since. Times are in seconds on
+// one clock. It is not safe for concurrent use.
 type Load struct {
-	// reportedAt and reportedUntil are the last report: when it was taken,
-	// and until when the target then had work.
+	// reportedAt is when the last report was made, and reportedUntil the time
+	// until which the target had queued work by that report.
 	reportedAt    float64
 	reportedUntil float64
-	// sends is the own work sent after the report, oldest first.
-	sends []send
-	until float64
+	// sent is the work that this entry has sent since the report, oldest
+	// first.
+	sent      []sentWork
+	busyUntil float64
 }
 
-type send struct {
+// sentWork is the prefill work of one request that this entry has sent.
+type sentWork struct {
 	at      float64
 	seconds float64
 }
 
-// maxSends bounds what is remembered of one's own sends between two reports.
-const maxSends = 256
+// maxSentWork bounds how many sent requests are remembered between two reports.
+const maxSentWork = 256
 
-// Report takes in a report made at time at, by which the target had work until
-// the time until. An older report than the last is ignored.
+// Report records a report made at time at, by which the target had queued work
+// until the time until. A report older than the last is ignored.
 func (l *Load) Report(at, until float64) {
 	if at < l.reportedAt {
 		return
 	}
 	l.reportedAt, l.reportedUntil = at, until
 	i := 0
-	for i < len(l.sends) && l.sends[i].at <= at {
+	for i < len(l.sent) && l.sent[i].at <= at {
 		i++
 	}
-	l.sends = append(l.sends[:0], l.sends[i:]...)
-	l.until = max(until, at)
-	for _, s := range l.sends {
-		l.until = max(l.until, s.at) + s.seconds
+	l.sent = append(l.sent[:0], l.sent[i:]...)
+	l.busyUntil = max(until, at)
+	for _, s := range l.sent {
+		l.busyUntil = max(l.busyUntil, s.at) + s.seconds
 	}
 }
 
-// Sent notes work of one's own, sent at time at.
+// Sent records a request with that many seconds of work, sent by this entry at
+// time at.
 func (l *Load) Sent(at, seconds float64) {
-	if len(l.sends) < maxSends {
-		l.sends = append(l.sends, send{at: at, seconds: seconds})
+	if len(l.sent) < maxSentWork {
+		l.sent = append(l.sent, sentWork{at: at, seconds: seconds})
 	}
-	l.until = max(l.until, at) + seconds
+	l.busyUntil = max(l.busyUntil, at) + seconds
 }
 
 // Reported returns the wait at the time of the last report, in seconds. While
-// arrivals keep the target busy it is a better estimate of the present wait
-// than Until, which knows nothing of what others have sent.
+// requests keep arriving it estimates the present wait better than Until, which
+// does not include what other entries have sent since that report.
 func (l *Load) Reported() float64 { return max(l.reportedUntil-l.reportedAt, 0) }
 
-// Until returns until when the target is thought to have work.
-func (l *Load) Until() float64 { return l.until }
+// Until returns the estimated time at which the target finishes its queued work.
+func (l *Load) Until() float64 { return l.busyUntil }
--- a/internal/route/replay_test.go
+++ b/internal/route/replay_test.go
@@ -9,50 +9,52 @@
 	"testing"
 )
 
-// The replay sends a recorded mix through several independent entries to fake
-// engines, in virtual time: each engine prefills one prompt after the other
-// and keeps the prefixes used last. The same seed gives the same figures.
-
-// scene is the set-up of one replay.
-type scene struct {
-	entries  int
-	engines  int
-	age      float64 // of load reports, in seconds
-	shared   bool    // one picture for all entries, always fresh
-	hot      int     // prefixes that share hotShare of the requests
-	requests int
-	seed     uint64
-}
-
-// pictures is how many independent pictures of the engines there are.
-func (s scene) pictures() int {
-	if s.shared {
+// The replay simulates several independent entries that send requests to fake
+// engines, in virtual time. Each engine prefills one prompt at a time and caches
+// the most recently used prefixes. The same seed gives the same results.
+
+// scenario is the configuration of one replay.
+type scenario struct {
+	entries     int
+	engines     int
+	reportAge   float64 // age of the load reports, in seconds
+	sharedView  bool    // all entries share one view that is always current
+	hotPrefixes int     // number of prefixes that get hotShare of the requests
+	requests    int
+	seed        uint64
+}
+
+// views returns how many independent views of the engines there are.
+func (s scenario) views() int {
+	if s.sharedView {
 		return 1
 	}
 	return s.entries
 }
 
 const (
-	promptSeconds = 0.100 // mean prefill of a prompt without its prefix cached
-	cachedShare   = 0.5   // of that work, saved by a cached prefix
-	hotShare      = 0.4
-	utilisation   = 0.5 // of the engines, if every prefix were met
-	perEngine     = 24  // prefixes in use for each engine
-	cacheSize     = 40  // prefixes that an engine's cache holds
+	promptSeconds     = 0.100 // mean prefill time of a prompt whose prefix is not cached
+	cachedShare       = 0.5   // part of that time that a cached prefix saves
+	hotShare          = 0.4
+	utilisation       = 0.5 // share of time the engines work if every prefix is cached
+	prefixesPerEngine = 24  // prefixes in use, for each engine
+	cacheSize         = 40  // prefixes that an engine's cache holds
 )
 
-// fakeEngine is one engine: a queue and a cache.
+// fakeEngine is one engine: a queue and an LRU cache of prefixes.
 type fakeEngine struct {
-	until   float64
-	work    float64
+	until   float64 // when the queued work is done
+	work    float64 // seconds of work accepted so far
 	history []report
 	cache   map[uint64]*list.Element
 	lru     *list.List
 }
 
+// report is the state of an engine at one time.
 type report struct{ at, until, work float64 }
 
-func (e *fakeEngine) meets(prefix uint64) bool {
+// lookup reports whether the prefix is cached, and makes it the most recent one.
+func (e *fakeEngine) lookup(prefix uint64) bool {
 	if el, ok := e.cache[prefix]; ok {
 		e.lru.MoveToFront(el)
 		return true
@@ -66,10 +68,10 @@
 	return false
 }
 
-// run serves a prompt at time now and returns its wait and whether its prefix
-// was cached.
+// run queues a prompt at time now whose uncached prefill takes seconds. It
+// returns its wait in seconds and whether its prefix was cached.
 func (e *fakeEngine) run(now, seconds float64, prefix uint64) (wait float64, hit bool) {
-	hit = e.meets(prefix)
+	hit = e.lookup(prefix)
 	if hit {
 		seconds *= 1 - cachedShare
 	}
@@ -80,20 +82,20 @@
 	return start - now, hit
 }
 
-// policy chooses an engine for a request at one entry.
+// policy returns the index of the engine for a request at one entry.
 type policy func(v *entryView, r Request, rnd *rand.Rand) int
 
-// entryView is one entry's picture of the engines.
+// entryView is the state of the engines as one entry knows it.
 type entryView struct {
 	targets []Target
 	loads   []Load
 	busy    []Busy
 	memory  *Memory
-	read    []int // how much of each engine's history has been reported
-	next    int   // for round robin
+	read    []int // how many reports of each engine's history have arrived
+	next    int   // the next engine of the round-robin policy
 }
 
-func newEntryView(s scene) *entryView {
+func newEntryView(s scenario) *entryView {
 	v := &entryView{targets: make([]Target, s.engines), loads: make([]Load, s.engines), busy: make([]Busy, s.engines), read: make([]int, s.engines), memory: &Memory{Seen: NewSeen(1<<14, 300), Heat: NewHeat(1<<12, 10)}}
 	for i := range v.targets {
 		v.targets[i] = Target{Hash: mix(uint64(i) + 1), Roles: Whole}
@@ -101,10 +103,10 @@
 	return v
 }
 
-// refresh takes in the reports that have arrived by now.
-func (v *entryView) refresh(engines []*fakeEngine, now float64, s scene) {
-	age := s.age
-	if s.shared {
+// refresh records the reports that have arrived by now.
+func (v *entryView) refresh(engines []*fakeEngine, now float64, s scenario) {
+	age := s.reportAge
+	if s.sharedView {
 		age = 0
 	}
 	for i, e := range engines {
@@ -122,9 +124,12 @@
 	}
 }
 
-type figures struct{ p50, p99, hits float64 }
+// replayResult holds percentiles of the waits in seconds and the cache hit rate.
+type replayResult struct{ p50, p99, hits float64 }
 
-func replay(s scene, choose policy) figures {
+// replay runs a scenario with a policy. The first half of the requests warms the
+// caches up and is not counted.
+func replay(s scenario, choose policy) replayResult {
 	rnd := rand.New(rand.NewPCG(s.seed, 7))
 	engines := make([]*fakeEngine, s.engines)
 	for i := range engines {
@@ -140,17 +145,17 @@
 	for n := range s.requests {
 		now += rnd.ExpFloat64() / rate
 		seconds := promptSeconds * math.Exp(0.6*rnd.NormFloat64()-0.18)
-		prefix := mix(1000 + rnd.Uint64N(uint64(perEngine*s.engines)))
-		if s.hot > 0 && rnd.Float64() < hotShare {
-			prefix = mix(10 + rnd.Uint64N(uint64(s.hot)))
+		prefix := mix(1000 + rnd.Uint64N(uint64(prefixesPerEngine*s.engines)))
+		if s.hotPrefixes > 0 && rnd.Float64() < hotShare {
+			prefix = mix(10 + rnd.Uint64N(uint64(s.hotPrefixes)))
 		}
 		v := views[0]
-		if !s.shared {
+		if !s.sharedView {
 			v = views[rnd.IntN(s.entries)]
 		}
 		v.refresh(engines, now, s)
 		v.memory.Heat.Add(prefix, now)
-		r := Request{Now: now, Role: Whole, Prefix: prefix, Entries: s.pictures(), Seconds: seconds, CachedSeconds: seconds * cachedShare, Random: rnd.Uint64()}
+		r := Request{Now: now, Role: Whole, Prefix: prefix, Entries: s.views(), Seconds: seconds, CachedSeconds: seconds * cachedShare, Random: rnd.Uint64()}
 		i := choose(v, r, rnd)
 		work := seconds
 		if v.memory.Seen.Has(prefix, v.targets[i].Hash, now) {
@@ -160,7 +165,7 @@
 		v.loads[i].Sent(now, work)
 		wait, hit := engines[i].run(now, seconds, prefix)
 		if n < s.requests/2 {
-			continue // warm-up
+			continue // warming up
 		}
 		waits = append(waits, wait)
 		if hit {
@@ -168,14 +173,14 @@
 		}
 	}
 	sort.Float64s(waits)
-	return figures{
+	return replayResult{
 		p50: waits[len(waits)/2], p99: waits[len(waits)*99/100], hits: float64(hits) / float64(len(waits)),
 	}
 }
 
-func ours(v *entryView, r Request, _ *rand.Rand) int { return Pick(v.targets, r, v.memory).Index }
+func pick(v *entryView, r Request, _ *rand.Rand) int { return Pick(v.targets, r, v.memory).Index }
 
-func randomly(v *entryView, _ Request, rnd *rand.Rand) int { return rnd.IntN(len(v.targets)) }
+func uniformRandom(v *entryView, _ Request, rnd *rand.Rand) int { return rnd.IntN(len(v.targets)) }
 
 func roundRobin(v *entryView, _ Request, _ *rand.Rand) int {
 	v.next++
@@ -201,7 +206,7 @@
 }
 
 func hashOnly(v *entryView, r Request, _ *rand.Rand) int {
-	var top [homes]int
+	var top [maxTopHomes]int
 	rendezvous(v.targets, r, false, top[:])
 	return top[0]
 }
@@ -210,37 +215,37 @@
 	name   string
 	choose policy
 }{
-	{"ours", ours}, {"random", randomly}, {"round_robin", roundRobin},
+	{"ours", pick}, {"random", uniformRandom}, {"round_robin", roundRobin},
 	{"least_reported", leastReported}, {"two_choices", twoChoices}, {"hash_only", hashOnly},
 }
 
-func sceneOf(entries, engines int) scene {
-	return scene{entries: entries, engines: engines, requests: 4000 * engines, seed: 1}
+func newScenario(entries, engines int) scenario {
+	return scenario{entries: entries, engines: engines, requests: 4000 * engines, seed: 1}
 }
 
-// BenchmarkFigures prints the figures of the replay for "make bench".
+// BenchmarkFigures prints the figures of the replays for "make bench".
 func BenchmarkFigures(b *testing.B) {
 	for b.Loop() {
 		for _, size := range [][2]int{{8, 12}, {68, 217}} {
 			for _, hot := range []int{0, 1, 5} {
-				printScene(size, hot)
+				printScenario(size, hot)
 			}
 		}
 	}
 }
 
-func printScene(size [2]int, hot int) {
-	s := sceneOf(size[0], size[1])
+func printScenario(size [2]int, hot int) {
+	s := newScenario(size[0], size[1])
 	if size[1] > 100 {
 		s.requests = 600 * size[1]
 	}
-	s.hot = hot
+	s.hotPrefixes = hot
 	fresh := s
-	fresh.shared = true
-	base := replay(fresh, ours)
+	fresh.sharedView = true
+	base := replay(fresh, pick)
 	fmt.Printf("figure route_%dx%d_hot%d_fresh_p99_wait %.4f s\n", size[0], size[1], hot, base.p99)
 	for _, age := range []float64{0, 0.5, 2, 5} {
-		s.age = age
+		s.reportAge = age
 		for _, p := range policies {
 			f := replay(s, p.choose)
 			fmt.Printf("figure route_%dx%d_hot%d_age%g_%s p99 %.4f s, p50 %.4f s, ratio %.3f, hits %.3f\n", size[0], size[1], hot, age, p.name, f.p99, f.p50, f.p99/base.p99, f.hits)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,5 +1,10 @@
-// Package route decides which target gets a request. It is pure: plain values
-// in, a decision and its reason out; no clock and no network.
+// Package route chooses the target for a request. Each prompt prefix has a home
+// target, or several when it is hot (requested often), where requests with that
+// prefix go so that they find it in the target's cache. The homes follow from
+// rendezvous hashing, so all entries choose the same ones without coordination.
+//
+// The package is pure: it uses no clock and no network, and a decision comes
+// with its reason.
 package route
 
 import "math"
@@ -11,56 +16,59 @@
 const (
 	Prefill Roles = 1 << iota
 	Decode
-	// Whole is a request that one target serves from prompt to last token.
+	// Whole is the role of serving a request from the prompt to the last token.
 	Whole
 )
 
-// Target is one candidate as the entry sees it now.
+// Target is one candidate with its state as this entry knows it.
 type Target struct {
 	// Hash identifies the target for rendezvous hashing.
 	Hash uint64
-	// Until is when the prefill work known to be queued will be done, on the
-	// clock of Request.Now, in seconds: what was last reported, plus what this
-	// entry has sent since.
+	// Until is when the target will have finished the queued prefill work, in
+	// seconds on the clock of Request.Now: the work last reported plus the work
+	// that this entry has sent since.
 	Until float64
-	// Busy is the share of the last while that the target spent on prefill. It
-	// moves slowly and so does not age as the wait does; see Busy.
+	// Busy is the share of recent time that the target spent on prefill. It
+	// changes slowly, so an outdated report makes it less wrong than Until.
 	Busy float64
-	// Running is the requests in the batch, reported and own since.
+	// Running is the number of requests in the batch: those last reported plus
+	// those that this entry has sent since.
 	Running float64
-	// Slots is the batch size; zero where there is none.
+	// Slots is the batch size, or zero for a target without one.
 	Slots float64
-	// Roles is what the target can be used for.
+	// Roles is the set of roles that the target can fill.
 	Roles Roles
-	// Remote targets are in another data centre and are used only when the
-	// own one has none.
+	// Remote is set for a target in another data centre. Remote targets are
+	// used only when no local one is eligible.
 	Remote bool
-	// Blocked targets get nothing: leaving, changing, or set aside.
+	// Blocked is set for a target that gets no requests because it is leaving,
+	// changing its role or model, or set aside after failures.
 	Blocked bool
 }
 
-// Request is what the decision needs to know of a request.
+// Request is what Pick needs to know about a request.
 type Request struct {
-	// Now is the present, in seconds from an arbitrary zero.
+	// Now is the present time, in seconds since an arbitrary start.
 	Now float64
-	// Role is the one role needed.
+	// Role is the single role that the request needs.
 	Role Roles
 	// Prefix is the hash of the prompt's prefix; zero for none.
 	Prefix uint64
-	// Seconds is the prefill work of the prompt, and CachedSeconds the part of
-	// it that a cached prefix saves.
+	// Seconds is the prefill time of the whole prompt, and CachedSeconds the
+	// part of it that a cached prefix saves.
 	Seconds       float64
 	CachedSeconds float64
 	// Entries is how many entries share the targets, this one included.
 	Entries int
-	// Random is a random number for this request.
+	// Random is a random number drawn for this request.
 	Random uint64
 }
 
 // Reason is why a target was chosen.
 type Reason string
 
-// The reasons.
+// The reasons for a choice: no eligible target, the first home of the prefix,
+// another home of a prefix that has one, and a home of a hot prefix.
 const (
 	ReasonNone      Reason = "no_usable_target"
 	ReasonPrefix    Reason = "prefix_home"
@@ -68,48 +76,50 @@
 	ReasonHot       Reason = "hot_prefix_home"
 )
 
-// Choice is the decision.
+// Choice is the decision for one request.
 type Choice struct {
-	// Index is the chosen target, or -1.
+	// Index is the index of the chosen target, or -1 if none is eligible.
 	Index int
-	// Wait is its estimated wait before prefill starts, in seconds.
+	// Wait is the estimated time until its prefill starts, in seconds.
 	Wait   float64
 	Reason Reason
 }
 
 const (
-	// homes is how many targets of a prefix are found exactly, in the order
-	// of its rendezvous hash.
-	homes = 4
-	// homeShare is the part of one target's time that a single prefix may
-	// take before it is given a further home.
-	homeShare = 0.1
-	// drawTries bounds the search for a random one of many homes.
-	drawTries = 16
-	// busyPrice is the price in seconds of a target that is always busy. It
-	// evens out what the hash deals unevenly.
-	busyPrice = 0.15
-	// batchPrice is the price in seconds of joining a full batch.
-	batchPrice = 0.25
-	// missPrice is the price of a second of prefill that a cached prefix
-	// would save: the request's own second, and what those behind it wait.
-	missPrice = 3
+	// maxTopHomes is how many homes of a prefix are ranked exactly by their
+	// rendezvous weights; a prefix with more homes gets a random one.
+	maxTopHomes = 4
+	// maxPrefixShare is the share of one target's time that a single prefix may
+	// take before it gets another home.
+	maxPrefixShare = 0.1
+	// maxDraws bounds the random draws for one of many homes.
+	maxDraws = 16
+	// busyCost is the cost in seconds of choosing a target that is always busy.
+	// It evens out the uneven distribution of prefixes by the hash.
+	busyCost = 0.15
+	// batchCost is the cost in seconds of joining a full batch.
+	batchCost = 0.25
+	// missCost is the cost of one second of prefill that a cached prefix would
+	// have saved: this request's second, and the waits of those queued behind.
+	missCost = 3
 )
 
-// Memory is what an entry remembers for its decisions on one service. It is
-// not safe for concurrent use.
+// Memory is what an entry remembers about prefixes for its choices in one
+// service. It is not safe for concurrent use.
 type Memory struct {
+	// Seen records which targets have which prefixes cached.
 	Seen *Seen
+	// Heat estimates how often each prefix arrives at this entry.
 	Heat *Heat
 }
 
-// Pick chooses among targets. A prefix has as many homes as its arrival rate
-// needs, the same ones for every entry; as the rate is that at this entry
-// times the number of entries, no report is needed to spread a hot prefix. Two
-// homes are weighed: the least price wins, which is the wait plus the extra
-// work where the prefix is not cached.
+// Pick chooses one of the targets. A prefix has as many homes as its arrival
+// rate needs, and every entry computes the same ones. The arrival rate is taken
+// as the rate at this entry times the number of entries, so spreading a hot
+// prefix needs no reports. Of two homes the one with the lower cost is chosen:
+// the wait, the load, and the extra work if the prefix is not cached there.
 func Pick(targets []Target, r Request, m *Memory) Choice {
-	var top [homes]int
+	var top [maxTopHomes]int
 	remote := false
 	n := rendezvous(targets, r, remote, top[:])
 	if n == 0 {
@@ -119,95 +129,102 @@
 	if n == 0 {
 		return Choice{Index: -1, Reason: ReasonNone}
 	}
-	wanted := homesFor(r, m.Heat)
+	homeCount := homesFor(r, m.Heat)
 	a, b := top[0], top[min(1, n-1)]
 	switch {
-	case wanted > n && n == homes:
-		share := float64(wanted) / float64(len(targets))
-		a = draw(targets, r, remote, share, r.Random, a)
-		b = draw(targets, r, remote, share, mix(r.Random), b)
-	case wanted > 1:
-		first := int(mix(r.Random) % uint64(min(wanted, n)))
-		a, b = top[first], top[(first+1)%min(wanted, n)]
+	case homeCount > n && n == maxTopHomes:
+		share := float64(homeCount) / float64(len(targets))
+		a = drawHome(targets, r, remote, share, r.Random, a)
+		b = drawHome(targets, r, remote, share, mix(r.Random), b)
+	case homeCount > 1:
+		first := int(mix(r.Random) % uint64(min(homeCount, n)))
+		a, b = top[first], top[(first+1)%min(homeCount, n)]
 	}
-	return cheaper(targets, r, m, a, b, wanted, top[0])
+	return pickCheaper(targets, r, m, a, b, homeCount, top[0])
 }
 
-// homesFor returns how many homes the prefix needs.
+// homesFor returns how many homes the prefix of r needs.
 func homesFor(r Request, heat *Heat) int {
 	if r.Prefix == 0 {
 		return 1
 	}
 	work := heat.Rate(r.Prefix, r.Now) * float64(r.Entries) * (r.Seconds - r.CachedSeconds)
-	return 1 + int(work/homeShare)
+	return 1 + int(work/maxPrefixShare)
 }
 
-// draw returns a random one of the homes of a prefix that has many: those
-// whose rendezvous weight lies in the upper share of all weights.
-func draw(targets []Target, r Request, remote bool, share float64, random uint64, otherwise int) int {
-	bar := uint64(0)
+// drawHome returns the index of a random home of a prefix that has more than
+// maxTopHomes. Its homes are the eligible targets whose rendezvous weight is in
+// the upper share of the range of weights. If maxDraws draws from random find
+// none, it returns fallback.
+func drawHome(targets []Target, r Request, remote bool, share float64, random uint64, fallback int) int {
+	minWeight := uint64(0)
 	if share < 1 {
-		bar = uint64((1 - share) * math.MaxUint64)
+		minWeight = uint64((1 - share) * math.MaxUint64)
 	}
-	for range drawTries {
+	for range maxDraws {
 		random = mix(random)
 		i := int(random % uint64(len(targets)))
 		t := &targets[i]
-		if t.fits(r.Role, remote) && mix(t.Hash^r.Prefix) >= bar {
+		if t.eligible(r.Role, remote) && mix(t.Hash^r.Prefix) >= minWeight {
 			return i
 		}
 	}
-	return otherwise
+	return fallback
 }
 
-func cheaper(targets []Target, r Request, m *Memory, a, b, wanted, first int) Choice {
-	priceA := targets[a].price(r, wanted > 1 || a == first, m.Seen)
-	priceB := targets[b].price(r, wanted > 1 || b == first, m.Seen)
+// pickCheaper chooses the cheaper of the targets a and b, which are homes of the
+// request's prefix if it has homeCount of them. first is the first home.
+func pickCheaper(targets []Target, r Request, m *Memory, a, b, homeCount, first int) Choice {
+	costA := targets[a].cost(r, homeCount > 1 || a == first, m.Seen)
+	costB := targets[b].cost(r, homeCount > 1 || b == first, m.Seen)
 	i := a
-	if priceB < priceA {
+	if costB < costA {
 		i = b
 	}
 	c := Choice{Index: i, Wait: targets[i].wait(r.Now), Reason: ReasonOtherHome}
 	switch {
 	case i == first:
 		c.Reason = ReasonPrefix
-	case wanted > 1:
+	case homeCount > 1:
 		c.Reason = ReasonHot
 	}
 	return c
 }
 
-func (t *Target) fits(role Roles, remote bool) bool {
+// eligible reports whether the target may get a request that needs role, among
+// the remote or the local targets.
+func (t *Target) eligible(role Roles, remote bool) bool {
 	return !t.Blocked && t.Remote == remote && t.Roles&role != 0
 }
 
-// wait is the estimated time until prefill starts, in seconds.
+// wait returns the estimated time until prefill starts, in seconds.
 func (t *Target) wait(now float64) float64 { return max(t.Until-now, 0) }
 
-// price is what it costs to send r to t, in seconds.
-func (t *Target) price(r Request, home bool, seen *Seen) float64 {
-	p := t.wait(r.Now) + busyPrice*t.Busy
+// cost returns the cost of sending r to t, in seconds. home tells that t is a
+// home of the prefix, which is then assumed to be cached.
+func (t *Target) cost(r Request, home bool, seen *Seen) float64 {
+	p := t.wait(r.Now) + busyCost*t.Busy
 	if t.Slots > 0 {
-		p += batchPrice * t.Running / t.Slots
+		p += batchCost * t.Running / t.Slots
 	}
 	if r.Prefix != 0 && !home && !seen.Has(r.Prefix, t.Hash, r.Now) {
-		p += missPrice * r.CachedSeconds
+		p += missCost * r.CachedSeconds
 	}
 	return p
 }
 
-// rendezvous fills top with the fitting targets of highest weight for the
-// prefix, best first, and returns how many there are. A request without a
-// prefix gets random ones.
+// rendezvous fills top with the indices of the eligible targets that have the
+// highest rendezvous weights for the prefix, highest first, and returns how many
+// it found. For a request without a prefix the order is random.
 func rendezvous(targets []Target, r Request, remote bool, top []int) int {
 	key := r.Prefix
 	if key == 0 {
 		key = r.Random
 	}
-	var weights [homes]uint64
+	var weights [maxTopHomes]uint64
 	n := 0
 	for i := range targets {
-		if !targets[i].fits(r.Role, remote) {
+		if !targets[i].eligible(r.Role, remote) {
 			continue
 		}
 		w := mix(targets[i].Hash ^ key)
@@ -227,7 +244,7 @@
 	return n
 }
 
-// mix is the finalizer of splitmix64.
+// mix hashes x with the splitmix64 generator's increment and finalizer.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -11,7 +11,7 @@
 
 func newMemory() *Memory { return &Memory{Seen: NewSeen(1<<14, 300), Heat: NewHeat(1<<12, 10)} }
 
-func someTargets(n int) []Target {
+func newTargets(n int) []Target {
 	out := make([]Target, n)
 	for i := range out {
 		out[i] = Target{Hash: mix(uint64(i) + 1), Roles: Whole, Slots: 32}
@@ -19,17 +19,17 @@
 	return out
 }
 
-func ask(prefix uint64) Request {
+func newRequest(prefix uint64) Request {
 	return Request{Now: 1, Role: Whole, Prefix: prefix, Entries: 8, Seconds: 0.1, CachedSeconds: 0.05, Random: 42}
 }
 
-// A blocked target, one of another role and, while there is a near one, a
-// remote one are never chosen; and one is chosen whenever one fits.
-func TestPickFits(t *testing.T) {
+// Pick never chooses a blocked target, one of another role, or a remote one
+// while a local one is eligible; and it chooses one whenever any is eligible.
+func TestPickChoosesEligible(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		targets := someTargets(rapid.IntRange(1, 30).Draw(rt, "n"))
+		targets := newTargets(rapid.IntRange(1, 30).Draw(rt, "n"))
 		m := newMemory()
-		near, far := 0, 0
+		local, remote := 0, 0
 		for i := range targets {
 			targets[i].Blocked = rapid.Bool().Draw(rt, "blocked")
 			targets[i].Remote = rapid.Bool().Draw(rt, "remote")
@@ -39,25 +39,25 @@
 				continue
 			}
 			if targets[i].Remote {
-				far++
+				remote++
 			} else {
-				near++
+				local++
 			}
 		}
-		r := ask(rapid.Uint64().Draw(rt, "prefix"))
+		r := newRequest(rapid.Uint64().Draw(rt, "prefix"))
 		r.Role, r.Random = Decode, rapid.Uint64().Draw(rt, "random")
 		for range rapid.IntRange(0, 50).Draw(rt, "arrivals") {
 			m.Heat.Add(r.Prefix, 1)
 		}
 		c := Pick(targets, r, m)
 		if c.Index < 0 {
-			if near+far > 0 {
-				rt.Fatal("nothing chosen although one fits")
+			if local+remote > 0 {
+				rt.Fatal("no target chosen although one is eligible")
 			}
 			return
 		}
 		got := targets[c.Index]
-		if got.Blocked || got.Roles&Decode == 0 || (got.Remote && near > 0) {
+		if got.Blocked || got.Roles&Decode == 0 || (got.Remote && local > 0) {
 			rt.Fatalf("chose %+v", got)
 		}
 	})
@@ -65,29 +65,29 @@
 
 func TestSamePrefixSameHome(t *testing.T) {
 	is := is.New(t)
-	targets := someTargets(12)
-	first := Pick(targets, ask(77), newMemory())
+	targets := newTargets(12)
+	first := Pick(targets, newRequest(77), newMemory())
 	is.Equal(first.Reason, ReasonPrefix)
-	other := ask(77)
+	other := newRequest(77)
 	other.Random = 4711
-	is.Equal(Pick(targets, other, newMemory()).Index, first.Index) // another entry agrees
+	is.Equal(Pick(targets, other, newMemory()).Index, first.Index) // another entry's choice
 	targets[first.Index].Blocked = true
-	second := Pick(targets, ask(77), newMemory())
+	second := Pick(targets, newRequest(77), newMemory())
 	is.True(second.Index != first.Index)
 	targets[first.Index].Blocked = false
-	targets[first.Index].Until = 1.1 // a short queue is worth the cache
-	is.Equal(Pick(targets, ask(77), newMemory()).Index, first.Index)
+	targets[first.Index].Until = 1.1 // a short queue costs less than a cache miss
+	is.Equal(Pick(targets, newRequest(77), newMemory()).Index, first.Index)
 	targets[first.Index].Until = 60
-	is.Equal(Pick(targets, ask(77), newMemory()).Index, second.Index) // a long one is not
+	is.Equal(Pick(targets, newRequest(77), newMemory()).Index, second.Index) // a long one costs more
 }
 
-// A hot prefix is spread without any report.
+// A hot prefix is spread over many targets without any report.
 func TestHotPrefixIsSpread(t *testing.T) {
 	is := is.New(t)
-	targets, m := someTargets(12), newMemory()
+	targets, m := newTargets(12), newMemory()
 	used := map[int]int{}
 	for i := range 200 {
-		r := ask(77)
+		r := newRequest(77)
 		r.Now, r.Random = float64(i)*0.05, mix(uint64(i))
 		m.Heat.Add(77, r.Now)
 		used[Pick(targets, r, m).Index]++
@@ -98,30 +98,31 @@
 	}
 }
 
-func TestLoadCorrectedByOwnWork(t *testing.T) {
+// A report replaces the sent work that it includes; later sent work is added.
+func TestLoadAddsWorkSentSinceReport(t *testing.T) {
 	is := is.New(t)
 	var l Load
 	l.Report(10, 12)
 	l.Sent(11, 0.5)
 	is.Equal(l.Until(), 12.5)
-	l.Report(10.5, 11.5) // the report is older than the send: both count
+	l.Report(10.5, 11.5) // made before the work was sent: both count
 	is.Equal(l.Until(), 12.0)
-	l.Report(11.2, 11.9) // now the report holds the send
+	l.Report(11.2, 11.9) // made after the work was sent: it includes it
 	is.Equal(l.Until(), 11.9)
-	l.Report(10.8, 99) // a late one that was overtaken
+	l.Report(10.8, 99) // arrives out of order and is ignored
 	is.Equal(l.Until(), 11.9)
 }
 
 func TestHealth(t *testing.T) {
 	is := is.New(t)
 	var h Health
-	is.Equal(h.Failed(0), time.Duration(0)) // one failure may be chance
+	is.Equal(h.Failed(0), time.Duration(0)) // one failure does not set it aside
 	is.True(h.Available(0))
 	is.Equal(h.Failed(0), time.Second)
 	is.True(!h.Available(999 * time.Millisecond))
 	is.True(h.Available(time.Second))
 	h.Sent()
-	is.True(!h.Available(time.Second)) // one at a time
+	is.True(!h.Available(time.Second)) // only one probe at a time
 	is.Equal(h.Failed(time.Second), 2*time.Second)
 	is.True(h.Available(3 * time.Second))
 	h.Sent()
@@ -129,23 +130,23 @@
 	is.True(h.Available(3 * time.Second))
 }
 
-// The replay gives the same figures for the same seed.
-func TestReplayRepeats(t *testing.T) {
+// The replay gives the same result for the same seed.
+func TestReplayIsDeterministic(t *testing.T) {
 	is := is.New(t)
-	s := sceneOf(8, 12)
-	s.age, s.requests = 2, 4000
-	is.Equal(replay(s, ours), replay(s, ours))
+	s := newScenario(8, 12)
+	s.reportAge, s.requests = 2, 4000
+	is.Equal(replay(s, pick), replay(s, pick))
 }
 
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{12, 217} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			targets, m := someTargets(n), newMemory()
+			targets, m := newTargets(n), newMemory()
 			b.ReportAllocs()
 			i := uint64(0)
 			for b.Loop() {
 				i++
-				r := ask(mix(i))
+				r := newRequest(mix(i))
 				r.Random = i
 				Pick(targets, r, m)
 			}
@@ -160,31 +161,31 @@
 	for i := range 200 { // half busy, then idle
 		at := float64(i)
 		b.Report(at, min(at, 100)/2)
-		is.True(len(b.samples) <= busySamples+2)
+		is.True(len(b.samples) <= maxWorkSamples+2)
 		if i == 90 {
 			is.True(b.Share() > 0.49 && b.Share() < 0.51)
 		}
 	}
 	is.True(b.Share() < 0.01) // the busy time has left the window
-	b.Report(150, 20)         // an older report, which was overtaken
+	b.Report(150, 20)         // out of order: ignored
 	is.True(len(b.samples) > 2)
-	b.Report(300, 0) // started anew
+	b.Report(300, 0) // the target restarted: the samples are discarded
 	is.Equal(b.Share(), 0.0)
-	b.Report(299, 7) // an older report
+	b.Report(299, 7) // out of order: ignored
 	is.Equal(b.Share(), 0.0)
 }
 
-// Of two homes that wait equally long the less busy one is taken once the
-// prefix is cached at both.
-func TestLessBusyHomeIsTaken(t *testing.T) {
+// Of two homes with equal waits the less busy one is chosen once the prefix is
+// cached at both.
+func TestLessBusyHomeIsChosen(t *testing.T) {
 	is := is.New(t)
-	targets, m := someTargets(12), newMemory()
-	first := Pick(targets, ask(77), m).Index
+	targets, m := newTargets(12), newMemory()
+	first := Pick(targets, newRequest(77), m).Index
 	targets[first].Blocked = true
-	second := Pick(targets, ask(77), m).Index
+	second := Pick(targets, newRequest(77), m).Index
 	targets[first].Blocked = false
 	m.Seen.Set(77, targets[second].Hash, 1)
-	is.Equal(Pick(targets, ask(77), m).Index, first)
+	is.Equal(Pick(targets, newRequest(77), m).Index, first)
 	targets[first].Busy = 0.9
-	is.Equal(Pick(targets, ask(77), m).Index, second)
+	is.Equal(Pick(targets, newRequest(77), m).Index, second)
 }
--- a/internal/route/seen.go
+++ b/internal/route/seen.go
@@ -1,46 +1,50 @@
 package route
 
-// Seen remembers which prefixes were lately met at which targets: from one's
-// own sends and from the targets' cache events, both of which can be out of
-// date. It is a table of fixed size in which a newer fact replaces an older
-// one. It is not safe for concurrent use.
+// Seen remembers which targets probably have which prefixes cached, from this
+// entry's own requests and from the targets' cache events; both can be out of
+// date. It is a hash table of fixed size in which a newer record replaces an
+// older one in the same slot. It is not safe for concurrent use.
 type Seen struct {
-	slots   []slot
-	horizon float64
+	slots []cacheSlot
+	// ttl is how long a record is valid, in seconds.
+	ttl float64
 }
 
-type slot struct {
+// cacheSlot records that a prefix was at a target at one time.
+type cacheSlot struct {
+	// key is the combined hash of prefix and target.
 	key uint64
 	at  float64
 }
 
-// NewSeen returns an empty memory of size facts, a power of two, each believed
-// for horizon seconds.
-func NewSeen(size int, horizon float64) *Seen {
-	return &Seen{slots: make([]slot, size), horizon: horizon}
+// NewSeen returns an empty table of size records, which must be a power of two,
+// each valid for ttl seconds.
+func NewSeen(size int, ttl float64) *Seen {
+	return &Seen{slots: make([]cacheSlot, size), ttl: ttl}
 }
 
-func (s *Seen) slot(prefix, target uint64) (*slot, uint64) {
+// slot returns the slot for a prefix at a target, and the key to find in it.
+func (s *Seen) slot(prefix, target uint64) (*cacheSlot, uint64) {
 	key := mix(prefix ^ mix(target))
 	return &s.slots[key&uint64(len(s.slots)-1)], key
 }
 
-// Set notes that the target has the prefix at time now.
+// Set records that the target has the prefix cached at time now, in seconds.
 func (s *Seen) Set(prefix, target uint64, now float64) {
 	sl, key := s.slot(prefix, target)
-	*sl = slot{key: key, at: now}
+	*sl = cacheSlot{key: key, at: now}
 }
 
-// Clear notes that the target has dropped the prefix.
+// Clear records that the target no longer has the prefix cached.
 func (s *Seen) Clear(prefix, target uint64) {
 	sl, key := s.slot(prefix, target)
 	if sl.key == key {
-		*sl = slot{}
+		*sl = cacheSlot{}
 	}
 }
 
-// Has reports whether the target is thought to have the prefix at time now.
+// Has reports whether the target probably has the prefix cached at time now.
 func (s *Seen) Has(prefix, target uint64, now float64) bool {
 	sl, key := s.slot(prefix, target)
-	return sl.key == key && now-sl.at <= s.horizon
+	return sl.key == key && now-sl.at <= s.ttl
 }
