--- a/internal/limit/accounts.go
+++ b/internal/limit/accounts.go
@@ -1,39 +1,44 @@
-// Package limit holds the decisions on what is let in: per-account rates,
-// shares of a service's limits, weighted sharing and admission by deadline. It
-// is pure: times come in as values; no clock and no network.
+// Package limit decides which requests are admitted: by rate limits for each
+// client account, shares of a service's limits, weighted sharing between
+// services, and admission by deadline. It is pure: times are passed in, and it
+// uses no clock and no network.
 package limit
 
 import "time"
 
-// Accounts is a token bucket for each client account in bounded memory. The
-// time is given with each call and must not go back. It is not safe for
-// concurrent use.
+// Accounts holds a token bucket for each client account, in bounded memory. The
+// time passed to its methods must not decrease. It is not safe for concurrent
+// use.
 type Accounts struct {
 	limit   int
-	buckets map[uint64]*bucket
-	// newest and oldest are the ends of the list by last use.
-	newest, oldest *bucket
+	buckets map[uint64]*tokenBucket
+	// newest and oldest are the most and the least recently used bucket of
+	// the linked list.
+	newest, oldest *tokenBucket
 }
 
-// bucket is one account's tokens; the list is by last use.
-type bucket struct {
-	account    uint64
-	tokens     float64
-	at         time.Duration
-	prev, next *bucket
+// tokenBucket is the bucket of one account, linked in order of last use.
+type tokenBucket struct {
+	account uint64
+	// tokens is the number of tokens as of time at.
+	tokens float64
+	at     time.Duration
+	// prev is more recently used than this bucket, next less recently.
+	prev, next *tokenBucket
 }
 
-// NewAccounts returns buckets for at most limit accounts; the account unused
-// for longest is forgotten first, which gives it a full bucket again.
+// NewAccounts returns buckets for at most limit accounts. Beyond that the least
+// recently used account is removed, so it starts with a full bucket next time.
 func NewAccounts(limit int) *Accounts {
-	return &Accounts{limit: limit, buckets: make(map[uint64]*bucket)}
+	return &Accounts{limit: limit, buckets: make(map[uint64]*tokenBucket)}
 }
 
-// Len returns how many accounts are held.
+// Len returns the number of accounts that have a bucket.
 func (a *Accounts) Len() int { return len(a.buckets) }
 
-// Take takes one token from the account's bucket, which fills at rate a second
-// up to burst. It returns how long to wait when there is none.
+// Take takes one token from the account's bucket, which fills at rate tokens per
+// second up to burst. If there is no token, ok is false and wait is the time
+// until there is one.
 func (a *Accounts) Take(account uint64, now time.Duration, rate, burst float64) (wait time.Duration, ok bool) {
 	b := a.bucket(account, now, burst)
 	b.tokens = min(burst, b.tokens+(now-b.at).Seconds()*rate)
@@ -45,11 +50,13 @@
 	return 0, true
 }
 
-func (a *Accounts) bucket(account uint64, now time.Duration, burst float64) *bucket {
+// bucket returns the account's bucket as the most recently used one. A missing
+// bucket is created full, in place of the least recently used one at the limit.
+func (a *Accounts) bucket(account uint64, now time.Duration, burst float64) *tokenBucket {
 	b, ok := a.buckets[account]
 	if ok {
 		a.unlink(b)
-		a.push(b)
+		a.pushFront(b)
 		return b
 	}
 	if len(a.buckets) >= a.limit {
@@ -57,13 +64,14 @@
 		a.unlink(old)
 		delete(a.buckets, old.account)
 	}
-	b = &bucket{account: account, tokens: burst, at: now}
+	b = &tokenBucket{account: account, tokens: burst, at: now}
 	a.buckets[account] = b
-	a.push(b)
+	a.pushFront(b)
 	return b
 }
 
-func (a *Accounts) push(b *bucket) {
+// pushFront links b as the most recently used bucket.
+func (a *Accounts) pushFront(b *tokenBucket) {
 	b.next = a.newest
 	b.prev = nil
 	if a.newest != nil {
@@ -75,7 +83,8 @@
 	}
 }
 
-func (a *Accounts) unlink(b *bucket) {
+// unlink removes b from the list.
+func (a *Accounts) unlink(b *tokenBucket) {
 	if b.prev != nil {
 		b.prev.next = b.next
 	} else {
--- a/internal/limit/book.go
+++ b/internal/limit/book.go
@@ -2,80 +2,84 @@
 
 import "time"
 
-// Book deals out a pool of limits in grants that expire. The sum of what any
-// set of entries may use at one time is never above the pool, whatever answers
-// are lost: a grant counts until it has certainly expired, even when a smaller
-// one has followed it. Times are the holder's clock. It is not safe for
-// concurrent use.
+// Book divides a pool of limits among entries in grants that expire. What all
+// entries together may use at any time never exceeds the pool, even if answers
+// are lost: a grant counts until it has certainly expired, also when a smaller
+// one has followed it. Times are on the clock of the lease holder that grants.
+// It is not safe for concurrent use.
 type Book struct {
-	// From is when the first grant may be given: a predecessor's grants have
-	// expired by then.
+	// from is the time of the first grant. The grants of the previous lease
+	// holder have expired by then.
 	from    time.Duration
-	entries map[string]*account
+	entries map[string]*entryDemand
 }
 
-// account is one entry's standing with the holder.
-type account struct {
-	want   Limits
-	asked  time.Duration
-	grants []granted
+// entryDemand is the last demand of one entry, and its grants that still count.
+type entryDemand struct {
+	want        Limits
+	requestedAt time.Duration
+	grants      []grant
 }
 
-type granted struct {
+// grant is a part of the pool given to one entry for a time.
+type grant struct {
 	Limits
-	// rateUntil and inFlightUntil are when the grant certainly has no more
-	// effect; requests that it let in may run on for a while.
+	// rateUntil and inFlightUntil are when the rate and the concurrent requests
+	// certainly no longer count. The latter is later, as a request that was
+	// admitted under the grant may outlive it.
 	rateUntil     time.Duration
 	inFlightUntil time.Duration
 }
 
-// NewBook returns an empty book that grants nothing before from.
+// NewBook returns a book without grants, which grants nothing before from.
 func NewBook(from time.Duration) *Book {
-	return &Book{from: from, entries: map[string]*account{}}
+	return &Book{from: from, entries: map[string]*entryDemand{}}
 }
 
-// Ask is one entry's request for a share.
+// Ask is an entry's request for a grant.
 type Ask struct {
+	// VM is the name of the entry's VM.
 	VM string
 	// Want is the demand beyond the entry's base part.
 	Want Limits
-	// TTL is how long the grant will be in force.
+	// TTL is how long the grant counts, margin included.
 	TTL time.Duration
-	// Linger is how long a request may run on after its grant expired.
+	// Linger is how long a request may keep running after its grant expired.
 	Linger time.Duration
 }
 
-// wantMemory is how many TTLs an entry's demand is remembered.
-const wantMemory = 3
+// demandTTLs is how long an entry's last demand counts, in TTLs.
+const demandTTLs = 3
 
-// Grant gives the entry a share of the pool: its part by demand, as far as the
-// others' unexpired grants leave room.
-func (b *Book) Grant(pool Limits, a Ask, now time.Duration) Limits {
-	b.expire(now, a.TTL)
-	acc, ok := b.entries[a.VM]
+// Grant grants the entry its proportional share of the pool, or less if the
+// unexpired grants of the other entries leave less. The grant is zero before the
+// book's first grant may be made.
+func (b *Book) Grant(pool Limits, ask Ask, now time.Duration) Limits {
+	b.expire(now, ask.TTL)
+	entry, ok := b.entries[ask.VM]
 	if !ok {
-		acc = &account{}
-		b.entries[a.VM] = acc
+		entry = &entryDemand{}
+		b.entries[ask.VM] = entry
 	}
-	acc.want, acc.asked = a.Want, now
+	entry.want, entry.requestedAt = ask.Want, now
 	if now < b.from {
 		return Limits{}
 	}
-	given := b.fairPart(pool, a.Want)
-	rate, inFlight := b.heldByOthers(a.VM)
-	given.RatePerS = min(given.RatePerS, max(pool.RatePerS-rate, 0))
-	given.InFlight = min(given.InFlight, max(pool.InFlight-inFlight, 0))
-	acc.grants = append(acc.grants, granted{
-		Limits: given, rateUntil: now + a.TTL, inFlightUntil: now + a.TTL + a.Linger,
+	granted := b.proportionalShare(pool, ask.Want)
+	rate, inFlight := b.maxUseByOthers(ask.VM)
+	granted.RatePerS = min(granted.RatePerS, max(pool.RatePerS-rate, 0))
+	granted.InFlight = min(granted.InFlight, max(pool.InFlight-inFlight, 0))
+	entry.grants = append(entry.grants, grant{
+		Limits: granted, rateUntil: now + ask.TTL, inFlightUntil: now + ask.TTL + ask.Linger,
 	})
-	return given
+	return granted
 }
 
-// expire forgets grants and demands that are over.
+// expire removes the grants and demands that no longer count.
 func (b *Book) expire(now, ttl time.Duration) {
-	for vm, acc := range b.entries {
-		kept := acc.grants[:0]
-		for _, g := range acc.grants {
+	for vm, entry := range b.entries {
+		kept := entry.grants[:0]
+		for _, g := range entry.grants {
 			if now < g.rateUntil {
 				kept = append(kept, g)
 				continue
@@ -85,47 +89,48 @@
 				kept = append(kept, g)
 			}
 		}
-		acc.grants = kept
-		if len(kept) == 0 && now-acc.asked > wantMemory*ttl {
+		entry.grants = kept
+		if len(kept) == 0 && now-entry.requestedAt > demandTTLs*ttl {
 			delete(b.entries, vm)
 		}
 	}
 }
 
-// fairPart is the part of the pool that falls to a demand, by proportion to
-// all demands when they exceed the pool.
-func (b *Book) fairPart(pool, want Limits) Limits {
+// proportionalShare returns the demand, scaled down to a proportional part of the
+// pool where all demands together exceed the pool.
+func (b *Book) proportionalShare(pool, want Limits) Limits {
 	var total Limits
-	for _, acc := range b.entries {
-		total.RatePerS += acc.want.RatePerS
-		total.InFlight += acc.want.InFlight
+	for _, entry := range b.entries {
+		total.RatePerS += entry.want.RatePerS
+		total.InFlight += entry.want.InFlight
 	}
-	part := want
+	share := want
 	if total.RatePerS > pool.RatePerS {
-		part.RatePerS = pool.RatePerS * want.RatePerS / total.RatePerS
+		share.RatePerS = pool.RatePerS * want.RatePerS / total.RatePerS
 	}
 	if total.InFlight > pool.InFlight {
-		part.InFlight = pool.InFlight * want.InFlight / total.InFlight
+		share.InFlight = pool.InFlight * want.InFlight / total.InFlight
 	}
-	return part
+	return share
 }
 
-// heldByOthers is the most that the other entries may be using now.
-func (b *Book) heldByOthers(vm string) (rate float64, inFlight int) {
-	for other, acc := range b.entries {
-		if other == vm {
+// maxUseByOthers returns the most that all entries but vm may be using now.
+func (b *Book) maxUseByOthers(vm string) (rate float64, inFlight int) {
+	for name, entry := range b.entries {
+		if name == vm {
 			continue
 		}
-		r, f := acc.held()
+		r, f := entry.maxUse()
 		rate += r
 		inFlight += f
 	}
 	return rate, inFlight
 }
 
-// held is the largest unexpired grant.
-func (a *account) held() (rate float64, inFlight int) {
-	for _, g := range a.grants {
+// maxUse returns the most that the entry may be using now: the largest of its
+// unexpired grants, taken for rate and concurrent requests apart.
+func (e *entryDemand) maxUse() (rate float64, inFlight int) {
+	for _, g := range e.grants {
 		rate = max(rate, g.RatePerS)
 		inFlight = max(inFlight, g.InFlight)
 	}
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -15,10 +15,11 @@
 	v := Admit(Estimate{Wait: 5 * time.Second, Work: time.Second, Deadline: 4 * time.Second})
 	is.True(!v.Admit)
 	is.Equal(v.RetryAfter, 2600*time.Millisecond)                                                   // when the queue is short enough
-	is.True(Admit(Estimate{Wait: time.Minute, Work: 9 * time.Second, Deadline: time.Second}).Admit) // hopeless anyhow
+	is.True(Admit(Estimate{Wait: time.Minute, Work: 9 * time.Second, Deadline: time.Second}).Admit) // late even on an idle target
 }
 
-// Accounts stay bounded, and no account gets more than its rate and burst.
+// The number of buckets stays bounded, and no account gets more than its rate
+// and burst.
 func TestAccounts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		a := NewAccounts(8)
@@ -26,30 +27,30 @@
 		taken := 0
 		for range rapid.IntRange(1, 200).Draw(rt, "requests") {
 			now += time.Duration(rapid.IntRange(0, 500).Draw(rt, "ms")) * time.Millisecond
-			// Seven accounts fit, so that none is forgotten.
-			who := uint64(rapid.IntRange(0, 6).Draw(rt, "who"))
-			if _, ok := a.Take(who, now, 2, 4); ok && who == 0 {
+			// Seven accounts fit, so none is removed.
+			account := uint64(rapid.IntRange(0, 6).Draw(rt, "account"))
+			if _, ok := a.Take(account, now, 2, 4); ok && account == 0 {
 				taken++
 			}
 			if a.Len() > 8 {
-				rt.Fatalf("%d accounts held", a.Len())
+				rt.Fatalf("%d accounts have a bucket, want at most 8", a.Len())
 			}
 		}
 		if most := 4 + 2*now.Seconds() + 1; float64(taken) > most {
-			rt.Fatalf("one account got %d in %s", taken, now)
+			rt.Fatalf("one account took %d tokens in %s", taken, now)
 		}
 	})
 }
 
-func TestAccountsForgetTheOldest(t *testing.T) {
+func TestAccountsRemoveLeastRecentlyUsed(t *testing.T) {
 	is := is.New(t)
 	a := NewAccounts(2)
-	for _, who := range []uint64{1, 2, 1, 3} {
-		a.Take(who, 0, 0.001, 1)
+	for _, account := range []uint64{1, 2, 1, 3} {
+		a.Take(account, 0, 0.001, 1)
 	}
 	is.Equal(a.Len(), 2)
 	_, ok := a.Take(1, 0, 0.001, 1)
-	is.True(!ok) // still remembered, as it was used after 2
+	is.True(!ok) // not removed, as it was used after account 2
 }
 
 func TestRate(t *testing.T) {
@@ -66,15 +67,16 @@
 	is.Equal(wait, 250*time.Millisecond)
 }
 
-// holding is a grant as an entry holds it.
-type holding struct {
+// heldGrant is a grant as its entry sees it: the entry's own clock for it starts
+// earlier than the holder's.
+type heldGrant struct {
 	Limits
 	until time.Duration
 }
 
-// Whatever answers are lost, holders change and entries are cut off, what all
-// entries may use together never exceeds the limit: base parts and grants in
-// force. An entry's clock for a grant starts before the holder's.
+// Base parts and unexpired grants of all entries together never exceed the
+// limit, even if answers are lost, the lease holder changes and entries are cut
+// off.
 func TestSharesNeverExceedTheLimit(t *testing.T) {
 	const ttl = 3 * time.Second
 	const margin = ttl / 10
@@ -83,12 +85,12 @@
 		n := rapid.IntRange(1, 6).Draw(rt, "entries")
 		pool := Pool(total, 1)
 		book := NewBook(0)
-		held := make([]holding, n)
+		held := make([]heldGrant, n)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 100).Draw(rt, "events") {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(rt, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 9).Draw(rt, "event") {
-			case 0: // the holder dies; a successor waits for its grants to expire
+			case 0: // the holder crashes; its successor waits until its grants expired
 				book = NewBook(now + ttl + margin)
 			default:
 				i := rapid.IntRange(0, n-1).Draw(rt, "entry")
@@ -97,7 +99,7 @@
 					Want: Limits{RatePerS: rapid.Float64Range(0, 80).Draw(rt, "rate"), InFlight: rapid.IntRange(0, 40).Draw(rt, "inflight")},
 				}, now)
 				if rapid.Bool().Draw(rt, "arrives") {
-					held[i] = holding{Limits: given, until: now + ttl}
+					held[i] = heldGrant{Limits: given, until: now + ttl}
 				}
 			}
 			base := BasePart(total, 1, n)
@@ -109,13 +111,13 @@
 				}
 			}
 			if rate > total.RatePerS+1e-6 || inFlight > total.InFlight {
-				rt.Fatalf("%g a second and %d in flight are in use", rate, inFlight)
+				rt.Fatalf("entries may use %g per second and %d in flight together", rate, inFlight)
 			}
 		}
 	})
 }
 
-// An unused share moves to where the demand is within a grant's life.
+// An unused share moves to an entry with demand within the TTL of a grant.
 func TestUnusedShareMoves(t *testing.T) {
 	is := is.New(t)
 	b := NewBook(0)
@@ -126,7 +128,7 @@
 	is.Equal(ask("a", 60, 0), 60.0)
 	is.Equal(ask("b", 60, time.Second), 0.0) // a may still use all of it
 	is.Equal(ask("a", 30, 2*time.Second), 20.0)
-	is.Equal(ask("b", 60, 3*time.Second), 40.0) // a's first grant is over
+	is.Equal(ask("b", 60, 3*time.Second), 40.0) // a's first grant has expired
 }
 
 func BenchmarkAccounts(b *testing.B) {
@@ -146,11 +148,11 @@
 		weight     float64
 		want       bool
 	}{
-		{"plenty of room", 70, 70, 1, true},
-		{"crowded, over its part", 30, 90, 1, false},
-		{"crowded, within its part", 10, 90, 1, true},
-		{"crowded, a heavier service", 30, 90, 3, true},
-		{"full", 0, 100, 3, false},
+		{"below the threshold", 70, 70, 1, true},
+		{"above the threshold, over its part", 30, 90, 1, false},
+		{"above the threshold, within its part", 10, 90, 1, true},
+		{"above the threshold, a larger weight", 30, 90, 3, true},
+		{"entry full", 0, 100, 3, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/limit/replay_test.go
+++ b/internal/limit/replay_test.go
@@ -11,68 +11,73 @@
 	"garnethoist.org/garnethoist/internal/route"
 )
 
-// The replay sends requests at a multiple of what the engines carry through
-// independent entries that see late reports, in virtual time.
+// The replay simulates independent entries with outdated reports that send
+// requests to engines, at a multiple of the engines' capacity, in virtual time.
 
 const (
 	replayEngines  = 12
 	replayEntries  = 8
-	replayWork     = 0.1 // seconds of prefill, mean
-	replayDeadline = 2.0
+	meanWork       = 0.1 // mean prefill time of a request, in seconds
+	replayDeadline = 2.0 // time within which a request must finish, in seconds
 	replayRequests = 60000
 )
 
+// replayEngine is an engine that works off its requests one after the other.
 type replayEngine struct {
-	until   float64
+	until   float64 // when the queued work is done
 	history []replayReport
 }
 
+// replayEntry is one entry with its view of the engines.
 type replayEntry struct {
 	loads []route.Load
-	read  []int
-	pace  Pace
-	next  int
+	read  []int // how many reports of each engine's history have arrived
+	pacer Pace
+	next  int // the engine of the last request
 }
 
-// admission says whether an entry lets a request in that would wait for wait
-// seconds at its target; paced is the word of the entry's own pace.
-type admission func(wait, work float64, paced bool) bool
+// admissionPolicy reports whether an entry admits a request that would wait for
+// wait seconds at its target and then take work seconds; paced tells whether the
+// entry's Pace admits it.
+type admissionPolicy func(wait, work float64, paced bool) bool
 
 func admitAll(float64, float64, bool) bool { return true }
 
 func admitReported(wait, work float64, _ bool) bool {
-	return Admit(Estimate{Wait: secs(wait), Work: secs(work), Deadline: secs(replayDeadline)}).Admit
+	return Admit(Estimate{Wait: toDuration(wait), Work: toDuration(work), Deadline: toDuration(replayDeadline)}).Admit
 }
 
 func admitPaced(wait, work float64, paced bool) bool {
 	return paced && admitReported(wait, work, paced)
 }
 
-func secs(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// goodput returns the work finished in time, as a share of the engines' time.
-func goodput(load, age float64, admit admission) float64 {
+// goodput returns the work finished before its deadline as a share of the
+// engines' time, for requests at load times the engines' capacity and reports
+// that are age seconds old.
+func goodput(load, age float64, admit admissionPolicy) float64 {
 	rnd := rand.New(rand.NewPCG(5, 6))
 	engines := make([]replayEngine, replayEngines)
 	entries := make([]replayEntry, replayEntries)
 	for i := range entries {
 		entries[i] = replayEntry{loads: make([]route.Load, replayEngines), read: make([]int, replayEngines)}
 	}
-	rate := load * replayEngines / replayWork
+	rate := load * replayEngines / meanWork
 	now, good := 0.0, 0.0
 	for range replayRequests {
 		now += rnd.ExpFloat64() / rate
 		e := &entries[rnd.IntN(replayEntries)]
-		work := replayWork * (0.5 + rnd.Float64())
+		work := meanWork * (0.5 + rnd.Float64())
 		e.refresh(engines, now, age)
 		i := e.nextEngine()
 		wait := max(e.loads[i].Until()-now, 0)
-		_, paced := e.pace.Admit(now, replayEngines, replayEntries, e.meanWait(), replayDeadline-work)
+		_, paced := e.pacer.Admit(now, replayEngines, replayEntries, e.meanWait(), replayDeadline-work)
 		if !admit(wait, work, paced) {
 			continue
 		}
 		e.loads[i].Sent(now, work)
-		e.pace.Sent(work)
+		e.pacer.Sent(work)
 		engine := &engines[i]
 		engine.until = max(engine.until, now) + work
 		engine.history = append(engine.history, replayReport{at: now, until: engine.until})
@@ -83,6 +88,7 @@
 	return good / (now * replayEngines)
 }
 
+// refresh records the reports that have arrived by now.
 func (e *replayEntry) refresh(engines []replayEngine, now, age float64) {
 	for i := range engines {
 		h := engines[i].history
@@ -95,7 +101,8 @@
 	}
 }
 
-// meanWait is what the entry takes for the mean wait of the engines.
+// meanWait returns the engines' mean wait by the entry's last reports, in
+// seconds.
 func (e *replayEntry) meanWait() float64 {
 	sum := 0.0
 	for i := range e.loads {
@@ -104,8 +111,8 @@
 	return sum / float64(len(e.loads))
 }
 
-// nextEngine shares the work out evenly, so that what is measured is the
-// admission and not the routing.
+// nextEngine returns the index of the engine for the next request. It goes round
+// the engines, so that the replay measures the admission and not the routing.
 func (e *replayEntry) nextEngine() int {
 	e.next++
 	return e.next % replayEngines
@@ -117,7 +124,7 @@
 			capacity := goodput(1, age, admitPaced)
 			for _, a := range []struct {
 				name  string
-				admit admission
+				admit admissionPolicy
 			}{{"all", admitAll}, {"reported", admitReported}, {"paced", admitPaced}} {
 				fmt.Printf("figure admission_%s_age%g_goodput at_1x %.3f at_2x %.3f at_4x %.3f\n", a.name, age, goodput(1, age, a.admit), goodput(2, age, a.admit), goodput(4, age, a.admit))
 			}
@@ -126,13 +133,14 @@
 	}
 }
 
-// At twice the load, with reports 2 s old, hardly any goodput is lost.
+// At twice the engines' capacity, with reports that are 2 s old, at least 95% of
+// the goodput at capacity remains.
 func TestGoodputAtTwiceTheLoad(t *testing.T) {
 	is := is.New(t)
 	is.True(goodput(2, 2, admitPaced) >= 0.95*goodput(1, 2, admitPaced))
-	is.True(goodput(2, 2, admitReported) < 0.5) // what late reports alone are worth
-	is.True(goodput(2, 2, admitAll) < 0.5)      // what happens without admission
+	is.True(goodput(2, 2, admitReported) < 0.5) // admission by the late reports alone
+	is.True(goodput(2, 2, admitAll) < 0.5)      // no admission control
 }
 
-// replayReport is until when an engine had work at one moment.
+// replayReport is an engine's report at one time of when its queued work is done.
 type replayReport struct{ at, until float64 }
--- a/internal/limit/weight.go
+++ b/internal/limit/weight.go
@@ -1,18 +1,19 @@
 package limit
 
-// crowded is the part of an entry's places from which on services are held to
-// their weights.
-const crowded = 0.8
+// fairShareThreshold is the share of an entry's request limit in use from which
+// on services are held to their weights.
+const fairShareThreshold = 0.8
 
-// Fits reports whether a service with own requests in hand may take one more
-// of an entry's places, of which total of limit are taken. While the entry is
-// not crowded anyone may; then a service may only up to its weighted part, so
-// that one that floods the entry does not shut the others out.
+// Fits reports whether an entry that serves total requests, of at most limit,
+// may admit one more request of a service, of which it serves own. Below
+// fairShareThreshold any service may use the rest. Above it a service is held to
+// its weighted part of the limit, so that a service that floods the entry does
+// not shut out the others.
 func Fits(own, total, limit int, weight, totalWeight float64) bool {
 	if total >= limit {
 		return false
 	}
-	if float64(total) < crowded*float64(limit) || totalWeight <= 0 {
+	if float64(total) < fairShareThreshold*float64(limit) || totalWeight <= 0 {
 		return true
 	}
 	return float64(own) < float64(limit)*weight/totalWeight
