--- a/internal/order/journal.go
+++ b/internal/order/journal.go
@@ -1,7 +1,8 @@
-// Package order gives engines orders under a lease. Each order is journalled
-// on the platform, in a transaction that holds only within the sender's
-// tenure, before it is sent; a successor completes what the journal shows
-// before anything else.
+// Package order issues orders to engines under a lease. An order tells an engine
+// which role, model and version to take. Each order is written to a journal on
+// the platform before it is sent, in a transaction that succeeds only within the
+// sender's tenure of the lease. The next holder completes the orders in the
+// journal before it issues new ones.
 package order
 
 import (
@@ -15,17 +16,19 @@
 	"garnethoist.org/garnethoist/internal/target"
 )
 
-// Entry is the journal's row of one engine: the order last given to it.
+// Entry is the journal's row of one engine: the last order issued to it.
 type Entry struct {
 	Engine string       `json:"engine"`
 	Order  target.Order `json:"order"`
-	// Done is set once the engine has shown the order in force.
+	// Done is set once the engine's status has shown that the order is in force.
 	Done bool `json:"done"`
-	// Version is the row's version on the platform; not stored in it.
+	// Version is the version of the row on the platform. It is not part of the
+	// stored value.
 	Version uint64 `json:"-"`
 }
 
-// Journal is the order journal of one service in one data centre.
+// Journal is the order journal of one service in one data centre, kept in a table
+// of the platform.
 type Journal struct {
 	table      store.Table
 	dataCentre string
@@ -37,19 +40,20 @@
 	return &Journal{table: table, dataCentre: dataCentre, service: service}
 }
 
-// prefixOrder starts the keys of journal rows. They are keyed by engine alone,
+// keyPrefix starts the keys of journal rows. The keys do not contain the service,
 // so that an engine that moves between services keeps one row.
-const prefixOrder = "order/"
+const keyPrefix = "order/"
 
+// key returns the key of the engine's row.
 func (j *Journal) key(engine string) string {
-	return prefixOrder + j.dataCentre + "/" + engine
+	return keyPrefix + j.dataCentre + "/" + engine
 }
 
-// Load returns the rows of every engine of the data centre.
+// Load returns the rows of all engines of the data centre, by engine.
 func (j *Journal) Load(ctx context.Context) (map[string]Entry, error) {
-	recs, err := j.table.List(ctx, prefixOrder+j.dataCentre+"/")
+	recs, err := j.table.List(ctx, keyPrefix+j.dataCentre+"/")
 	if err != nil {
-		return nil, errors.Wrap(err, "read order journal")
+		return nil, errors.Wrap(err, "read the order journal")
 	}
 	out := make(map[string]Entry, len(recs))
 	for _, rec := range recs {
@@ -63,9 +67,11 @@
 	return out, nil
 }
 
-// Write stores e on top of the row version that e holds, within the tenure t.
-// store.ErrConflict means that the tenure is over or that another wrote
-// the row. An unknown outcome is resolved by reading back.
+// Write replaces version e.Version of the engine's row by e, if the tenure t
+// still lasts, and returns e with its new version. The error is
+// store.ErrConflict if the tenure is over or someone else wrote the row. If the
+// outcome of the write is unknown, Write reads the row back; the error is
+// store.ErrUnknown if that does not show it.
 func (j *Journal) Write(ctx context.Context, t lease.Tenure, e Entry) (Entry, error) {
 	value, err := json.Marshal(e)
 	if err != nil {
@@ -83,22 +89,22 @@
 		return j.readBack(ctx, e, value)
 	}
 	if err != nil {
-		return e, errors.Wrapf(err, "journal order to %s", e.Engine)
+		return e, errors.Wrapf(err, "write order to %s to the journal", e.Engine)
 	}
 	e.Version = version
 	return e, nil
 }
 
-// readBack tells whether the row is the one just written. If it is not there
-// yet the outcome stays unknown: the write may still land, but only on the
-// version that it was made for, so the caller may try the same again.
+// readBack checks whether the row holds the value just written. If it does not,
+// the outcome stays unknown: the write may still take effect, but only on the row
+// version that it was made for, so the caller may safely repeat the same write.
 func (j *Journal) readBack(ctx context.Context, e Entry, value []byte) (Entry, error) {
 	rec, err := j.table.Get(ctx, j.key(e.Engine))
 	if err != nil {
 		return e, errors.Wrapf(store.ErrUnknown, "read back order to %s: %v", e.Engine, err)
 	}
 	if string(rec.Value) != string(value) {
-		return e, errors.Wrapf(store.ErrUnknown, "order to %s not in the journal", e.Engine)
+		return e, errors.Wrapf(store.ErrUnknown, "order to %s is not in the journal", e.Engine)
 	}
 	e.Version = rec.Version
 	return e, nil
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -20,111 +20,116 @@
 	readTimeout = 5 * time.Second
 )
 
-// fakeEngine is an engine at the interface. It takes orders and records those
-// that had an effect.
+// fakeEngine implements Engines for a single engine. It records the orders that
+// took effect.
 type fakeEngine struct {
-	checks bool
-	fence  uint64
-	last   string
-	taken  []target.Order
-	// lost makes the next order take effect without an answer; dropped makes
-	// it vanish.
-	lost, dropped bool
-	// held keeps the next order on its way, as from a frozen sender.
-	hold bool
-	held func() error
-	// crash forgets the state of an order in progress.
+	// checksFence makes the engine refuse orders with an old fencing number.
+	checksFence  bool
+	highestFence uint64
+	lastOrder    string
+	applied      []target.Order
+	// loseAnswer makes the next order take effect without an answer; loseOrder
+	// makes it have no effect.
+	loseAnswer, loseOrder bool
+	// delayOrder delays the next order, as if its sender froze; deliverDelayed
+	// then delivers it.
+	delayOrder     bool
+	deliverDelayed func() error
+	// changing is the status of an order that is not completed.
 	changing bool
 }
 
 func (e *fakeEngine) Status(context.Context, string) (target.Status, error) {
-	return target.Status{LastOrder: e.last, Fence: e.fence, Changing: e.changing}, nil
+	return target.Status{LastOrder: e.lastOrder, Fence: e.highestFence, Changing: e.changing}, nil
 }
 
-func (e *fakeEngine) Order(_ context.Context, _ string, o target.Order, still func() bool) error {
-	if !still() {
+func (e *fakeEngine) Order(_ context.Context, _ string, o target.Order, stillHeld func() bool) error {
+	if !stillHeld() {
 		return target.ErrFenced
 	}
-	if e.hold {
-		e.hold = false
-		e.held = func() error { return e.take(o) }
+	if e.delayOrder {
+		e.delayOrder = false
+		e.deliverDelayed = func() error { return e.apply(o) }
 		return target.ErrUnreachable
 	}
-	if e.dropped {
-		e.dropped = false
+	if e.loseOrder {
+		e.loseOrder = false
 		return target.ErrUnreachable
 	}
-	err := e.take(o)
-	if e.lost {
-		e.lost = false
+	err := e.apply(o)
+	if e.loseAnswer {
+		e.loseAnswer = false
 		return target.ErrUnreachable
 	}
 	return err
 }
 
-func (e *fakeEngine) take(o target.Order) error {
-	if e.checks && o.Fence < e.fence {
+// apply applies an order, unless it is an old or a repeated one.
+func (e *fakeEngine) apply(o target.Order) error {
+	if e.checksFence && o.Fence < e.highestFence {
 		return target.ErrFenced
 	}
-	e.fence = max(e.fence, o.Fence)
-	if o.ID == e.last {
+	e.highestFence = max(e.highestFence, o.Fence)
+	if o.ID == e.lastOrder {
 		return nil
 	}
-	e.last = o.ID
-	e.taken = append(e.taken, o)
+	e.lastOrder = o.ID
+	e.applied = append(e.applied, o)
 	return nil
 }
 
-// node is one steward: a candidate and its sender.
-type node struct {
+// steward is a candidate for the lease with its sender.
+type steward struct {
 	lease  *lease.Lease
 	sender *Sender
 }
 
-type world struct {
+// testEnv is the platform, the clock and the engine that the stewards share.
+type testEnv struct {
 	platform *store.Memory
 	now      time.Duration
 	engine   *fakeEngine
 }
 
-func newWorld(checks bool) *world {
-	return &world{platform: store.NewMemory(), engine: &fakeEngine{checks: checks}}
+func newTestEnv(checks bool) *testEnv {
+	return &testEnv{platform: store.NewMemory(), engine: &fakeEngine{checksFence: checks}}
 }
 
-func (w *world) clock() time.Duration { return w.now }
+func (env *testEnv) clock() time.Duration { return env.now }
 
-func (w *world) node(name string) *node {
-	l := lease.New(lease.Config{DataCentre: "kakkanad", Service: "hints", Holder: name, Incarnation: 1, TTL: ttl}, w.platform, w.clock)
-	j := NewJournal(w.platform, "kakkanad", "hints")
-	return &node{lease: l, sender: NewSender(j, l, w.engine, w.clock, readTimeout)}
+func (env *testEnv) newSteward(name string) *steward {
+	l := lease.New(lease.Config{DataCentre: "kakkanad", Service: "hints", Holder: name, Incarnation: 1, TTL: ttl}, env.platform, env.clock)
+	j := NewJournal(env.platform, "kakkanad", "hints")
+	return &steward{lease: l, sender: NewSender(j, l, env.engine, env.clock, readTimeout)}
 }
 
-// pair is a holder and a candidate that has observed it.
-func (w *world) pair(t testing.TB) (a, b *node) {
-	a, b = w.node("a"), w.node("b")
-	a.step(t)
-	b.step(t)
+// newHolderAndCandidate returns a holder of the lease and a candidate that has
+// observed it.
+func (env *testEnv) newHolderAndCandidate(t testing.TB) (a, b *steward) {
+	a, b = env.newSteward("a"), env.newSteward("b")
+	a.stepLease(t)
+	b.stepLease(t)
 	return a, b
 }
 
-func (n *node) step(t testing.TB) {
+func (s *steward) stepLease(t testing.TB) {
 	t.Helper()
-	if err := n.lease.Step(context.Background(), true); err != nil {
+	if err := s.lease.Step(context.Background(), true); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func want(version string) target.Want {
+func wantVersion(version string) target.Want {
 	return target.Want{Role: target.RoleBoth, Model: "m", Version: version}
 }
 
-func (n *node) give(fencing table.Fencing, version string) error {
-	return n.sender.Give(context.Background(), "e1", "addr", fencing, want(version))
+func (s *steward) give(fencing table.Fencing, version string) error {
+	return s.sender.Give(context.Background(), "e1", "addr", fencing, wantVersion(version))
 }
 
-func (n *node) complete(t testing.TB) bool {
+func (s *steward) complete(t testing.TB) bool {
 	t.Helper()
-	done, err := n.sender.Complete(context.Background(), "e1", "addr")
+	done, err := s.sender.Complete(context.Background(), "e1", "addr")
 	if err != nil && !errors.Is(err, target.ErrUnreachable) {
 		t.Fatal(err)
 	}
@@ -133,244 +138,244 @@
 
 func TestOrderAndCompletion(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(true)
-	a := w.node("a")
-	a.step(t)
+	env := newTestEnv(true)
+	a := env.newSteward("a")
+	a.stepLease(t)
 	is.NoErr(a.give(table.FencingChecked, "v1"))
-	w.engine.changing = true
+	env.engine.changing = true
 	is.True(!a.complete(t)) // the engine is still changing
 	is.True(errors.Is(a.give(table.FencingChecked, "v2"), ErrUnfinished))
-	w.engine.changing = false
+	env.engine.changing = false
 	is.True(a.complete(t))
 	is.NoErr(a.give(table.FencingChecked, "v2"))
-	is.Equal(len(w.engine.taken), 2)
+	is.Equal(len(env.engine.applied), 2)
 }
 
-// Whatever happens to an order on its way, it takes effect once.
+// An order takes effect exactly once, whatever fault it meets.
 func TestOrderFaults(t *testing.T) {
 	cases := []struct {
 		name string
-		set  func(*world)
+		set  func(*testEnv)
 	}{
-		{"effect without an answer", func(w *world) { w.engine.lost = true }},
-		{"order lost", func(w *world) { w.engine.dropped = true }},
-		{"journal write without an answer", func(w *world) { w.platform.SetFault(store.FaultLostAnswers) }},
-		{"journal write lost", func(w *world) { w.platform.SetFault(store.FaultLostWrites) }},
-		{"platform down", func(w *world) { w.platform.SetFault(store.FaultDown) }},
+		{"effect without an answer", func(env *testEnv) { env.engine.loseAnswer = true }},
+		{"order lost", func(env *testEnv) { env.engine.loseOrder = true }},
+		{"journal write without an answer", func(env *testEnv) { env.platform.SetFault(store.FaultLostAnswers) }},
+		{"journal write lost", func(env *testEnv) { env.platform.SetFault(store.FaultLostWrites) }},
+		{"platform down", func(env *testEnv) { env.platform.SetFault(store.FaultDown) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(true)
-			a := w.node("a")
-			a.step(t)
+			env := newTestEnv(true)
+			a := env.newSteward("a")
+			a.stepLease(t)
 			_, err := a.sender.Begin(context.Background())
 			is.NoErr(err)
-			c.set(w)
-			// The answer is of no interest; the journal decides what to do.
+			c.set(env)
+			// The error does not matter; the journal decides what to do next.
 			_ = a.give(table.FencingChecked, "v1")
-			w.platform.SetFault(store.FaultNone)
+			env.platform.SetFault(store.FaultNone)
 			_, err = a.sender.Begin(context.Background())
 			is.NoErr(err)
 			for range 3 {
-				if _, told := a.sender.Wanted("e1"); !told {
+				if _, ordered := a.sender.Wanted("e1"); !ordered {
 					is.NoErr(a.give(table.FencingChecked, "v1"))
 				}
 				a.complete(t)
 			}
-			is.Equal(len(w.engine.taken), 1) // exactly one effect
-			is.Equal(w.engine.taken[0].Want.Version, "v1")
+			is.Equal(len(env.engine.applied), 1) // exactly one effect
+			is.Equal(env.engine.applied[0].Want.Version, "v1")
 		})
 	}
 }
 
-// With the platform down nothing is sent, as nothing could be journalled.
+// No order is sent while the platform is down and the journal cannot be written.
 func TestNoOrderWithoutJournal(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(false)
-	a := w.node("a")
-	a.step(t)
+	env := newTestEnv(false)
+	a := env.newSteward("a")
+	a.stepLease(t)
 	_, err := a.sender.Begin(context.Background())
 	is.NoErr(err)
-	w.now += readTimeout
-	w.platform.SetFault(store.FaultDown)
+	env.now += readTimeout
+	env.platform.SetFault(store.FaultDown)
 	is.True(a.give(table.FencingIgnored, "v1") != nil)
-	is.Equal(len(w.engine.taken), 0)
+	is.Equal(len(env.engine.applied), 0)
 }
 
-// A crash of the holder at any step leaves a row from which a successor goes
-// on, with the same order.
+// After a crash of the holder the next holder completes the order in the journal,
+// whether the engine got it or not, before it issues another.
 func TestSuccessorCompletesTheJournal(t *testing.T) {
-	for _, dropped := range []bool{false, true} {
+	for _, loseOrder := range []bool{false, true} {
 		is := is.New(t)
-		w := newWorld(true)
-		a, b := w.pair(t)
-		w.engine.dropped = dropped
-		// The answer is of no interest: the holder dies here.
+		env := newTestEnv(true)
+		a, b := env.newHolderAndCandidate(t)
+		env.engine.loseOrder = loseOrder
+		// The error does not matter: the holder crashes here.
 		_ = a.give(table.FencingChecked, "v1")
-		w.now += 2 * ttl
-		b.step(t)
+		env.now += 2 * ttl
+		b.stepLease(t)
 		_, err := b.sender.Begin(context.Background())
 		is.NoErr(err)
-		is.True(errors.Is(b.give(table.FencingChecked, "v2"), ErrUnfinished)) // first things first
+		is.True(errors.Is(b.give(table.FencingChecked, "v2"), ErrUnfinished)) // the order in the journal comes first
 		b.complete(t)
 		is.True(b.complete(t))
-		is.Equal(len(w.engine.taken), 1)
-		is.Equal(w.engine.taken[0].Want.Version, "v1")
+		is.Equal(len(env.engine.applied), 1)
+		is.Equal(env.engine.applied[0].Want.Version, "v1")
 	}
 }
 
-// A frozen holder wakes with an order in hand. An engine that checks refuses
-// it.
+// A holder freezes after it has sent an order. An engine that checks fencing
+// numbers refuses the order when it arrives after those of the next holder.
 func TestFrozenHolderCheckedEngine(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(true)
-	a, b := w.pair(t)
-	w.engine.hold = true
-	_ = a.give(table.FencingChecked, "v1") // on its way when the holder freezes
-	w.now += 2 * ttl
-	b.step(t)
+	env := newTestEnv(true)
+	a, b := env.newHolderAndCandidate(t)
+	env.engine.delayOrder = true
+	_ = a.give(table.FencingChecked, "v1") // in transit when the holder freezes
+	env.now += 2 * ttl
+	b.stepLease(t)
 	b.complete(t)
 	is.True(b.complete(t))
 	is.NoErr(b.give(table.FencingChecked, "v2"))
-	is.True(errors.Is(w.engine.held(), target.ErrFenced)) // the late order
-	is.Equal(w.engine.taken[len(w.engine.taken)-1].Want.Version, "v2")
-	is.True(a.give(table.FencingChecked, "v3") != nil) // and it gives no new ones
+	is.True(errors.Is(env.engine.deliverDelayed(), target.ErrFenced)) // the delayed order
+	is.Equal(env.engine.applied[len(env.engine.applied)-1].Want.Version, "v2")
+	is.True(a.give(table.FencingChecked, "v3") != nil) // the old holder issues no more orders
 }
 
-// An engine that ignores the number: until the late order can no longer
-// arrive, the successor gives only the same order again, so the late one has
-// nothing to contradict.
-func TestFrozenHolderIgnoringEngine(t *testing.T) {
+// An engine ignores fencing numbers. Until the delayed order of the frozen holder
+// can no longer arrive, the next holder only repeats that order, so that the
+// delayed one does not undo another.
+func TestFrozenHolderUncheckedEngine(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(false)
-	a, b := w.pair(t)
-	w.now += readTimeout
-	a.step(t)
-	w.engine.hold = true
+	env := newTestEnv(false)
+	a, b := env.newHolderAndCandidate(t)
+	env.now += readTimeout
+	a.stepLease(t)
+	env.engine.delayOrder = true
 	is.True(errors.Is(a.give(table.FencingIgnored, "v1"), target.ErrUnreachable))
-	b.step(t)
-	w.now += 2 * ttl
-	b.step(t)
+	b.stepLease(t)
+	env.now += 2 * ttl
+	b.stepLease(t)
 	b.complete(t)
 	is.True(b.complete(t))
 	is.True(errors.Is(b.give(table.FencingIgnored, "v2"), ErrTooEarly))
-	is.NoErr(w.engine.held()) // the late order arrives, and is the same one
-	is.Equal(len(w.engine.taken), 1)
-	w.now += readTimeout // after this the engine has closed the old connection
-	b.step(t)
+	is.NoErr(env.engine.deliverDelayed()) // the delayed order arrives, and is the same one
+	is.Equal(len(env.engine.applied), 1)
+	env.now += readTimeout // after this the engine has closed the old connection
+	b.stepLease(t)
 	is.NoErr(b.give(table.FencingIgnored, "v2"))
-	is.Equal(len(w.engine.taken), 2)
+	is.Equal(len(env.engine.applied), 2)
 }
 
-// An engine that moves between services is ordered only with a number above
-// all that it has seen.
+// An engine that moves between services gets orders only with a fencing number
+// above all those that it has seen.
 func TestEngineMovesBetweenServices(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(true)
-	a := w.node("a")
-	a.step(t)
-	other := lease.New(lease.Config{DataCentre: "kakkanad", Service: "judge", Holder: "b", Incarnation: 1, TTL: ttl}, w.platform, w.clock)
+	env := newTestEnv(true)
+	a := env.newSteward("a")
+	a.stepLease(t)
+	other := lease.New(lease.Config{DataCentre: "kakkanad", Service: "judge", Holder: "b", Incarnation: 1, TTL: ttl}, env.platform, env.clock)
 	is.NoErr(other.Step(context.Background(), true))
-	sender := NewSender(NewJournal(w.platform, "kakkanad", "judge"), other, w.engine, w.clock, readTimeout)
+	sender := NewSender(NewJournal(env.platform, "kakkanad", "judge"), other, env.engine, env.clock, readTimeout)
 	ctx := context.Background()
-	is.NoErr(sender.Give(ctx, "e1", "addr", table.FencingChecked, want("judge")))
+	is.NoErr(sender.Give(ctx, "e1", "addr", table.FencingChecked, wantVersion("judge")))
 	_, err := sender.Complete(ctx, "e1", "addr")
 	is.NoErr(err)
 	is.True(errors.Is(a.give(table.FencingChecked, "hints"), ErrFenceBehind))
 	is.NoErr(a.lease.Release(ctx))
-	a.step(t)
+	a.stepLease(t)
 	is.NoErr(a.give(table.FencingChecked, "hints"))
-	is.Equal(w.engine.last, w.engine.taken[1].ID)
+	is.Equal(env.engine.lastOrder, env.engine.applied[1].ID)
 }
 
-// Any interleaving of two stewards, freezes and lost answers, on an engine that
-// checks: the numbers of the orders in effect never fall, and each order has
-// its effect once.
+// On an engine that checks fencing numbers, and with any interleaving of two
+// stewards, delayed orders and faults, each order takes effect at most once and
+// the fencing numbers of the applied orders never decrease.
 func TestOrdersNeverConflict(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(true)
-		nodes := []*node{w.node("a"), w.node("b")}
+		env := newTestEnv(true)
+		stewards := []*steward{env.newSteward("a"), env.newSteward("b")}
 		versions := []string{"v1", "v2", "v3"}
 		for range rapid.IntRange(1, 60).Draw(rt, "events") {
-			n := rapid.SampledFrom(nodes).Draw(rt, "who")
-			w.engine.lost = rapid.Bool().Draw(rt, "lost")
-			w.engine.dropped = rapid.Bool().Draw(rt, "dropped")
-			if w.engine.held == nil {
-				w.engine.hold = rapid.Bool().Draw(rt, "hold")
+			s := rapid.SampledFrom(stewards).Draw(rt, "steward")
+			env.engine.loseAnswer = rapid.Bool().Draw(rt, "lost")
+			env.engine.loseOrder = rapid.Bool().Draw(rt, "dropped")
+			if env.engine.deliverDelayed == nil {
+				env.engine.delayOrder = rapid.Bool().Draw(rt, "hold")
 			}
-			w.platform.SetFault(rapid.SampledFrom([]store.Fault{
+			env.platform.SetFault(rapid.SampledFrom([]store.Fault{
 				store.FaultNone, store.FaultNone, store.FaultLostAnswers, store.FaultLostWrites, store.FaultDown,
 			}).Draw(rt, "fault"))
-			// Errors leave outcomes open, which is what is tested.
+			// Errors are ignored: the test is about unknown outcomes.
 			switch rapid.IntRange(0, 4).Draw(rt, "event") {
 			case 0:
-				_ = n.lease.Step(context.Background(), true)
+				_ = s.lease.Step(context.Background(), true)
 			case 1:
-				_ = n.give(table.FencingChecked, rapid.SampledFrom(versions).Draw(rt, "version"))
+				_ = s.give(table.FencingChecked, rapid.SampledFrom(versions).Draw(rt, "version"))
 			case 2:
-				_, _ = n.sender.Complete(context.Background(), "e1", "addr")
+				_, _ = s.sender.Complete(context.Background(), "e1", "addr")
 			case 3:
-				w.now += time.Duration(rapid.IntRange(0, 8000).Draw(rt, "ms")) * time.Millisecond
+				env.now += time.Duration(rapid.IntRange(0, 8000).Draw(rt, "ms")) * time.Millisecond
 			case 4:
-				if w.engine.held != nil {
-					_ = w.engine.held()
-					w.engine.held = nil
+				if env.engine.deliverDelayed != nil {
+					_ = env.engine.deliverDelayed()
+					env.engine.deliverDelayed = nil
 				}
 			}
 		}
 		seen := map[string]bool{}
 		fence := uint64(0)
-		for _, o := range w.engine.taken {
+		for _, o := range env.engine.applied {
 			if seen[o.ID] {
 				rt.Fatalf("order %s took effect twice", o.ID)
 			}
 			if o.Fence < fence {
-				rt.Fatalf("order %s of fence %d after %d", o.ID, o.Fence, fence)
+				rt.Fatalf("order %s with fencing number %d took effect after %d", o.ID, o.Fence, fence)
 			}
 			seen[o.ID], fence = true, o.Fence
 		}
 	})
 }
 
-// A holder that was replaced while it stood between its last look at the lease
-// and the journal cannot write the journal any more.
+// A holder that is replaced after it has checked the lease, but before it writes
+// the journal, cannot write it any more.
 func TestReplacedHolderCannotJournal(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(true)
-	a, b := w.pair(t)
+	env := newTestEnv(true)
+	a, b := env.newHolderAndCandidate(t)
 	old, ok := a.lease.Held()
 	is.True(ok)
-	w.now += 2 * ttl
-	b.step(t)
+	env.now += 2 * ttl
+	b.stepLease(t)
 	_, ok = b.lease.Held()
 	is.True(ok)
-	late := Entry{Engine: "e1", Order: target.Order{ID: "late", Fence: old.Fence, Want: want("v0")}}
-	_, err := NewJournal(w.platform, "kakkanad", "hints").Write(context.Background(), old, late)
+	late := Entry{Engine: "e1", Order: target.Order{ID: "late", Fence: old.Fence, Want: wantVersion("v0")}}
+	_, err := NewJournal(env.platform, "kakkanad", "hints").Write(context.Background(), old, late)
 	is.True(errors.Is(err, store.ErrConflict))
-	is.NoErr(b.give(table.FencingChecked, "v1")) // the row is still free
+	is.NoErr(b.give(table.FencingChecked, "v1")) // the row is unchanged
 }
 
-// An order of one's own that was delayed arrives after the one that followed
-// it in the same tenure: it must not undo that.
+// A delayed order arrives after a later one of the same tenure. It must not undo
+// the later one.
 func TestLateOrderOfTheSameTenure(t *testing.T) {
 	for _, fencing := range []table.Fencing{table.FencingChecked, table.FencingIgnored} {
 		is := is.New(t)
-		w := newWorld(fencing == table.FencingChecked)
-		a := w.node("a")
-		a.step(t)
-		w.now += readTimeout
-		a.step(t)
-		w.engine.hold = true
-		_ = a.give(fencing, "v1") // on its way
-		a.complete(t)             // sent again
+		env := newTestEnv(fencing == table.FencingChecked)
+		a := env.newSteward("a")
+		a.stepLease(t)
+		env.now += readTimeout
+		a.stepLease(t)
+		env.engine.delayOrder = true
+		_ = a.give(fencing, "v1") // in transit
+		a.complete(t)             // sends it again
 		is.True(a.complete(t))
 		if fencing == table.FencingIgnored {
-			is.True(errors.Is(a.give(fencing, "v2"), ErrTooEarly)) // the first may still come
+			is.True(errors.Is(a.give(fencing, "v2"), ErrTooEarly)) // the first order may still arrive
 			continue
 		}
 		is.NoErr(a.give(fencing, "v2"))
-		is.True(errors.Is(w.engine.held(), target.ErrFenced))
-		is.Equal(w.engine.taken[len(w.engine.taken)-1].Want.Version, "v2")
+		is.True(errors.Is(env.engine.deliverDelayed(), target.ErrFenced))
+		is.Equal(env.engine.applied[len(env.engine.applied)-1].Want.Version, "v2")
 	}
 }
--- a/internal/order/sender.go
+++ b/internal/order/sender.go
@@ -13,89 +13,98 @@
 	"garnethoist.org/garnethoist/internal/target"
 )
 
-// ErrTooEarly: the engine ignores fencing numbers and a predecessor's last
-// order may still be on its way; ask again later.
-var ErrTooEarly = errors.New("order: a predecessor's order may still arrive")
+// ErrTooEarly is returned for an engine that ignores fencing numbers while an
+// earlier order may still reach it. The caller may try again later.
+var ErrTooEarly = errors.New("order: an earlier order may still arrive")
 
-// ErrFenceBehind: the engine's last order, given for another service, carries
-// a higher fencing number; a new tenure is needed.
-var ErrFenceBehind = errors.New("order: this tenure's fencing number is behind the engine's")
+// ErrFenceBehind is returned if the engine's last order, issued for another
+// service, has a higher fencing number. It takes a new tenure to get a higher one.
+var ErrFenceBehind = errors.New("order: fencing number of this tenure is below the engine's")
 
-// ErrUnfinished: the engine's journalled order must be completed first.
-var ErrUnfinished = errors.New("order: an earlier order is not done")
+// ErrUnfinished is returned if the engine's order in the journal must be completed
+// first.
+var ErrUnfinished = errors.New("order: an earlier order is not completed")
 
-// Lease is the authority that a sender acts under.
+// Lease is the lease under which a sender issues orders.
 type Lease interface {
 	// Held returns the current tenure, or false once it may have lapsed.
 	Held() (lease.Tenure, bool)
 }
 
-// Engines reads engines' status and carries orders to them.
+// Engines reads the status of engines and sends orders to them.
 type Engines interface {
+	// Status returns the status of the engine at the address.
 	Status(ctx context.Context, address string) (target.Status, error)
-	// Order sends o unless still, asked right before the write, says no.
-	Order(ctx context.Context, address string, o target.Order, still func() bool) error
+	// Order sends o unless stillHeld, called right before the write, returns
+	// false.
+	Order(ctx context.Context, address string, o target.Order, stillHeld func() bool) error
 }
 
-// Sender gives the orders of one service in one data centre. It is used by one
-// goroutine.
+// Sender issues the orders of one service in one data centre. It must be used by
+// only one goroutine.
 type Sender struct {
 	journal *Journal
 	lease   Lease
 	engines Engines
 	clock   lease.Clock
-	// readTimeout is the engines' time-out for reading a request.
+	// readTimeout is the engines' timeout for reading a request, after which an
+	// order that is still in transit can no longer arrive.
 	readTimeout time.Duration
 
-	fence   uint64
+	// loadedFence is the fencing number of the tenure in which entries was
+	// loaded.
+	loadedFence uint64
+	// entries is the journal by engine, or nil if it must be loaded.
 	entries map[string]Entry
-	// given counts the fencing numbers used in this tenure.
-	given uint64
-	// sentAt is when an order was last sent to each engine.
+	// issued counts the fencing numbers used in this tenure.
+	issued uint64
+	// sentAt is the time of the last order sent to each engine.
 	sentAt map[string]time.Duration
 }
 
-// numberBits is the room for numbers within one tenure.
-const numberBits = 20
+// fenceSequenceBits is the number of low bits of an order's fencing number that
+// count the orders within one tenure; the others are the tenure's number.
+const fenceSequenceBits = 20
 
-// nextNumber returns the fencing number of a new order. It is above all earlier
-// ones of this tenure too, so that an order of one's own that arrives late is
-// refused once another has followed it.
-func (s *Sender) nextNumber(t lease.Tenure) uint64 {
-	s.given++
-	return t.Fence<<numberBits | s.given
+// nextFence returns the fencing number of a new order. It is above all earlier
+// ones, also those of this tenure, so that an engine that checks it refuses a
+// delayed order once a newer one has arrived.
+func (s *Sender) nextFence(t lease.Tenure) uint64 {
+	s.issued++
+	return t.Fence<<fenceSequenceBits | s.issued
 }
 
-// tenureOf returns the fencing number of the tenure that gave an order.
-func tenureOf(o target.Order) uint64 { return o.Fence >> numberBits }
+// tenureFence returns the fencing number of the tenure that issued an order.
+func tenureFence(o target.Order) uint64 { return o.Fence >> fenceSequenceBits }
 
-// NewSender returns a sender that acts while l is held.
+// NewSender returns a sender that issues orders while l is held. readTimeout is
+// the engines' timeout for reading a request.
 func NewSender(j *Journal, l Lease, engines Engines, clock lease.Clock, readTimeout time.Duration) *Sender {
 	return &Sender{journal: j, lease: l, engines: engines, clock: clock, readTimeout: readTimeout, sentAt: map[string]time.Duration{}}
 }
 
-// Begin loads the journal once for each tenure. It returns the tenure, or
-// lease.ErrNotHeld.
+// Begin loads the journal if that has not been done in the current tenure, and
+// returns the tenure. The error is lease.ErrNotHeld if there is no tenure.
 func (s *Sender) Begin(ctx context.Context) (lease.Tenure, error) {
 	t, ok := s.lease.Held()
 	if !ok {
 		return t, lease.ErrNotHeld
 	}
-	if s.entries != nil && s.fence == t.Fence {
+	if s.entries != nil && s.loadedFence == t.Fence {
 		return t, nil
 	}
 	entries, err := s.journal.Load(ctx)
 	if err != nil {
 		return t, err
 	}
-	if s.fence != t.Fence {
-		s.given = 0
+	if s.loadedFence != t.Fence {
+		s.issued = 0
 	}
-	s.entries, s.fence = entries, t.Fence
+	s.entries, s.loadedFence = entries, t.Fence
 	return t, nil
 }
 
-// Unfinished returns the engines whose journalled order is not done.
+// Unfinished returns the engines whose order in the journal is not done.
 func (s *Sender) Unfinished() []string {
 	var out []string
 	for name, e := range s.entries {
@@ -106,23 +115,23 @@
 	return out
 }
 
-// Settled reports whether no order to the engine is open, by the journal as it
-// was last loaded and written here. It is false when that is not known.
+// Settled reports whether the engine has no unfinished order, by the journal as
+// this sender last loaded or wrote it. It is false if that is not known.
 func (s *Sender) Settled(engine string) bool {
 	return s.entries != nil && (s.entries[engine].Engine == "" || s.entries[engine].Done)
 }
 
-// Wanted returns what the journal says the engine was last told, and whether
-// it was told anything.
+// Wanted returns what the last order in the journal told the engine, and whether
+// there is one.
 func (s *Sender) Wanted(engine string) (target.Want, bool) {
 	e, ok := s.entries[engine]
 	return e.Order.Want, ok
 }
 
-// Complete carries an unfinished order on by one step: it is sent again if the
-// engine does not show it, and marked done once the engine has settled. The
-// order keeps its id and content; only its fencing number rises to this
-// tenure's. It returns whether the order is done.
+// Complete takes an unfinished order one step further: it sends the order again
+// if the engine's status does not show it, and marks it done once the engine has
+// finished the change. An order sent again keeps its id and content, but gets a
+// fencing number of this tenure. Complete reports whether the order is done.
 func (s *Sender) Complete(ctx context.Context, engine, address string) (bool, error) {
 	t, err := s.Begin(ctx)
 	if err != nil {
@@ -134,7 +143,7 @@
 	}
 	status, err := s.engines.Status(ctx, address)
 	if err != nil {
-		return false, errors.Wrapf(err, "status of %s", engine)
+		return false, errors.Wrapf(err, "read status of %s", engine)
 	}
 	if status.LastOrder != e.Order.ID {
 		return false, s.resend(ctx, t, e, address)
@@ -146,9 +155,10 @@
 	return true, s.write(ctx, t, e)
 }
 
+// resend sends the order of e again, with a fencing number of the tenure t.
 func (s *Sender) resend(ctx context.Context, t lease.Tenure, e Entry, address string) error {
-	if tenureOf(e.Order) != t.Fence {
-		e.Order.Fence = s.nextNumber(t)
+	if tenureFence(e.Order) != t.Fence {
+		e.Order.Fence = s.nextFence(t)
 		if err := s.write(ctx, t, e); err != nil {
 			return err
 		}
@@ -156,9 +166,9 @@
 	return s.send(ctx, t, e, address)
 }
 
-// Give journals and sends a new order. The engine must be drained. For engines
-// that ignore fencing numbers, no new order is given until the predecessor's
-// last one can no longer arrive.
+// Give writes a new order to the journal and sends it. The engine must be
+// drained. The error is ErrUnfinished, ErrFenceBehind, or, for an engine that
+// ignores fencing numbers, ErrTooEarly while an earlier order can still arrive.
 func (s *Sender) Give(ctx context.Context, engine, address string, fencing table.Fencing, want target.Want) error {
 	t, err := s.Begin(ctx)
 	if err != nil {
@@ -168,14 +178,14 @@
 	if e.Engine != "" && !e.Done {
 		return ErrUnfinished
 	}
-	if tenureOf(e.Order) > t.Fence {
+	if tenureFence(e.Order) > t.Fence {
 		return ErrFenceBehind
 	}
 	if fencing == table.FencingIgnored && s.mayStillArrive(t, engine) {
 		return ErrTooEarly
 	}
 	next := Entry{Engine: engine, Version: e.Version, Order: target.Order{
-		ID: orderID(t, engine, e.Version), Fence: s.nextNumber(t), Want: want,
+		ID: orderID(t, engine, e.Version), Fence: s.nextFence(t), Want: want,
 	}}
 	if err := s.write(ctx, t, next); err != nil {
 		return err
@@ -183,25 +193,26 @@
 	return s.send(ctx, t, next, address)
 }
 
-// mayStillArrive reports whether an order sent earlier, by a predecessor or by
-// this sender, can still reach the engine.
+// mayStillArrive reports whether an order sent earlier, by the previous holder or
+// by this sender, can still reach the engine.
 func (s *Sender) mayStillArrive(t lease.Tenure, engine string) bool {
 	now := s.clock()
 	at, sent := s.sentAt[engine]
 	return now-t.Since < s.readTimeout || (sent && now-at < s.readTimeout)
 }
 
-// orderID is the same when a write with an unknown outcome is tried again on
-// the same row version, so that the journal cannot hold two orders for one.
+// orderID returns the id of a new order. It is the same when a write with an
+// unknown outcome is repeated on the same row version, so that one order cannot
+// appear in the journal as two.
 func orderID(t lease.Tenure, engine string, version uint64) string {
 	return fmt.Sprintf("%s-%d-%d", engine, t.Fence, version)
 }
 
+// write writes e to the journal and updates the loaded entries.
 func (s *Sender) write(ctx context.Context, t lease.Tenure, e Entry) error {
 	written, err := s.journal.Write(ctx, t, e)
 	if err != nil {
-		// What the platform holds is not known; load it again before the
-		// next step.
+		// The state of the journal is not known; Begin must load it again.
 		s.entries = nil
 		return err
 	}
@@ -209,19 +220,20 @@
 	return nil
 }
 
+// send sends the order of e while the tenure t lasts.
 func (s *Sender) send(ctx context.Context, t lease.Tenure, e Entry, address string) error {
 	o := e.Order
 	s.sentAt[e.Engine] = s.clock()
-	still := func() bool {
+	stillHeld := func() bool {
 		now, ok := s.lease.Held()
 		return ok && now.Fence == t.Fence
 	}
-	return errors.Wrapf(s.engines.Order(ctx, address, o, still), "order %s", o.ID)
+	return errors.Wrapf(s.engines.Order(ctx, address, o, stillHeld), "send order %s", o.ID)
 }
 
 var _ Engines = (*target.Client)(nil)
 
-// Conflict reports whether err says that another holder has taken over.
+// Conflict reports whether err shows that another holder has taken over.
 func Conflict(err error) bool {
 	return errors.Is(err, store.ErrConflict) || errors.Is(err, target.ErrFenced)
 }
