--- a/internal/once/claim.go
+++ b/internal/once/claim.go
@@ -1,6 +1,6 @@
-// Package once runs calls that may not be repeated at most once. A call that
-// carries an idempotency key is claimed on the platform before it is sent, and
-// its answer is kept there for whoever asks again with the same key.
+// Package once runs calls that must not be repeated at most once. A call with an
+// idempotency key is claimed on the platform before it is sent, and its answer is
+// stored there for repeated calls with the same key.
 package once
 
 import (
@@ -19,29 +19,30 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
-// Answer is a kept answer.
+// Answer is the stored answer of a call.
 type Answer struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
 }
 
-// state is how far a claimed call has come.
+// state is the state of a claimed call.
 type state string
 
 const (
-	// stateClaimed: the call may have been sent.
+	// stateClaimed means that the call may have been sent.
 	stateClaimed state = "claimed"
-	// stateDone: the answer is kept.
+	// stateDone means that the call's answer is stored.
 	stateDone state = "done"
-	// stateReleased: the call certainly did not run; the key is free again.
+	// stateReleased means that the call certainly did not run, and that the key
+	// may be claimed again.
 	stateReleased state = "released"
 )
 
-// claim is the record on the platform.
+// claim is the record of a claimed call on the platform.
 type claim struct {
-	// Token is the claiming request's own; it tells whose claim was written
-	// when the answer of a write is lost.
+	// Token is the Call.Token of the request that claimed the key. It shows
+	// whose claim was written if the answer of a write is lost.
 	Token    string  `json:"token"`
 	Entry    string  `json:"entry"`
 	BodyHash string  `json:"body_hash"`
@@ -52,11 +53,11 @@
 	Object string `json:"object,omitempty"`
 }
 
-// maxInlineAnswer is the largest answer kept in the table itself; larger ones
-// go to the object store.
+// maxInlineAnswer is the size in bytes of the largest body that is stored in the
+// claim's record itself. Larger answers are stored as objects.
 const maxInlineAnswer = 32 << 10
 
-// Store keeps claims on the platform. It is safe for concurrent use.
+// Store stores claims on the platform. It is safe for concurrent use.
 type Store struct {
 	table   store.Table
 	objects store.Objects
@@ -64,24 +65,26 @@
 	now     func() time.Time
 }
 
-// NewStore returns the claims as written by the entry VM called entry.
+// NewStore returns a store for the claims of the entry VM named entry.
 func NewStore(table store.Table, objects store.Objects, entry string, now func() time.Time) *Store {
 	return &Store{table: table, objects: objects, entry: entry, now: now}
 }
 
-// Call identifies a call that may not be repeated.
+// Call identifies a call that must not be repeated.
 type Call struct {
 	Service string
-	// Account scopes the key, so that two callers' keys never meet.
+	// Account is the scope of the key, so that equal keys of two client accounts
+	// do not conflict.
 	Account string
-	Key     string
+	// Key is the idempotency key.
+	Key string
 	// Token is unique to this request.
 	Token string
-	// BodyHash covers method, path and body.
+	// BodyHash is the hash of method, URI and body that HashBody returns.
 	BodyHash string
 }
 
-// HashBody returns the body hash of a call.
+// HashBody returns the SHA-256 of method, URI and body of a call, in hexadecimal.
 func HashBody(method, uri string, body []byte) string {
 	h := sha256.New()
 	// Writes to a hash cannot fail.
@@ -90,22 +93,25 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// prefixClaim starts the keys of claims.
-const prefixClaim = "claim/"
+// keyPrefix starts the keys of claims.
+const keyPrefix = "claim/"
 
-// day is a day by an entry's clock. Claims are kept by the day they were made
-// on, so that old ones can be found and removed. An entry looks at the days
-// before and after its own as well: entries' clocks may differ by up to a day.
+// day is a day by an entry's clock, in days since the Unix epoch. The keys of
+// claims contain the day on which they were made, so that old claims can be found
+// and removed. As the clocks of two entries may differ by up to a day, an entry
+// also checks the days before and after its own.
 type day int64
 
 const secondsPerDay = 24 * 60 * 60
 
 func (s *Store) today() day { return day(s.now().Unix() / secondsPerDay) }
 
+// prefix returns the start of the keys of the service's claims of the day.
 func (d day) prefix(service string) string {
-	return fmt.Sprintf("%s%s/%d/", prefixClaim, service, int64(d))
+	return fmt.Sprintf("%s%s/%d/", keyPrefix, service, int64(d))
 }
 
+// key returns the key of the call's claim if it was made on the day.
 func (c Call) key(d day) string {
 	sum := sha256.Sum256([]byte(c.Account + "\x00" + c.Key))
 	return d.prefix(c.Service) + hex.EncodeToString(sum[:])
@@ -119,19 +125,20 @@
 	version uint64
 }
 
-// slots is what is known of a call's key on the days that count: zero for
-// nothing, else the version of a claim that was released.
-type slots map[day]uint64
+// keyVersions holds, for each day to check, the version of the released claim
+// under the call's key of that day, or zero if there is no claim.
+type keyVersions map[day]uint64
 
-func slotsAround(d day) slots { return slots{d - 1: 0, d: 0, d + 1: 0} }
+// keyVersionsAround returns the days to check on the day d, without claims.
+func keyVersionsAround(d day) keyVersions { return keyVersions{d - 1: 0, d: 0, d + 1: 0} }
 
-// Acquire claims the call. It returns a claim when the call may be sent, or
-// the kept answer when it ran before. Otherwise the error is an
-// *errkind.Error: KeyReused, CallInProgress, OutcomeUnknown or PlatformDown.
-// A refusal as not_run is given only when nothing was or will be sent.
+// Acquire claims the call. It returns a claim if the call may be sent, or the
+// stored answer if the call ran before. Otherwise the error is an *errkind.Error:
+// KeyReused, CallInProgress, PlatformDown or Internal. Its outcome is not_run only
+// if the call was not sent and will not be.
 func (s *Store) Acquire(ctx context.Context, c Call) (*Claim, *Answer, error) {
 	today := s.today()
-	known := slotsAround(today)
+	known := keyVersionsAround(today)
 	for {
 		v, err := s.write(ctx, c, today, known, claim{State: stateClaimed})
 		if err == nil {
@@ -140,81 +147,85 @@
 		if errors.Is(err, store.ErrUnavailable) {
 			return nil, nil, errkind.Wrap(errkind.PlatformDown, err, "the call cannot be claimed while the platform is down")
 		}
-		claim, kept, err := s.look(ctx, c, known)
-		if claim != nil || kept != nil || err != nil {
-			return claim, kept, err
+		claim, answer, err := s.findClaim(ctx, c, known)
+		if claim != nil || answer != nil || err != nil {
+			return claim, answer, err
 		}
 		if ctx.Err() != nil {
 			return nil, nil, errkind.Wrap(errkind.PlatformDown, ctx.Err(), "the claim of the call could not be confirmed in time")
 		}
-		// The write had no effect yet, or met a released claim; it may be
-		// tried again on what is known now.
-		kernel.Sleep(ctx, retryPause)
+		// The write had no effect yet, or it met a released claim. It may be
+		// repeated with the versions that are known now.
+		kernel.Sleep(ctx, retryInterval)
 	}
 }
 
-// look finds out whose claim stands: this request's own, another's, or none.
-func (s *Store) look(ctx context.Context, c Call, known slots) (*Claim, *Answer, error) {
+// findClaim looks for the claim under the call's key. It returns the claim if this
+// request made it, the answer or an error for the claim of another request, and
+// nothing if the key is free. It updates known.
+func (s *Store) findClaim(ctx context.Context, c Call, known keyVersions) (*Claim, *Answer, error) {
 	for d := range known {
-		rec, held, err := s.read(ctx, c, d)
+		rec, existing, err := s.read(ctx, c, d)
 		switch {
 		case errors.Is(err, store.ErrNotFound):
 			known[d] = 0
 		case err != nil:
 			return nil, nil, errkind.Wrap(errkind.PlatformDown, err, "the claim of the call could not be confirmed")
-		case held.Token == c.Token:
+		case existing.Token == c.Token:
 			return &Claim{store: s, call: c, day: d, version: rec.Version}, nil, nil
-		case held.State == stateReleased:
+		case existing.State == stateReleased:
 			known[d] = rec.Version
 		default:
-			a, err := s.settled(ctx, c, held)
+			a, err := s.resolve(ctx, c, existing)
 			return nil, a, err
 		}
 	}
 	return nil, nil, nil
 }
 
-// retryPause is the time between two tries of a claim's write.
-const retryPause = 20 * time.Millisecond
+// retryInterval is the time between two attempts to write a claim.
+const retryInterval = 20 * time.Millisecond
 
-// settled answers a call whose key another request has claimed.
-func (s *Store) settled(ctx context.Context, c Call, held claim) (*Answer, error) {
-	if held.BodyHash != c.BodyHash {
+// resolve returns the answer or the error for a call whose key another request
+// has claimed with existing.
+func (s *Store) resolve(ctx context.Context, c Call, existing claim) (*Answer, error) {
+	if existing.BodyHash != c.BodyHash {
 		return nil, errkind.New(errkind.KeyReused, "the idempotency key was used with another body, path or method")
 	}
-	if held.State != stateDone {
-		return nil, errkind.New(errkind.CallInProgress, "an earlier call with this key was claimed by %s and has no answer yet; it may have run", held.Entry)
+	if existing.State != stateDone {
+		return nil, errkind.New(errkind.CallInProgress, "an earlier call with this key was claimed by %s and has no answer yet; it may have run", existing.Entry)
 	}
-	if held.Answer != nil {
-		return held.Answer, nil
+	if existing.Answer != nil {
+		return existing.Answer, nil
 	}
-	data, err := s.objects.GetObject(ctx, held.Object)
+	data, err := s.objects.GetObject(ctx, existing.Object)
 	if err != nil {
-		e := errkind.Wrap(errkind.PlatformDown, err, "the call ran; its kept answer cannot be read now")
+		e := errkind.Wrap(errkind.PlatformDown, err, "the call ran, but its stored answer cannot be read now")
 		e.Outcome = errkind.Ran
 		return nil, e
 	}
 	var a Answer
 	if err := json.Unmarshal(data, &a); err != nil {
-		e := errkind.Wrap(errkind.Internal, err, "the call ran; its kept answer is damaged")
+		e := errkind.Wrap(errkind.Internal, err, "the call ran, but its stored answer cannot be decoded")
 		e.Outcome = errkind.Ran
 		return nil, e
 	}
 	return &a, nil
 }
 
+// read returns the record and the claim under the call's key of the day d.
 func (s *Store) read(ctx context.Context, c Call, d day) (store.Record, claim, error) {
-	var held claim
+	var existing claim
 	rec, err := s.table.Get(ctx, c.key(d))
 	if err != nil {
-		return rec, held, err
+		return rec, existing, err
 	}
-	return rec, held, errors.Wrap(json.Unmarshal(rec.Value, &held), "decode claim")
+	return rec, existing, errors.Wrap(json.Unmarshal(rec.Value, &existing), "decode claim")
 }
 
-// write stores next under the call's key of day d if all known slots are still
-// as known.
-func (s *Store) write(ctx context.Context, c Call, d day, known slots, next claim) (uint64, error) {
+// write stores next under the call's key of the day d, if all keys in known still
+// have the versions in it. It returns the version written.
+func (s *Store) write(ctx context.Context, c Call, d day, known keyVersions, next claim) (uint64, error) {
 	next.Token, next.Entry, next.BodyHash = c.Token, s.entry, c.BodyHash
 	next.UnixMS = s.now().UnixMilli()
 	value, err := json.Marshal(next)
@@ -228,14 +239,14 @@
 	return s.table.Commit(ctx, txn)
 }
 
-// settle replaces the claim's record.
-func (c *Claim) settle(ctx context.Context, next claim) error {
-	_, err := c.store.write(ctx, c.call, c.day, slots{c.day: c.version}, next)
+// replace replaces the claim's record by next, if nobody else has changed it.
+func (c *Claim) replace(ctx context.Context, next claim) error {
+	_, err := c.store.write(ctx, c.call, c.day, keyVersions{c.day: c.version}, next)
 	return err
 }
 
-// Keep stores the answer of the call. An error means that a caller that asks
-// again will be told that the call may have run.
+// Keep stores the answer of the call. After an error, a repeated call is told that
+// the call may have run.
 func (c *Claim) Keep(ctx context.Context, a Answer) error {
 	next := claim{State: stateDone, Answer: &a}
 	if len(a.Body) > maxInlineAnswer {
@@ -245,15 +256,15 @@
 		}
 		name := "answer-" + c.call.Token
 		if err := c.store.objects.PutObject(ctx, name, data); err != nil {
-			return errors.Wrap(err, "keep large answer")
+			return errors.Wrap(err, "store large answer")
 		}
 		next.Answer, next.Object = nil, name
 	}
-	return errors.Wrap(c.settle(ctx, next), "keep answer")
+	return errors.Wrap(c.replace(ctx, next), "store answer")
 }
 
-// Release frees the key. It must be called only when the call certainly did
-// not run.
+// Release makes the key free again. It must be called only if the call certainly
+// did not run.
 func (c *Claim) Release(ctx context.Context) error {
-	return errors.Wrap(c.settle(ctx, claim{State: stateReleased}), "release claim")
+	return errors.Wrap(c.replace(ctx, claim{State: stateReleased}), "release claim")
 }
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -23,21 +23,22 @@
 
 func newStore(p *store.Memory, entry string) *Store { return NewStore(p, p, entry, time.Now) }
 
-// short bounds the tries of a claim whose write never shows.
-func short(t *testing.T) context.Context {
+// shortContext returns a context that ends the attempts to write a claim whose
+// writes are all lost.
+func shortContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func TestKeptAnswer(t *testing.T) {
+func TestStoredAnswer(t *testing.T) {
 	for _, size := range []int{10, maxInlineAnswer + 1} {
 		is := is.New(t)
 		p := store.NewMemory()
 		a, b := newStore(p, "vm-1"), newStore(p, "vm-2")
-		claim, kept, err := a.Acquire(t.Context(), call("t1", "x"))
+		claim, answer, err := a.Acquire(t.Context(), call("t1", "x"))
 		is.NoErr(err)
-		is.True(claim != nil && kept == nil)
+		is.True(claim != nil && answer == nil)
 
 		_, _, err = b.Acquire(t.Context(), call("t2", "x"))
 		is.True(errkind.Is(err, errkind.CallInProgress))
@@ -45,11 +46,11 @@
 
 		body := []byte(strings.Repeat("y", size))
 		is.NoErr(claim.Keep(t.Context(), Answer{Status: 201, Header: http.Header{"A": {"b"}}, Body: body}))
-		claim, kept, err = b.Acquire(t.Context(), call("t3", "x"))
+		claim, answer, err = b.Acquire(t.Context(), call("t3", "x"))
 		is.NoErr(err)
 		is.True(claim == nil)
-		is.Equal(kept.Status, 201)
-		is.Equal(string(kept.Body), string(body))
+		is.Equal(answer.Status, 201)
+		is.Equal(string(answer.Body), string(body))
 	}
 }
 
@@ -64,7 +65,7 @@
 	other.Account = "someone else"
 	claim, _, err := s.Acquire(t.Context(), other)
 	is.NoErr(err)
-	is.True(claim != nil) // another caller's key is another key
+	is.True(claim != nil) // the same key of another client account is another key
 }
 
 func TestReleasedKeyIsFree(t *testing.T) {
@@ -83,7 +84,7 @@
 		name    string
 		fault   store.Fault
 		claimed bool
-		// afterwards is what a second caller meets once the platform is well.
+		// afterwards is the error of a second call once the platform works again.
 		afterwards errkind.Kind
 	}{
 		{"down", store.FaultDown, false, ""},
@@ -96,12 +97,12 @@
 			p := store.NewMemory()
 			s := newStore(p, "vm-1")
 			p.SetFault(c.fault)
-			claim, _, err := s.Acquire(short(t), call("t1", "x"))
+			claim, _, err := s.Acquire(shortContext(t), call("t1", "x"))
 			is.Equal(claim != nil, c.claimed)
 			if !c.claimed {
 				is.True(errkind.Is(err, errkind.PlatformDown))
 				a := errkind.From(err).Answer()
-				is.Equal(a.Outcome, errkind.NotRun) // true: nothing was sent
+				is.Equal(a.Outcome, errkind.NotRun) // nothing was sent
 				is.True(a.RetryAfter > 0)
 			}
 			p.SetFault(store.FaultNone)
@@ -115,9 +116,9 @@
 	}
 }
 
-// An answer that cannot be kept leaves the outcome open for who asks again,
+// If an answer cannot be stored, a repeated call gets the outcome may_have_run,
 // never not_run.
-func TestAnswerNotKept(t *testing.T) {
+func TestAnswerNotStored(t *testing.T) {
 	is := is.New(t)
 	p := store.NewMemory()
 	s := newStore(p, "vm-1")
@@ -131,7 +132,8 @@
 	is.Equal(errkind.From(err).Answer().Outcome, errkind.MayHaveRun)
 }
 
-// Around midnight entries see different days; a key is one key all the same.
+// A key has only one claim even if the clocks of two entries are on different
+// days.
 func TestKeyAcrossMidnight(t *testing.T) {
 	midnight := time.Unix(20000*secondsPerDay, 0)
 	for _, skew := range []time.Duration{-2 * time.Second, 2 * time.Second, -23 * time.Hour, 23 * time.Hour} {
@@ -144,80 +146,83 @@
 		_, _, err = b.Acquire(t.Context(), call("t2", "x"))
 		is.True(errkind.Is(err, errkind.CallInProgress))
 		is.NoErr(claim.Keep(t.Context(), Answer{Status: 200}))
-		_, kept, err := b.Acquire(t.Context(), call("t3", "x"))
+		_, answer, err := b.Acquire(t.Context(), call("t3", "x"))
 		is.NoErr(err)
-		is.True(kept != nil)
+		is.True(answer != nil)
 	}
 }
 
-// A sweep removes what no entry looks at, and nothing else.
+// A sweep removes the claims that no entry checks any more, and no others.
 func TestSweep(t *testing.T) {
 	is := is.New(t)
 	p := store.NewMemory()
 	now := time.Unix(20000*secondsPerDay, 0)
 	s := NewStore(p, p, "vm-1", func() time.Time { return now })
-	for i := range 2*sweepBatch + 7 {
+	for i := range 2*sweepBatchSize + 7 {
 		c := call(fmt.Sprint(i), "x")
 		c.Key = fmt.Sprint(i)
 		_, _, err := s.Acquire(t.Context(), c)
 		is.NoErr(err)
 	}
-	for days, want := range []int{0, 0, 0, 2*sweepBatch + 7, 0} {
+	for days, want := range []int{0, 0, 0, 2*sweepBatchSize + 7, 0} {
 		n, err := Sweep(t.Context(), p, "renewals", now.Add(time.Duration(days)*24*time.Hour))
 		is.NoErr(err)
 		is.Equal(n, want)
 	}
-	rest, err := p.List(t.Context(), prefixClaim)
+	rest, err := p.List(t.Context(), keyPrefix)
 	is.NoErr(err)
 	is.Equal(len(rest), 0)
 }
 
-// lateWrites lets commits take effect only after their answer was lost and the
-// record was read back: the late effect of an earlier write.
-type lateWrites struct {
+// delayedWrites delays the effect of the first commits until a later commit. The
+// delayed commits return store.ErrUnknown, and the record can be read back before
+// they take effect.
+type delayedWrites struct {
 	*store.Memory
-	mu      sync.Mutex
-	pending []store.Txn
-	left    int
+	mu        sync.Mutex
+	pending   []store.Txn
+	remaining int
 }
 
-func (l *lateWrites) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
+func (l *delayedWrites) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.left > 0 {
-		l.left--
+	if l.remaining > 0 {
+		l.remaining--
 		l.pending = append(l.pending, txn)
 		return 0, store.ErrUnknown
 	}
 	for _, old := range l.pending {
-		// It lands now, on whatever conditions still hold.
+		// It takes effect now, if its conditions still hold.
 		_, _ = l.Memory.Commit(ctx, old)
 	}
 	l.pending = nil
 	return l.Memory.Commit(ctx, txn)
 }
 
-func TestLateClaim(t *testing.T) {
+func TestDelayedClaim(t *testing.T) {
 	is := is.New(t)
-	p := &lateWrites{Memory: store.NewMemory(), left: 1}
+	p := &delayedWrites{Memory: store.NewMemory(), remaining: 1}
 	s := NewStore(p, p, "vm-1", time.Now)
 	claim, _, err := s.Acquire(t.Context(), call("t1", "x"))
 	is.NoErr(err)
-	is.True(claim != nil) // the late write was its own
+	is.True(claim != nil) // the delayed write was this request's own
 	is.NoErr(claim.Keep(t.Context(), Answer{Status: 200}))
 }
 
-// claimOp is one request for a key and its result.
+// claimOp is an operation on one key: storing the answer if storeAnswer is set, else
+// claiming the key.
 type claimOp struct {
-	keep bool
+	storeAnswer bool
 }
 
+// claimResult is the result of claiming a key.
 type claimResult struct {
-	granted, kept, refused bool
+	granted, answered, refused bool
 }
 
-// The sequential model: a key is granted once, and an answer is handed out
-// only after it was kept.
+// claimModel returns the sequential model of a key: it is granted once, and an
+// answer is returned only after it was stored.
 func claimModel() porcupine.Model {
 	const free, claimed, done = 0, 1, 2
 	return porcupine.Model{
@@ -225,11 +230,11 @@
 		Step: func(state, input, output any) (bool, any) {
 			s, out := state.(int), output.(claimResult)
 			switch {
-			case input.(claimOp).keep:
+			case input.(claimOp).storeAnswer:
 				return s == claimed, done
 			case out.granted:
 				return s == free, claimed
-			case out.kept:
+			case out.answered:
 				return s == done, done
 			}
 			return s == claimed, claimed
@@ -237,10 +242,11 @@
 	}
 }
 
-// Many entries ask for one key at once, some writes without an answer.
+// Several entries claim one key concurrently while some writes are delayed. Their
+// history must match the sequential model.
 func TestConcurrentClaimsHistory(t *testing.T) {
 	for round := range 20 {
-		p := &lateWrites{Memory: store.NewMemory(), left: round % 4}
+		p := &delayedWrites{Memory: store.NewMemory(), remaining: round % 4}
 		start := time.Now()
 		var mu sync.Mutex
 		var history []porcupine.Operation
@@ -257,8 +263,8 @@
 				s := NewStore(p, p, fmt.Sprint("vm-", client), time.Now)
 				for try := range 3 {
 					from := time.Since(start)
-					claim, kept, err := s.Acquire(t.Context(), call(fmt.Sprintf("%d-%d", client, try), "x"))
-					record(client, claimOp{}, from, claimResult{granted: claim != nil, kept: kept != nil, refused: err != nil})
+					claim, answer, err := s.Acquire(t.Context(), call(fmt.Sprintf("%d-%d", client, try), "x"))
+					record(client, claimOp{}, from, claimResult{granted: claim != nil, answered: answer != nil, refused: err != nil})
 					if claim == nil {
 						continue
 					}
@@ -267,19 +273,19 @@
 						t.Error(err)
 						return
 					}
-					record(client, claimOp{keep: true}, from, claimResult{})
+					record(client, claimOp{storeAnswer: true}, from, claimResult{})
 				}
 			})
 		}
 		wg.Wait()
 		if !porcupine.CheckOperations(claimModel(), history) {
-			t.Fatalf("round %d: a key was granted twice or an answer came from nowhere", round)
+			t.Fatalf("round %d: a key was granted twice or an answer was returned that was not stored", round)
 		}
 	}
 }
 
-// The checker itself must refuse a key that was granted twice.
-func TestHistoryCheckerRefusesTwoGrants(t *testing.T) {
+// The history checker must reject a key that was granted twice.
+func TestHistoryCheckerRejectsTwoGrants(t *testing.T) {
 	history := []porcupine.Operation{
 		{ClientId: 0, Input: claimOp{}, Call: 0, Output: claimResult{granted: true}, Return: 1},
 		{ClientId: 1, Input: claimOp{}, Call: 2, Output: claimResult{granted: true}, Return: 3},
--- a/internal/once/sweep.go
+++ b/internal/once/sweep.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// sweepFrom and sweepTo are the ages in days of the claims that a sweep
-	// removes. A day's claims are in use until every entry's clock, which may
-	// be a day behind, has left the day after it.
-	sweepFrom = 3
-	sweepTo   = 9
-	// sweepBatch is how many claims are removed in one write.
-	sweepBatch = 200
+	// minSweepAge and maxSweepAge are the ages in days of the claims that a sweep
+	// removes. The claims of a day are in use until the clocks of all entries,
+	// which may be a day behind, have passed the day after it.
+	minSweepAge = 3
+	maxSweepAge = 9
+	// sweepBatchSize is the number of claims that one write removes.
+	sweepBatchSize = 200
 )
 
-// Sweep removes the service's claims of days that no entry looks at any more
-// and returns how many there were. It may run anywhere and at any time, also
-// twice at once.
+// Sweep removes the service's claims of days that no entry checks any more, and
+// returns how many it removed. It may run on any VM, at any time, and several
+// times concurrently.
 func Sweep(ctx context.Context, table store.Table, service string, now time.Time) (int, error) {
 	today := day(now.Unix() / secondsPerDay)
 	removed := 0
-	for age := day(sweepFrom); age <= sweepTo; age++ {
+	for age := day(minSweepAge); age <= maxSweepAge; age++ {
 		n, err := sweepDay(ctx, table, (today - age).prefix(service))
 		removed += n
 		if err != nil {
@@ -35,14 +35,16 @@
 	return removed, nil
 }
 
+// sweepDay removes the claims whose keys start with prefix, in batches. It returns
+// how many it removed.
 func sweepDay(ctx context.Context, table store.Table, prefix string) (int, error) {
 	recs, err := table.List(ctx, prefix)
 	if err != nil {
 		return 0, errors.Wrap(err, "list old claims")
 	}
-	for i := 0; i < len(recs); i += sweepBatch {
+	for i := 0; i < len(recs); i += sweepBatchSize {
 		var txn store.Txn
-		for _, rec := range recs[i:min(i+sweepBatch, len(recs))] {
+		for _, rec := range recs[i:min(i+sweepBatchSize, len(recs))] {
 			txn.Deletes = append(txn.Deletes, rec.Key)
 		}
 		if _, err := table.Commit(ctx, txn); err != nil {
