--- a/internal/table/assign.go
+++ b/internal/table/assign.go
@@ -6,18 +6,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Target is a target that the platform's VM list knows.
+// Target is a target in the platform's VM list.
 type Target struct {
 	Name       string
 	DataCentre string
 	Kind       Kind
 }
 
-// Assign resolves the table's names and counts against the known targets and
-// returns the service of each target. Named targets are assigned as named;
-// a count takes unnamed targets of its kind and data centre in an order that
-// depends only on service and target, so that an edit of one row moves few
-// targets of the others.
+// Assign returns the service of each known target that the table assigns, by the
+// target's name. A row's named targets go to its service if data centre and kind
+// match. A row's count is filled with targets of the same data centre and kind
+// that no row names, in an order that depends only on service and target, so that
+// an edit of one row moves few targets of the others.
 func Assign(t Table, known []Target) map[string]string {
 	out := make(map[string]string, len(known))
 	byName := make(map[string]Target, len(known))
@@ -36,13 +36,14 @@
 	named := t.namedTargets()
 	for _, r := range t.Rows {
 		for _, a := range r.Engines {
-			takeCount(out, named, r, a, known)
+			assignCount(out, named, r, a, known)
 		}
 	}
 	return out
 }
 
-// namedTargets are off limits to counts, even while they are not known.
+// namedTargets returns the names of all targets that a row names, known or not.
+// No count may be filled with them.
 func (t Table) namedTargets() map[string]bool {
 	out := map[string]bool{}
 	for _, r := range t.Rows {
@@ -55,7 +56,9 @@
 	return out
 }
 
-func takeCount(out map[string]string, named map[string]bool, r Row, a Assignment, known []Target) {
+// assignCount fills the count of the assignment a of row r with known targets,
+// and adds them to out.
+func assignCount(out map[string]string, named map[string]bool, r Row, a Assignment, known []Target) {
 	var free []string
 	for _, k := range known {
 		_, taken := out[k.Name]
@@ -64,13 +67,14 @@
 		}
 	}
 	sort.Slice(free, func(i, j int) bool {
-		return affinity(r.Service, free[i]) < affinity(r.Service, free[j])
+		return rendezvousHash(r.Service, free[i]) < rendezvousHash(r.Service, free[j])
 	})
 	for i := 0; i < a.Count && i < len(free); i++ {
 		out[free[i]] = r.Service
 	}
 }
 
-func affinity(service, target string) uint64 {
+// rendezvousHash returns the hash by which a service's candidates are ordered.
+func rendezvousHash(service, target string) uint64 {
 	return xxhash.Sum64String(service + "\x00" + target)
 }
--- a/internal/table/csv.go
+++ b/internal/table/csv.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// Columns are the CSV columns, in order.
+// Columns lists the names of the CSV columns, in order.
 var Columns = []string{
 	"service", "kind", "engines", "model", "adapters", "version", "weight",
 	"rate_per_s", "in_flight", "account_rate_per_s", "deadline", "repeatable",
 	"change_cost", "fencing", "objective",
 }
 
-// versionPrefix starts the first line of a CSV file, which names the version
-// that the file was taken from.
+// versionPrefix starts the first line of a CSV file. The line gives the version of
+// the table that the file was made from.
 const versionPrefix = "# version "
 
-// CellError says what is wrong with one cell.
+// CellError is an error in one cell.
 type CellError struct {
-	// Line is the line of the CSV file, counting from 1; zero for a table
-	// that did not come from a file.
+	// Line is the line of the CSV file, counted from 1, or zero for a table that
+	// was not read from a file.
 	Line    int
 	Service string
 	Column  string
 	Message string
 }
 
-// String names row, column and fault.
+// String returns the position of the cell and the message.
 func (e CellError) String() string {
 	where := fmt.Sprintf("row %q column %q", e.Service, e.Column)
 	if e.Line > 0 {
@@ -40,10 +40,10 @@
 	return where + ": " + e.Message
 }
 
-// Invalid is the error that lists every bad cell.
+// Invalid is an error that lists every invalid cell.
 type Invalid []CellError
 
-// Error implements error, one cell a line.
+// Error returns the errors of the cells, one on each line.
 func (es Invalid) Error() string {
 	lines := make([]string, len(es))
 	for i, e := range es {
@@ -66,11 +66,11 @@
 	return buf.Bytes()
 }
 
-// DecodeCSV parses a file written by EncodeCSV and edited since. The error is
-// an Invalid that lists every bad cell. The rows' checks are made as well.
+// DecodeCSV parses a file that EncodeCSV wrote and someone may have edited, and
+// checks the table. The error is an Invalid that lists every invalid cell.
 func DecodeCSV(data []byte) (Table, error) {
 	var t Table
-	rest, err := t.takeVersion(data)
+	rest, err := t.decodeVersion(data)
 	if err != nil {
 		return Table{}, err
 	}
@@ -83,29 +83,32 @@
 	if len(header) != len(Columns) || strings.Join(header, ",") != strings.Join(Columns, ",") {
 		return Table{}, Invalid{{Line: 2, Message: "the header must be " + strings.Join(Columns, ",")}}
 	}
-	var bad Invalid
+	var invalid Invalid
 	for {
 		cells, err := r.Read()
 		if err == io.EOF {
 			break
 		}
 		if err != nil {
-			return Table{}, append(bad, CellError{Message: err.Error()})
+			return Table{}, append(invalid, CellError{Message: err.Error()})
 		}
-		// The version line was cut off before the reader saw it.
+		// The reader does not get the version line, so its line numbers are one
+		// too low.
 		line, _ := r.FieldPos(0)
 		row, errs := decodeRow(line+1, cells)
-		bad = append(bad, errs...)
+		invalid = append(invalid, errs...)
 		t.Rows = append(t.Rows, row)
 	}
-	if len(bad) > 0 {
-		return Table{}, bad
+	if len(invalid) > 0 {
+		return Table{}, invalid
 	}
 	t.Sort()
 	return t, t.Check()
 }
 
-func (t *Table) takeVersion(data []byte) ([]byte, error) {
+// decodeVersion sets the version of t from the first line of data and returns the
+// other lines.
+func (t *Table) decodeVersion(data []byte) ([]byte, error) {
 	line, rest, _ := bytes.Cut(data, []byte("\n"))
 	// Spreadsheets pad the line with empty cells and may quote it.
 	text := strings.Trim(string(line), ",\r\" ")
@@ -121,6 +124,7 @@
 	return rest, nil
 }
 
+// cells returns the row's cells in the order of Columns.
 func (r *Row) cells() []string {
 	return []string{
 		r.Service, string(r.Kind), encodeEngines(r.Engines), r.Model,
@@ -131,6 +135,7 @@
 	}
 }
 
+// decodeRow decodes the cells of one line, and returns the errors of all of them.
 func decodeRow(line int, cells []string) (Row, Invalid) {
 	var r Row
 	if len(cells) != len(Columns) {
@@ -153,17 +158,18 @@
 	r.ChangeCost = d.float("change_cost")
 	r.Fencing = Fencing(d.text("fencing"))
 	r.Objective = d.float("objective")
-	return r, d.bad
+	return r, d.errs
 }
 
-// rowDecoder reads the cells of one CSV line by column and gathers the faults.
+// rowDecoder decodes the cells of one CSV line by column and collects the errors.
 type rowDecoder struct {
 	line    int
 	service string
 	cells   []string
-	bad     Invalid
+	errs    Invalid
 }
 
+// text returns the cell of a column without surrounding space.
 func (d *rowDecoder) text(column string) string {
 	for i, c := range Columns {
 		if c == column {
@@ -173,8 +179,9 @@
 	return ""
 }
 
-func (d *rowDecoder) fail(column, format string, args ...any) {
-	d.bad = append(d.bad, CellError{
+// addError adds an error for the cell of a column.
+func (d *rowDecoder) addError(column, format string, args ...any) {
+	d.errs = append(d.errs, CellError{
 		Line: d.line, Service: d.service, Column: column, Message: fmt.Sprintf(format, args...),
 	})
 }
@@ -182,7 +189,7 @@
 func (d *rowDecoder) float(column string) float64 {
 	v, err := strconv.ParseFloat(d.text(column), 64)
 	if err != nil {
-		d.fail(column, "%q is not a number", d.text(column))
+		d.addError(column, "%q is not a number", d.text(column))
 	}
 	return v
 }
@@ -190,7 +197,7 @@
 func (d *rowDecoder) int(column string) int {
 	v, err := strconv.Atoi(d.text(column))
 	if err != nil {
-		d.fail(column, "%q is not a whole number", d.text(column))
+		d.addError(column, "%q is not a whole number", d.text(column))
 	}
 	return v
 }
@@ -198,7 +205,7 @@
 func (d *rowDecoder) duration(column string) time.Duration {
 	v, err := time.ParseDuration(d.text(column))
 	if err != nil {
-		d.fail(column, "%q is not a duration with a unit, such as 2s", d.text(column))
+		d.addError(column, "%q is not a duration with a unit, such as 2s", d.text(column))
 	}
 	return v
 }
@@ -210,30 +217,32 @@
 	case "no":
 		return false
 	}
-	d.fail(column, "%q is not yes or no", d.text(column))
+	d.addError(column, "%q is not yes or no", d.text(column))
 	return false
 }
 
-// engines parses "kakkanad=e1+e2;edappally=3".
+// engines parses a cell such as "kakkanad=e1+e2;edappally=3": for each data
+// centre the names of targets or a count.
 func (d *rowDecoder) engines(column string) []Assignment {
 	var out []Assignment
 	for _, part := range splitList(d.text(column), ";") {
-		dc, what, ok := strings.Cut(part, "=")
-		if !ok || dc == "" || what == "" {
-			d.fail(column, "%q is not DATACENTRE=NAME+NAME or DATACENTRE=COUNT", part)
+		dc, value, ok := strings.Cut(part, "=")
+		if !ok || dc == "" || value == "" {
+			d.addError(column, "%q is not DATACENTRE=NAME+NAME or DATACENTRE=COUNT", part)
 			continue
 		}
 		a := Assignment{DataCentre: dc}
-		if n, err := strconv.Atoi(what); err == nil {
+		if n, err := strconv.Atoi(value); err == nil {
 			a.Count = n
 		} else {
-			a.Names = splitList(what, "+")
+			a.Names = splitList(value, "+")
 		}
 		out = append(out, a)
 	}
 	return out
 }
 
+// encodeEngines returns the cell that rowDecoder.engines parses.
 func encodeEngines(as []Assignment) string {
 	parts := make([]string, len(as))
 	for i, a := range as {
@@ -246,6 +255,7 @@
 	return strings.Join(parts, ";")
 }
 
+// splitList splits a cell at sep into trimmed parts; an empty cell has none.
 func splitList(s, sep string) []string {
 	if s == "" {
 		return nil
--- a/internal/table/store.go
+++ b/internal/table/store.go
@@ -13,7 +13,7 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
-// Keys of the table on the platform.
+// Keys and key prefixes of the table's records on the platform.
 const (
 	keyHead       = "table/head"
 	prefixRow     = "table/row/"
@@ -21,40 +21,45 @@
 	prefixToken   = "table/token/"
 )
 
-// historyKept is how many accepted edits the history keeps.
-const historyKept = 2000
+// maxHistory is the number of accepted edits that the history holds.
+const maxHistory = 2000
 
-// applyTries bounds how often an edit is tried again when others get in first.
-const applyTries = 20
+// maxAttempts bounds the attempts to read the table or to apply an edit while
+// other edits get in first.
+const maxAttempts = 20
 
-// Store keeps the table on the platform. Each row is written on the version it
-// was taken from; one head record carries the version of the whole.
+// Store stores the table on the platform, with a record for each row. The head
+// record holds the version of the whole table. Every write is conditional on the
+// head's version. A Store is safe for concurrent use.
 type Store struct {
 	platform store.Table
 	now      func() time.Time
 }
 
-// NewStore returns the table kept on p.
+// NewStore returns the store of the table on the platform p. now is the time that
+// the history records.
 func NewStore(p store.Table, now func() time.Time) *Store {
 	return &Store{platform: p, now: now}
 }
 
-// head is the record under keyHead.
+// head is the record under keyHead, and under the token of each accepted edit.
 type head struct {
 	Version uint64 `json:"version"`
 }
 
-// Edit is an edited table on its way to the platform.
+// Edit is an edited table to be applied.
 type Edit struct {
-	// Token makes the edit idempotent.
+	// Token identifies the edit, which is applied only once for each token.
 	Token string
-	Who   string
-	// Base is the version that the table was taken from.
-	Base  uint64
+	// Who is the operator's name for the history.
+	Who string
+	// Base is the table version from which the edit was made.
+	Base uint64
+	// Table has all rows, edited or not.
 	Table Table
 }
 
-// Accepted is an edit in the history.
+// Accepted is an applied edit in the history.
 type Accepted struct {
 	Version uint64    `json:"version"`
 	Token   string    `json:"token"`
@@ -63,18 +68,21 @@
 	Changes []Change  `json:"changes"`
 }
 
-// Conflict is the error of an edit of a row that changed since the edit's base.
+// Conflict is the error for an edited row that another edit has changed since the
+// base version.
 type Conflict struct {
 	Service string
-	// Theirs is how the row differs now from the base edited; Yours is the
-	// row as edited. Either is nil for a removed row.
+	// Theirs is the row as it is now, and Yours the row as edited. Either is nil
+	// for a removed row.
 	Theirs *Row
 	Yours  *Row
-	Base   uint64
-	Now    uint64
+	// Base is the version that the edit was made from, and Now the table's
+	// current version.
+	Base uint64
+	Now  uint64
 }
 
-// Error implements error and shows both values of each cell in conflict.
+// Error returns a message with both values of each cell that differs.
 func (c *Conflict) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "row %q changed in version %d, after version %d that your table was taken from:", c.Service, c.Now, c.Base)
@@ -84,14 +92,16 @@
 	return b.String()
 }
 
-// Version returns the table's version on the platform, at the cost of one
-// read; zero when there is no table yet.
+// Version returns the table's version on the platform, or zero if there is no
+// table yet. It takes one read.
 func (s *Store) Version(ctx context.Context) (uint64, error) {
-	h, _, err := s.head(ctx)
+	h, _, err := s.readHead(ctx)
 	return h.Version, err
 }
 
-func (s *Store) head(ctx context.Context) (head, uint64, error) {
+// readHead returns the head record and its version on the platform; both are zero
+// if there is no table yet.
+func (s *Store) readHead(ctx context.Context) (head, uint64, error) {
 	var h head
 	rec, err := s.platform.Get(ctx, keyHead)
 	if errors.Is(err, store.ErrNotFound) {
@@ -109,19 +119,20 @@
 	return t, err
 }
 
-// read returns the table and the platform's version of its head. The head is
-// read before and after the rows, so that the rows are of one version.
+// read returns the table and the version of its head record on the platform. It
+// reads the head before and after the rows, and reads again if the head has
+// changed, so that all rows are of one version.
 func (s *Store) read(ctx context.Context) (Table, uint64, error) {
-	for range applyTries {
-		before, version, err := s.head(ctx)
+	for range maxAttempts {
+		before, version, err := s.readHead(ctx)
 		if err != nil {
 			return Table{}, 0, err
 		}
-		rows, err := s.rows(ctx)
+		rows, err := s.readRows(ctx)
 		if err != nil {
 			return Table{}, 0, err
 		}
-		after, _, err := s.head(ctx)
+		after, _, err := s.readHead(ctx)
 		if err != nil {
 			return Table{}, 0, err
 		}
@@ -129,10 +140,11 @@
 			return Table{Version: before.Version, Rows: rows}, version, nil
 		}
 	}
-	return Table{}, 0, errors.Wrap(store.ErrUnavailable, "the table changes faster than it can be read")
+	return Table{}, 0, errors.Wrap(store.ErrUnavailable, "the table changed during every attempt to read it")
 }
 
-func (s *Store) rows(ctx context.Context) ([]Row, error) {
+// readRows returns the rows on the platform.
+func (s *Store) readRows(ctx context.Context) ([]Row, error) {
 	recs, err := s.platform.List(ctx, prefixRow)
 	if err != nil {
 		return nil, errors.Wrap(err, "read table rows")
@@ -148,12 +160,13 @@
 	return rows, nil
 }
 
-// Apply puts the rows that e changed in force and returns the new version. An
-// edit applied before under the same token is not applied again. The error is
-// an Invalid, a *Conflict, or one of the platform's.
+// Apply applies the changes that e makes to its base version, and returns a
+// table version in which they are in force. An edit is not applied again under
+// the same token. The error is an Invalid, a *Conflict, or wraps one of the
+// platform's; store.ErrUnknown means that the edit may still take effect.
 func (s *Store) Apply(ctx context.Context, e Edit) (uint64, error) {
-	for range applyTries {
-		version, done, err := s.applied(ctx, e.Token)
+	for range maxAttempts {
+		version, done, err := s.findApplied(ctx, e.Token)
 		if err != nil || done {
 			return version, err
 		}
@@ -162,8 +175,9 @@
 		case err == nil:
 			return version, nil
 		case errors.Is(err, store.ErrUnknown):
-			// The write may land, now or later, but only on the head it was
-			// made for. The token tells, or the same write is made again.
+			// The write may take effect now or later, but only on the head
+			// version that it was made for. The next attempt finds its token or
+			// makes the write again.
 			continue
 		case errors.Is(err, store.ErrConflict):
 			continue
@@ -173,14 +187,15 @@
 	return 0, errors.Wrap(store.ErrUnknown, "the edit could not be confirmed; apply it again with the same token")
 }
 
-// applied returns the version of an edit that is already in force.
-func (s *Store) applied(ctx context.Context, token string) (uint64, bool, error) {
+// findApplied returns the version that the edit with the token was applied in, and
+// whether it was applied.
+func (s *Store) findApplied(ctx context.Context, token string) (uint64, bool, error) {
 	rec, err := s.platform.Get(ctx, prefixToken+token)
 	if errors.Is(err, store.ErrNotFound) {
 		return 0, false, nil
 	}
 	if err != nil {
-		return 0, false, errors.Wrap(err, "look up edit")
+		return 0, false, errors.Wrap(err, "look up edit token")
 	}
 	var h head
 	if err := json.Unmarshal(rec.Value, &h); err != nil {
@@ -189,6 +204,7 @@
 	return h.Version, true, nil
 }
 
+// applyOnce makes one attempt to apply e, and returns the new version.
 func (s *Store) applyOnce(ctx context.Context, e Edit) (uint64, error) {
 	current, headVersion, err := s.read(ctx)
 	if err != nil {
@@ -201,7 +217,7 @@
 	if len(changes) == 0 {
 		return current.Version, nil
 	}
-	next := merge(current, changes)
+	next := applyChanges(current, changes)
 	if err := next.Check(); err != nil {
 		return 0, err
 	}
@@ -215,14 +231,14 @@
 	return current.Version + 1, nil
 }
 
-// changes returns what e changes of current. A row that both the operator and
-// someone else have changed since the base is a conflict; rows that only
-// others changed stay as they are now.
+// changes returns the changes that e makes to the current table. If both e and
+// another edit since its base have changed a row in different ways, the error is
+// a *Conflict. Rows that only other edits changed stay as they are now.
 func (s *Store) changes(ctx context.Context, current Table, e Edit) ([]Change, error) {
 	base := current
 	if e.Base != current.Version {
 		var err error
-		if base, err = s.at(ctx, current, e.Base); err != nil {
+		if base, err = s.readVersion(ctx, current, e.Base); err != nil {
 			return nil, err
 		}
 	}
@@ -234,10 +250,10 @@
 		if exists {
 			theirs = &now
 		}
-		if sameOptional(theirs, c.After) {
+		if equalOptionalRows(theirs, c.After) {
 			continue
 		}
-		if !sameOptional(theirs, c.Before) {
+		if !equalOptionalRows(theirs, c.Before) {
 			return nil, &Conflict{Service: c.Service, Theirs: theirs, Yours: c.After, Base: e.Base, Now: current.Version}
 		}
 		out = append(out, Change{Service: c.Service, Before: theirs, After: c.After})
@@ -245,20 +261,21 @@
 	return out, nil
 }
 
-func sameOptional(a, b *Row) bool {
+// equalOptionalRows reports whether the rows are equal or both missing.
+func equalOptionalRows(a, b *Row) bool {
 	if a == nil || b == nil {
 		return a == nil && b == nil
 	}
-	return sameRow(*a, *b)
+	return equalRows(*a, *b)
 }
 
-// at returns the table as it was at an earlier version, by undoing the history
-// backwards from current.
-func (s *Store) at(ctx context.Context, current Table, version uint64) (Table, error) {
+// readVersion returns the table as it was at an earlier version, by undoing the
+// edits in the history from the current table backwards.
+func (s *Store) readVersion(ctx context.Context, current Table, version uint64) (Table, error) {
 	if version > current.Version {
 		return Table{}, errors.Errorf("the edit is based on version %d, but the table is at %d", version, current.Version)
 	}
-	accepted, err := s.History(ctx, historyKept)
+	accepted, err := s.History(ctx, maxHistory)
 	if err != nil {
 		return Table{}, err
 	}
@@ -271,16 +288,17 @@
 		for _, c := range a.Changes {
 			undo = append(undo, Change{Service: c.Service, Before: c.After, After: c.Before})
 		}
-		t = merge(t, undo)
+		t = applyChanges(t, undo)
 		reached = a.Version - 1
 	}
 	if reached != version {
-		return Table{}, errors.Errorf("version %d is too old to be edited; take the table again", version)
+		return Table{}, errors.Errorf("version %d is no longer in the history; get the table and edit it again", version)
 	}
 	return t, nil
 }
 
-func merge(t Table, changes []Change) Table {
+// applyChanges returns t with the changes applied, sorted and at the same version.
+func applyChanges(t Table, changes []Change) Table {
 	out := Table{Version: t.Version}
 	changed := make(map[string]bool, len(changes))
 	for _, c := range changes {
@@ -298,8 +316,9 @@
 	return out
 }
 
-// transaction builds the one write that puts an edit in force: changed rows,
-// head, history and token.
+// transaction returns the transaction that applies an edit as the given table
+// version: it writes the changed rows, the head, the history and the token, if
+// the head still has headVersion and the token is new.
 func (s *Store) transaction(e Edit, version, headVersion uint64, changes []Change) (store.Txn, error) {
 	txn := store.Txn{Conds: []store.Cond{
 		{Key: keyHead, Version: headVersion},
@@ -330,15 +349,17 @@
 			return txn, err
 		}
 	}
-	if version > historyKept {
-		txn.Deletes = append(txn.Deletes, historyKey(version-historyKept))
+	if version > maxHistory {
+		txn.Deletes = append(txn.Deletes, historyKey(version-maxHistory))
 	}
 	return txn, nil
 }
 
-// historyKey sorts by version.
+// historyKey returns the key of a version's history record. The keys sort by
+// version.
 func historyKey(version uint64) string { return fmt.Sprintf("%s%016x", prefixHistory, version) }
 
+// putJSON adds a write of value, encoded as JSON, to txn.
 func putJSON(txn *store.Txn, key string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -348,7 +369,7 @@
 	return nil
 }
 
-// History returns up to limit accepted edits, newest first.
+// History returns the last limit accepted edits at most, newest first.
 func (s *Store) History(ctx context.Context, limit int) ([]Accepted, error) {
 	recs, err := s.platform.List(ctx, prefixHistory)
 	if err != nil {
--- a/internal/table/store_test.go
+++ b/internal/table/store_test.go
@@ -15,7 +15,8 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
-func seeded(t *testing.T, p store.Table) (*Store, Table) {
+// newSeededStore returns a store on p with two rows, and the table in it.
+func newSeededStore(t *testing.T, p store.Table) (*Store, Table) {
 	t.Helper()
 	s := NewStore(p, time.Now)
 	v, err := s.Apply(t.Context(), Edit{Token: "seed", Who: "test", Table: Table{Rows: []Row{hintsRow(), renewalsRow()}}})
@@ -29,7 +30,7 @@
 	return s, got
 }
 
-// withWeight returns t with another weight for one service.
+// withWeight returns a copy of t with another weight for one service.
 func withWeight(t Table, service string, weight float64) Table {
 	out := Table{Version: t.Version, Rows: append([]Row(nil), t.Rows...)}
 	for i := range out.Rows {
@@ -40,19 +41,20 @@
 	return out
 }
 
+// Edits of one row conflict, and edits of different rows are both applied.
 func TestTwoOperators(t *testing.T) {
 	is := is.New(t)
-	s, base := seeded(t, store.NewMemory())
+	s, base := newSeededStore(t, store.NewMemory())
 	_, err := s.Apply(t.Context(), Edit{Token: "a", Base: base.Version, Table: withWeight(base, "hints", 5)})
 	is.NoErr(err)
 
 	_, err = s.Apply(t.Context(), Edit{Token: "b", Base: base.Version, Table: withWeight(base, "hints", 9)})
 	var conflict *Conflict
 	is.True(errors.As(err, &conflict))
-	is.True(strings.Contains(err.Error(), `column "weight": theirs "5", yours "9"`)) // both values shown
+	is.True(strings.Contains(err.Error(), `column "weight": theirs "5", yours "9"`)) // shows both values
 
 	_, err = s.Apply(t.Context(), Edit{Token: "c", Base: base.Version, Table: withWeight(base, "renewals", 9)})
-	is.NoErr(err) // another row does not conflict
+	is.NoErr(err) // an edit of another row does not conflict
 	now, err := s.Read(t.Context())
 	is.NoErr(err)
 	hints, _ := now.Row("hints")
@@ -62,9 +64,11 @@
 	is.Equal(now.Version, uint64(3))
 }
 
-func TestEngineGivenTwiceByTwoOperators(t *testing.T) {
+// Two edits of different rows that are valid alone, but assign the same engine, are
+// not both applied.
+func TestTwoOperatorsAssignOneEngine(t *testing.T) {
 	is := is.New(t)
-	s, base := seeded(t, store.NewMemory())
+	s, base := newSeededStore(t, store.NewMemory())
 	add := func(name string) Table {
 		out := withWeight(base, "", 0)
 		r := hintsRow()
@@ -76,12 +80,13 @@
 	is.NoErr(err)
 	_, err = s.Apply(t.Context(), Edit{Token: "b", Base: base.Version, Table: add("judge")})
 	var invalid Invalid
-	is.True(errors.As(err, &invalid)) // each edit is fine alone, both are not
+	is.True(errors.As(err, &invalid)) // the engine is already assigned
 }
 
-func TestRemovalAgainstEdit(t *testing.T) {
+// An edit of a row conflicts with its removal.
+func TestEditConflictsWithRemoval(t *testing.T) {
 	is := is.New(t)
-	s, base := seeded(t, store.NewMemory())
+	s, base := newSeededStore(t, store.NewMemory())
 	removed := Table{Rows: []Row{base.Rows[1]}}
 	_, err := s.Apply(t.Context(), Edit{Token: "a", Base: base.Version, Table: removed})
 	is.NoErr(err)
@@ -90,25 +95,26 @@
 	is.True(errors.As(err, &conflict))
 }
 
-// faulty lets the first n commits go wrong in one way.
-type faulty struct {
+// faultyStore lets the next remaining commits meet a fault.
+type faultyStore struct {
 	*store.Memory
-	mu    sync.Mutex
-	left  int
-	fault store.Fault
+	mu        sync.Mutex
+	remaining int
+	fault     store.Fault
 }
 
-func (f *faulty) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
+func (f *faultyStore) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.left > 0 {
-		f.left--
+	if f.remaining > 0 {
+		f.remaining--
 		f.SetFault(f.fault)
 		defer f.SetFault(store.FaultNone)
 	}
 	return f.Memory.Commit(ctx, txn)
 }
 
+// A write with an unknown outcome is applied exactly once.
 func TestUnknownWrites(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -120,12 +126,12 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			p := &faulty{Memory: store.NewMemory()}
-			s, base := seeded(t, p)
-			p.left, p.fault = 1, c.fault
+			p := &faultyStore{Memory: store.NewMemory()}
+			s, base := newSeededStore(t, p)
+			p.remaining, p.fault = 1, c.fault
 			v, err := s.Apply(t.Context(), Edit{Token: "a", Base: base.Version, Table: withWeight(base, "hints", 5)})
 			is.NoErr(err)
-			is.Equal(v, uint64(2)) // in force once
+			is.Equal(v, uint64(2)) // applied once
 			again, err := s.Apply(t.Context(), Edit{Token: "a", Base: base.Version, Table: withWeight(base, "hints", 5)})
 			is.NoErr(err)
 			is.Equal(again, uint64(2)) // the same token is not applied twice
@@ -139,7 +145,7 @@
 func TestPlatformDown(t *testing.T) {
 	is := is.New(t)
 	p := store.NewMemory()
-	s, base := seeded(t, p)
+	s, base := newSeededStore(t, p)
 	p.SetFault(store.FaultDown)
 	_, err := s.Apply(t.Context(), Edit{Token: "a", Base: base.Version, Table: withWeight(base, "hints", 5)})
 	is.True(errors.Is(err, store.ErrUnavailable))
@@ -149,19 +155,22 @@
 	is.Equal(v, uint64(1))
 }
 
-// register is the sequential model of one cell of the table: an accepted edit
-// must have been based on the value it replaces.
+// cellOp is an operation on one cell of the table: a read, or an edit that replaces
+// from by to.
 type cellOp struct {
 	read bool
 	from float64
 	to   float64
 }
 
+// cellResult is the value that was read, or whether the edit was accepted.
 type cellResult struct {
 	value float64
 	ok    bool
 }
 
+// cellModel returns the sequential model of one cell of the table: an accepted edit
+// must have been based on the value that it replaces.
 func cellModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return 1.0 },
@@ -178,12 +187,13 @@
 	}
 }
 
-// Concurrent operators, some writes without an answer: every accepted edit
-// replaced the value that it was based on, and none was lost.
+// Several operators edit one cell concurrently, while the answers to some writes
+// are lost. Every accepted edit must replace the value that it was based on, and
+// none may be lost.
 func TestConcurrentOperatorsHistory(t *testing.T) {
-	p := &faulty{Memory: store.NewMemory()}
-	s, _ := seeded(t, p)
-	p.left, p.fault = 8, store.FaultLostAnswers
+	p := &faultyStore{Memory: store.NewMemory()}
+	s, _ := newSeededStore(t, p)
+	p.remaining, p.fault = 8, store.FaultLostAnswers
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	start := time.Now()
@@ -222,12 +232,12 @@
 	}
 	wg.Wait()
 	if !porcupine.CheckOperations(cellModel(), history) {
-		t.Fatal("an accepted edit was lost or based on a value that was not there")
+		t.Fatal("an accepted edit was lost or based on a value that it did not replace")
 	}
 }
 
-// The checker itself must refuse a lost update.
-func TestHistoryCheckerRefusesLostUpdate(t *testing.T) {
+// The history checker must reject a lost update.
+func TestHistoryCheckerRejectsLostUpdate(t *testing.T) {
 	history := []porcupine.Operation{
 		{ClientId: 0, Input: cellOp{from: 1, to: 2}, Call: 0, Output: cellResult{ok: true}, Return: 1},
 		{ClientId: 1, Input: cellOp{from: 1, to: 3}, Call: 2, Output: cellResult{ok: true}, Return: 3},
@@ -237,12 +247,12 @@
 	}
 }
 
-// An apply that is repeated after its answer was lost, when someone else has
-// edited the row since, is found by its token: it neither conflicts nor undoes
+// An edit is repeated after its answer was lost, and after another operator has
+// edited the same row. It is found by its token, so it neither conflicts nor undoes
 // the later edit.
 func TestRepeatedApplyAfterALaterEdit(t *testing.T) {
 	is := is.New(t)
-	s, base := seeded(t, store.NewMemory())
+	s, base := newSeededStore(t, store.NewMemory())
 	edit := Edit{Token: "a", Base: base.Version, Table: withWeight(base, "hints", 5)}
 	v, err := s.Apply(t.Context(), edit)
 	is.NoErr(err)
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -33,6 +33,7 @@
 	is.Equal(out, in)
 }
 
+// A spreadsheet may quote the version line and pad it with empty cells.
 func TestSpreadsheetPadding(t *testing.T) {
 	is := is.New(t)
 	text := string(EncodeCSV(Table{Version: 7, Rows: []Row{hintsRow()}}))
@@ -42,24 +43,24 @@
 	is.Equal(out.Version, uint64(7))
 }
 
-func TestBadCells(t *testing.T) {
+func TestInvalidCells(t *testing.T) {
 	cases := []struct {
 		name string
 		edit func(*Row)
 		want string
 	}{
 		{"weight below zero", func(r *Row) { r.Weight = -1 }, `row "hints" column "weight"`},
-		{"engine twice in a row", func(r *Row) { r.Engines[0].Names = []string{"e1", "e1"} }, `engine e1 is given twice`},
-		{"engine of another row", func(r *Row) { r.Engines[0].Names = []string{"d1"} }, `engine d1 is given twice`},
-		{"data centre twice", func(r *Row) { r.Engines[1].DataCentre = "kakkanad" }, `data centre kakkanad is given twice`},
+		{"engine named twice in one row", func(r *Row) { r.Engines[0].Names = []string{"e1", "e1"} }, `engine e1 is given twice`},
+		{"engine named in another row", func(r *Row) { r.Engines[0].Names = []string{"d1"} }, `engine d1 is given twice`},
+		{"data centre named twice", func(r *Row) { r.Engines[1].DataCentre = "kakkanad" }, `data centre kakkanad is given twice`},
 		{"count below zero", func(r *Row) { r.Engines[1].Count = -2 }, `column "engines"`},
-		{"bad name", func(r *Row) { r.Service = "Hints!" }, `column "service"`},
-		{"second row", func(r *Row) { r.Service = "renewals" }, "the service has two rows"},
-		{"kind", func(r *Row) { r.Kind = "magic" }, `column "kind"`},
-		{"model", func(r *Row) { r.Model = "" }, `column "model"`},
-		{"deadline", func(r *Row) { r.Deadline = 0 }, `column "deadline"`},
-		{"objective", func(r *Row) { r.Objective = 1 }, `column "objective"`},
-		{"fencing", func(r *Row) { r.Fencing = "maybe" }, `column "fencing"`},
+		{"invalid name", func(r *Row) { r.Service = "Hints!" }, `column "service"`},
+		{"two rows of one service", func(r *Row) { r.Service = "renewals" }, "the service has two rows"},
+		{"unknown kind", func(r *Row) { r.Kind = "magic" }, `column "kind"`},
+		{"no model", func(r *Row) { r.Model = "" }, `column "model"`},
+		{"no deadline", func(r *Row) { r.Deadline = 0 }, `column "deadline"`},
+		{"objective not below 1", func(r *Row) { r.Objective = 1 }, `column "objective"`},
+		{"unknown fencing", func(r *Row) { r.Fencing = "maybe" }, `column "fencing"`},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -74,7 +75,7 @@
 	}
 }
 
-func TestBadCSV(t *testing.T) {
+func TestInvalidCSV(t *testing.T) {
 	good := string(EncodeCSV(Table{Version: 1, Rows: []Row{hintsRow()}}))
 	cases := []struct{ name, old, new, want string }{
 		{"no version", "# version 1\n", "", "line 1"},
@@ -82,8 +83,8 @@
 		{"not a number", ",1,0,0,0,", ",heavy,0,0,0,", `line 3, row "hints" column "weight": "heavy" is not a number`},
 		{"not yes or no", ",yes,", ",maybe,", `column "repeatable"`},
 		{"missing cell", ",0.99\n", "\n", "has 14 cells, want 15"},
-		{"engines", "vyttila=2", "vyttila", `column "engines"`},
-		{"deadline", "20s", "20", `column "deadline"`},
+		{"engines without a count", "vyttila=2", "vyttila", `column "engines"`},
+		{"deadline without a unit", "20s", "20", `column "deadline"`},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -107,16 +108,16 @@
 		}
 		out, err := DecodeCSV(EncodeCSV(in))
 		if err != nil {
-			t.Fatalf("an accepted table does not come back: %v", err)
+			t.Fatalf("a decoded table cannot be decoded again after encoding: %v", err)
 		}
 		if len(Diff(in, out)) > 0 {
-			t.Fatalf("table changed: %v", Diff(in, out))
+			t.Fatalf("encoding and decoding changed the table: %v", Diff(in, out))
 		}
 	})
 }
 
-// Each target has at most one service, and an edit of one row leaves other
-// rows' named targets alone.
+// A service gets at most as many targets as its count, and a named target goes only
+// to the service of the row that names it.
 func TestAssignProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var known []Target
@@ -137,12 +138,12 @@
 		}
 		for _, r := range rows[1:] {
 			if counts[r.Service] > r.Engines[0].Count {
-				rt.Fatalf("%s has %d engines, asked for %d", r.Service, counts[r.Service], r.Engines[0].Count)
+				rt.Fatalf("%s has %d engines, want at most %d", r.Service, counts[r.Service], r.Engines[0].Count)
 			}
 		}
 		for _, name := range []string{"ea", "eb"} {
 			if s, ok := got[name]; ok && s != "p" {
-				rt.Fatalf("named engine %s went to %s", name, s)
+				rt.Fatalf("engine %s, which row p names, is assigned to %s", name, s)
 			}
 		}
 	})
