--- a/internal/limit/book.go
+++ b/internal/limit/book.go
@@ -31,7 +31,7 @@
 	inFlightUntil time.Duration
 }
 
-// NewBook returns a book without grants, which grants nothing before from.
+// NewBook returns a Book that has made no grants and makes none before from.
 func NewBook(from time.Duration) *Book {
 	return &Book{from: from, entries: map[string]*entryDemand{}}
 }
@@ -52,8 +52,8 @@
 const demandTTLs = 3
 
 // Grant grants the entry its proportional share of the pool, or less if the
-// unexpired grants of the other entries leave less. The grant is zero before the
-// book's first grant may be made.
+// unexpired grants of the other entries leave less. The grant is zero while the
+// grants of the previous lease holder may be in force.
 func (b *Book) Grant(pool Limits, ask Ask, now time.Duration) Limits {
 	b.expire(now, ask.TTL)
 	entry, ok := b.entries[ask.VM]
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -178,7 +178,7 @@
 			_, err = a.sender.Begin(context.Background())
 			is.NoErr(err)
 			for range 3 {
-				if _, ordered := a.sender.Wanted("e1"); !ordered {
+				if _, ordered := a.sender.LastWant("e1"); !ordered {
 					is.NoErr(a.give(table.FencingChecked, "v1"))
 				}
 				a.complete(t)
--- a/internal/order/sender.go
+++ b/internal/order/sender.go
@@ -121,9 +121,9 @@
 	return s.entries != nil && (s.entries[engine].Engine == "" || s.entries[engine].Done)
 }
 
-// Wanted returns what the last order in the journal told the engine, and whether
+// LastWant returns what the last order in the journal told the engine, and whether
 // there is one.
-func (s *Sender) Wanted(engine string) (target.Want, bool) {
+func (s *Sender) LastWant(engine string) (target.Want, bool) {
 	e, ok := s.entries[engine]
 	return e.Order.Want, ok
 }
@@ -233,7 +233,7 @@
 
 var _ Engines = (*target.Client)(nil)
 
-// Conflict reports whether err shows that another holder has taken over.
-func Conflict(err error) bool {
+// IsConflict reports whether err shows that another holder has taken over.
+func IsConflict(err error) bool {
 	return errors.Is(err, store.ErrConflict) || errors.Is(err, target.ErrFenced)
 }
--- a/internal/route/load.go
+++ b/internal/route/load.go
@@ -51,8 +51,8 @@
 }
 
 // Reported returns the wait at the time of the last report, in seconds. While
-// requests keep arriving it estimates the present wait better than Until, which
-// does not include what other entries have sent since that report.
+// requests keep arriving it estimates the present wait better than the time from
+// busyUntil, which does not include what other entries have sent since then.
 func (l *Load) Reported() float64 { return max(l.reportedUntil-l.reportedAt, 0) }
 
 // Until returns the estimated time at which the target finishes its queued work.
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -29,7 +29,7 @@
 	// that this entry has sent since.
 	Until float64
 	// Busy is the share of recent time that the target spent on prefill. It
-	// changes slowly, so an outdated report makes it less wrong than Until.
+	// changes slowly, so an outdated report matters less than for the wait.
 	Busy float64
 	// Running is the number of requests in the batch: those last reported plus
 	// those that this entry has sent since.
