--- a/internal/limit/book.go
+++ b/internal/limit/book.go
@@ -31,7 +31,7 @@
 	inFlightUntil time.Duration
 }
 
-// NewBook returns a Book that has made no grants and makes none before from.
+// NewBook returns an empty Book, which makes no grants before from.
 func NewBook(from time.Duration) *Book {
 	return &Book{from: from, entries: map[string]*entryDemand{}}
 }
--- a/internal/table/store.go
+++ b/internal/table/store.go
@@ -162,7 +162,7 @@
 
 // Apply applies the changes that e makes to its base version, and returns a
 // table version in which they are in force. An edit is not applied again under
-// the same token. The error is an Invalid, a *Conflict, or wraps one of the
+// the same token. The error is an Invalid, a Conflict, or wraps one of the
 // platform's; store.ErrUnknown means that the edit may still take effect.
 func (s *Store) Apply(ctx context.Context, e Edit) (uint64, error) {
 	for range maxAttempts {
@@ -233,7 +233,7 @@
 
 // changes returns the changes that e makes to the current table. If both e and
 // another edit since its base have changed a row in different ways, the error is
-// a *Conflict. Rows that only other edits changed stay as they are now.
+// a Conflict. Rows that only other edits changed stay as they are now.
 func (s *Store) changes(ctx context.Context, current Table, e Edit) ([]Change, error) {
 	base := current
 	if e.Base != current.Version {
