--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -42,6 +42,7 @@
 	})
 }
 
+// The least recently used account is removed, and a used one keeps its bucket.
 func TestAccountsRemoveLeastRecentlyUsed(t *testing.T) {
 	is := is.New(t)
 	a := NewAccounts(2)
--- a/internal/limit/replay_test.go
+++ b/internal/limit/replay_test.go
@@ -41,16 +41,20 @@
 // entry's Pace admits it.
 type admissionPolicy func(wait, work float64, paced bool) bool
 
+// admitAll admits every request.
 func admitAll(float64, float64, bool) bool { return true }
 
+// admitReported admits by deadline, from the estimated wait alone.
 func admitReported(wait, work float64, _ bool) bool {
 	return Admit(Estimate{Wait: toDuration(wait), Work: toDuration(work), Deadline: toDuration(replayDeadline)}).Admit
 }
 
+// admitPaced admits by deadline and by the entry's share of the engines.
 func admitPaced(wait, work float64, paced bool) bool {
 	return paced && admitReported(wait, work, paced)
 }
 
+// toDuration returns s seconds as a duration.
 func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // goodput returns the work finished before its deadline as a share of the
--- a/internal/once/claim.go
+++ b/internal/once/claim.go
@@ -104,6 +104,7 @@
 
 const secondsPerDay = 24 * 60 * 60
 
+// today returns the current day by the entry's clock.
 func (s *Store) today() day { return day(s.now().Unix() / secondsPerDay) }
 
 // prefix returns the start of the keys of the service's claims of the day.
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -17,10 +17,12 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
+// call returns a call with the same key for every token and body.
 func call(token, body string) Call {
 	return Call{Service: "renewals", Account: "acc", Key: "k1", Token: token, BodyHash: HashBody("POST", "/confirm", []byte(body))}
 }
 
+// newStore returns the store of one entry on the platform p.
 func newStore(p *store.Memory, entry string) *Store { return NewStore(p, p, entry, time.Now) }
 
 // shortContext returns a context that ends the attempts to write a claim whose
@@ -31,6 +33,8 @@
 	return ctx
 }
 
+// A repeated call is refused while the first one runs, and then gets its answer,
+// whether that is stored in the claim or as an object.
 func TestStoredAnswer(t *testing.T) {
 	for _, size := range []int{10, maxInlineAnswer + 1} {
 		is := is.New(t)
@@ -54,6 +58,7 @@
 	}
 }
 
+// A key may not be reused with another body, but by another client account.
 func TestKeyReused(t *testing.T) {
 	is := is.New(t)
 	s := newStore(store.NewMemory(), "vm-1")
@@ -79,6 +84,8 @@
 	is.True(claim != nil)
 }
 
+// A platform fault during a claim leaves the key claimed only if the claim was
+// granted. A call that is refused gets the outcome not_run.
 func TestFaults(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -200,6 +207,7 @@
 	return l.Memory.Commit(ctx, txn)
 }
 
+// A claim whose write takes effect late is still granted to its request.
 func TestDelayedClaim(t *testing.T) {
 	is := is.New(t)
 	p := &delayedWrites{Memory: store.NewMemory(), remaining: 1}
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -91,12 +91,15 @@
 	engine   *fakeEngine
 }
 
+// newTestEnv returns an environment whose engine refuses old fencing numbers if
+// checks is set.
 func newTestEnv(checks bool) *testEnv {
 	return &testEnv{platform: store.NewMemory(), engine: &fakeEngine{checksFence: checks}}
 }
 
 func (env *testEnv) clock() time.Duration { return env.now }
 
+// newSteward returns a steward that has not tried to take the lease.
 func (env *testEnv) newSteward(name string) *steward {
 	l := lease.New(lease.Config{DataCentre: "kakkanad", Service: "hints", Holder: name, Incarnation: 1, TTL: ttl}, env.platform, env.clock)
 	j := NewJournal(env.platform, "kakkanad", "hints")
@@ -112,6 +115,7 @@
 	return a, b
 }
 
+// stepLease takes or renews the lease, or observes its holder.
 func (s *steward) stepLease(t testing.TB) {
 	t.Helper()
 	if err := s.lease.Step(context.Background(), true); err != nil {
@@ -119,14 +123,17 @@
 	}
 }
 
+// wantVersion returns the content of an order that differs only in its version.
 func wantVersion(version string) target.Want {
 	return target.Want{Role: target.RoleBoth, Model: "m", Version: version}
 }
 
+// give issues an order for a version to the engine.
 func (s *steward) give(fencing table.Fencing, version string) error {
 	return s.sender.Give(context.Background(), "e1", "addr", fencing, wantVersion(version))
 }
 
+// complete takes the engine's order one step further and reports whether it is done.
 func (s *steward) complete(t testing.TB) bool {
 	t.Helper()
 	done, err := s.sender.Complete(context.Background(), "e1", "addr")
@@ -136,6 +143,7 @@
 	return done
 }
 
+// A new order is refused until the engine has completed the earlier one.
 func TestOrderAndCompletion(t *testing.T) {
 	is := is.New(t)
 	env := newTestEnv(true)
--- a/internal/roles/replay_test.go
+++ b/internal/roles/replay_test.go
@@ -116,6 +116,7 @@
 	return r.planner.Decide(current).Target
 }
 
+// planner returns a function that makes a plannerPolicy for a start split.
 func (c scenario) planner(changeCost float64) func(Split) policy {
 	return func(s Split) policy {
 		cfg := Config{Engines: s.Engines(), Mixed: c.mixedRate, Away: stepSeconds, ChangeCost: changeCost}
@@ -327,6 +328,7 @@
 	make func(Split) policy
 }
 
+// policies returns the planner of the two organisations and the baselines.
 func (c scenario) policies() []namedPolicy {
 	return []namedPolicy{
 		{"malabar", c.planner(malabarChangeCost)},
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -258,6 +258,7 @@
 	RoleDecode  Role = "decode"
 )
 
+// allRoles lists every role of an engine.
 var allRoles = []Role{RoleBoth, RolePrefill, RoleDecode}
 
 // count returns the number of engines in the role r.
--- a/internal/route/replay_test.go
+++ b/internal/route/replay_test.go
@@ -95,6 +95,8 @@
 	next    int   // the next engine of the round-robin policy
 }
 
+// newEntryView returns the view of an entry that has no reports yet.
+// newEntryView returns the view of an entry that has no reports yet.
 func newEntryView(s scenario) *entryView {
 	v := &entryView{targets: make([]Target, s.engines), loads: make([]Load, s.engines), busy: make([]Busy, s.engines), read: make([]int, s.engines), memory: &Memory{Seen: NewSeen(1<<14, 300), Heat: NewHeat(1<<12, 10)}}
 	for i := range v.targets {
@@ -178,15 +180,23 @@
 	}
 }
 
+// pick is the policy of this package.
+// pick is the policy of this package.
 func pick(v *entryView, r Request, _ *rand.Rand) int { return Pick(v.targets, r, v.memory).Index }
 
+// uniformRandom chooses any engine with equal probability.
+// uniformRandom chooses any engine with equal probability.
 func uniformRandom(v *entryView, _ Request, rnd *rand.Rand) int { return rnd.IntN(len(v.targets)) }
 
+// roundRobin chooses the engines in turn.
+// roundRobin chooses the engines in turn.
 func roundRobin(v *entryView, _ Request, _ *rand.Rand) int {
 	v.next++
 	return v.next % len(v.targets)
 }
 
+// leastReported chooses the engine with the least work at the last reports.
+// leastReported chooses the engine with the least work at the last reports.
 func leastReported(v *entryView, r Request, _ *rand.Rand) int {
 	best := 0
 	for i := range v.loads {
@@ -197,6 +207,8 @@
 	return best
 }
 
+// twoChoices draws two engines and chooses the one with less reported work.
+// twoChoices draws two engines and chooses the one with less reported work.
 func twoChoices(v *entryView, r Request, rnd *rand.Rand) int {
 	a, b := rnd.IntN(len(v.targets)), rnd.IntN(len(v.targets))
 	if v.loads[b].reportedUntil < v.loads[a].reportedUntil {
@@ -205,12 +217,16 @@
 	return a
 }
 
+// hashOnly chooses the first home of the prefix, whatever its load.
+// hashOnly chooses the first home of the prefix, whatever its load.
 func hashOnly(v *entryView, r Request, _ *rand.Rand) int {
 	var top [maxTopHomes]int
 	rendezvous(v.targets, r, false, top[:])
 	return top[0]
 }
 
+// policies lists the policies by the names that the figures use.
+// policies lists the policies by the names that the figures use.
 var policies = []struct {
 	name   string
 	choose policy
@@ -219,6 +235,8 @@
 	{"least_reported", leastReported}, {"two_choices", twoChoices}, {"hash_only", hashOnly},
 }
 
+// newScenario returns a scenario with current reports and no hot prefixes.
+// newScenario returns a scenario with current reports and no hot prefixes.
 func newScenario(entries, engines int) scenario {
 	return scenario{entries: entries, engines: engines, requests: 4000 * engines, seed: 1}
 }
@@ -234,6 +252,9 @@
 	}
 }
 
+// printScenario prints the figures of all policies at several report ages. size is
+// printScenario prints the figures of all policies at several report ages. size is
+// the number of entries and of engines.
 func printScenario(size [2]int, hot int) {
 	s := newScenario(size[0], size[1])
 	if size[1] > 100 {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -144,11 +144,11 @@
 }
 
 // homesFor returns how many homes the prefix of r needs.
-func homesFor(r Request, heat *Heat) int {
+func homesFor(r Request, rates *Heat) int {
 	if r.Prefix == 0 {
 		return 1
 	}
-	work := heat.Rate(r.Prefix, r.Now) * float64(r.Entries) * (r.Seconds - r.CachedSeconds)
+	work := rates.Rate(r.Prefix, r.Now) * float64(r.Entries) * (r.Seconds - r.CachedSeconds)
 	return 1 + int(work/maxPrefixShare)
 }
 
@@ -202,12 +202,12 @@
 
 // cost returns the cost of sending r to t, in seconds. home tells that t is a
 // home of the prefix, which is then assumed to be cached.
-func (t *Target) cost(r Request, home bool, seen *Seen) float64 {
+func (t *Target) cost(r Request, home bool, caches *Seen) float64 {
 	p := t.wait(r.Now) + busyCost*t.Busy
 	if t.Slots > 0 {
 		p += batchCost * t.Running / t.Slots
 	}
-	if r.Prefix != 0 && !home && !seen.Has(r.Prefix, t.Hash, r.Now) {
+	if r.Prefix != 0 && !home && !caches.Has(r.Prefix, t.Hash, r.Now) {
 		p += missCost * r.CachedSeconds
 	}
 	return p
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -11,6 +11,7 @@
 
 func newMemory() *Memory { return &Memory{Seen: NewSeen(1<<14, 300), Heat: NewHeat(1<<12, 10)} }
 
+// newTargets returns n idle targets.
 func newTargets(n int) []Target {
 	out := make([]Target, n)
 	for i := range out {
@@ -19,6 +20,7 @@
 	return out
 }
 
+// newRequest returns a request of a prefix, half of whose prefill a cache saves.
 func newRequest(prefix uint64) Request {
 	return Request{Now: 1, Role: Whole, Prefix: prefix, Entries: 8, Seconds: 0.1, CachedSeconds: 0.05, Random: 42}
 }
@@ -63,6 +65,8 @@
 	})
 }
 
+// All entries send a prefix to the same home while its wait is short, and to the
+// same second home otherwise.
 func TestSamePrefixSameHome(t *testing.T) {
 	is := is.New(t)
 	targets := newTargets(12)
@@ -113,6 +117,8 @@
 	is.Equal(l.Until(), 11.9)
 }
 
+// A target is set aside after two failures, for a time that doubles, and then gets
+// one probe at a time until one succeeds.
 func TestHealth(t *testing.T) {
 	is := is.New(t)
 	var h Health
--- a/internal/table/csv.go
+++ b/internal/table/csv.go
@@ -267,8 +267,10 @@
 	return parts
 }
 
+// formatFloat returns the shortest text that ParseFloat reads back as f.
 func formatFloat(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
+// formatBool returns the cell that rowDecoder.bool parses.
 func formatBool(b bool) string {
 	if b {
 		return "yes"
--- a/internal/table/store_test.go
+++ b/internal/table/store_test.go
@@ -142,6 +142,7 @@
 	}
 }
 
+// An edit fails while the platform is down and leaves the table as it is.
 func TestPlatformDown(t *testing.T) {
 	is := is.New(t)
 	p := store.NewMemory()
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -98,6 +98,7 @@
 	}
 }
 
+// A table that DecodeCSV accepts is the same after encoding and decoding.
 func FuzzDecodeCSV(f *testing.F) {
 	f.Add(EncodeCSV(Table{Version: 1, Rows: []Row{hintsRow(), renewalsRow()}}))
 	f.Add([]byte("# version 1\n\n"))
