--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -159,7 +159,7 @@
 	is.Equal(len(env.engine.applied), 2)
 }
 
-// An order takes effect exactly once, whatever fault it meets.
+// An order takes effect exactly once, whatever fault occurs.
 func TestOrderFaults(t *testing.T) {
 	cases := []struct {
 		name string
--- a/internal/roles/replay_test.go
+++ b/internal/roles/replay_test.go
@@ -99,7 +99,7 @@
 	want(current Split) Split
 }
 
-// plannerPolicy is the Planner of this package, made anew when an engine is lost
+// plannerPolicy is the Planner of this package, recreated when an engine is lost
 // or comes back.
 type plannerPolicy struct {
 	cfg     Config
@@ -322,7 +322,7 @@
 	associationChangeCost = 60
 )
 
-// namedPolicy makes a policy for a start split; name stands in the figures.
+// namedPolicy makes a policy for a start split; name appears in the figures.
 type namedPolicy struct {
 	name string
 	make func(Split) policy
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -200,7 +200,7 @@
 // wait returns the estimated time until prefill starts, in seconds.
 func (t *Target) wait(now float64) float64 { return max(t.Until-now, 0) }
 
-// cost returns the cost of sending r to t, in seconds. home tells that t is a
+// cost returns the cost of sending r to t, in seconds. home means that t is a
 // home of the prefix, which is then assumed to be cached.
 func (t *Target) cost(r Request, home bool, caches *Seen) float64 {
 	p := t.wait(r.Now) + busyCost*t.Busy
--- a/internal/table/store_test.go
+++ b/internal/table/store_test.go
@@ -95,7 +95,7 @@
 	is.True(errors.As(err, &conflict))
 }
 
-// faultyStore lets the next remaining commits meet a fault.
+// faultyStore injects a fault into the next remaining commits.
 type faultyStore struct {
 	*store.Memory
 	mu        sync.Mutex
