--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -1,6 +1,6 @@
-// Package gossip holds the state that stewards spread among themselves and
-// feed to entries: versioned items, of which the newest wins, and the log of
-// local changes from which each peer is sent only what it lacks.
+// Package gossip holds the state that stewards replicate among themselves and stream to
+// entries. It consists of versioned items, of which the newest wins. A log of local changes
+// lets the store send each peer only the items that it lacks.
 package gossip
 
 import (
@@ -17,31 +17,39 @@
 	"garnethoist.org/garnethoist/api"
 )
 
-// Store is a set of versioned items. An item's version never goes down. It is
-// safe for concurrent use.
+// Store is a set of versioned items. An item's version never decreases. Store is safe for
+// concurrent use.
 type Store struct {
-	mu    sync.Mutex
-	now   func() time.Time
+	// mu guards all fields but now.
+	mu  sync.Mutex
+	now func() time.Time
+	// items holds the element of each item in log, by key.
 	items map[string]*list.Element
-	log   *list.List
+	// log holds a *record for each item, in the order of their last change.
+	log *list.List
+	// index counts the local changes.
 	index uint64
-	// digest is the sum of the marks of all items.
+	// digest is the sum of the state hashes of all items.
 	digest uint64
-	// view is the last view taken.
-	view    *View
+	// view is the most recently built view.
+	view *View
+	// changed is closed at the next change, and then replaced.
 	changed chan struct{}
 }
 
-// record is an item with its place in the log of local changes.
+// record is an item with its position in the log of local changes.
 type record struct {
-	item  *api.Item
+	item *api.Item
+	// index is the log index of the item's last change.
 	index uint64
-	// mark stands for the item's state in the store's digest.
-	mark uint64
-	// stateIndex is the index of the last change that was more than load.
-	stateIndex uint64
-	from       string
-	received   time.Time
+	// stateHash is the item's contribution to the store's digest.
+	stateHash uint64
+	// lastStateIndex is the index of the last change that affected more than a target's load.
+	lastStateIndex uint64
+	// from is the peer that the item came from, empty for local items.
+	from string
+	// received is when the item was merged.
+	received time.Time
 }
 
 // NewStore returns an empty store that reads the time from now.
@@ -54,7 +62,7 @@
 	}
 }
 
-// newer reports whether a replaces b.
+// newer reports whether the version of a, its epoch and sequence number, is above that of b.
 func newer(a, b *api.Item) bool {
 	if a.GetEpoch() != b.GetEpoch() {
 		return a.GetEpoch() > b.GetEpoch()
@@ -62,39 +70,41 @@
 	return a.GetSeq() > b.GetSeq()
 }
 
-// Merge takes in items that came from the peer called from (empty for local
-// ones) and returns those that were news. All of them become visible at once,
-// so that a change of several rows is never seen half. The store keeps the
-// items; the caller must not change them afterwards.
+// Merge adds items that came from the peer called from (empty for local ones) and returns
+// those that were newer than the store's. All of them become visible atomically, so that a
+// change of several rows is never seen in part. The store keeps the items; the caller must not
+// modify them afterwards.
 func (s *Store) Merge(items []*api.Item, from string) []*api.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var news []*api.Item
+	var updated []*api.Item
 	for _, it := range items {
 		if s.mergeOne(it, from) {
-			news = append(news, it)
+			updated = append(updated, it)
 		}
 	}
-	if len(news) > 0 {
+	if len(updated) > 0 {
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
-	return news
+	return updated
 }
 
+// mergeOne adds an item unless the store has the same or a newer version of it, and reports
+// whether it did. The caller must hold s.mu.
 func (s *Store) mergeOne(it *api.Item, from string) bool {
 	e, ok := s.items[it.GetKey()]
 	if ok && !newer(it, e.Value.(*record).item) {
 		return false
 	}
 	s.index++
-	r := &record{item: it, index: s.index, stateIndex: s.index, from: from, received: s.now(), mark: markOf(it)}
-	s.digest += r.mark
+	r := &record{item: it, index: s.index, lastStateIndex: s.index, from: from, received: s.now(), stateHash: stateHashOf(it)}
+	s.digest += r.stateHash
 	if ok {
 		old := e.Value.(*record)
-		s.digest -= old.mark
+		s.digest -= old.stateHash
 		if onlyLoadDiffers(old.item, it) {
-			r.stateIndex = old.stateIndex
+			r.lastStateIndex = old.lastStateIndex
 		}
 		s.log.Remove(e)
 	}
@@ -112,7 +122,7 @@
 	return nil
 }
 
-// Prefix returns the items whose keys start with prefix, in no order.
+// Prefix returns the items whose keys start with prefix, in no particular order.
 func (s *Store) Prefix(prefix string) []*api.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,8 +135,8 @@
 	return out
 }
 
-// Age returns the time since the item under key was observed at its source, or
-// false when there is none.
+// Age returns the time since the item under key was observed at its source. It returns false
+// if there is no such item.
 func (s *Store) Age(key string) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,26 +147,26 @@
 	return e.Value.(*record).age(s.now()), true
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change of any item.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Summary returns the log index with a digest of the state at it. Two stores
-// of the same digest hold the same state; their loads may differ.
+// Summary returns the current log index and a digest of the state. Two stores with the same
+// digest hold the same state, but the loads that they hold may differ.
 func (s *Store) Summary() (index, digest uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.index, s.digest
 }
 
-// markOf hashes what counts as state of an item: all of a target's status but
-// its load, and the version of anything else.
-func markOf(it *api.Item) uint64 {
+// stateHashOf hashes the state of an item. For a target this is its boot and its status
+// without the load; for any other item it is the version.
+func stateHashOf(it *api.Item) uint64 {
 	h := xxhash.New()
-	// Writes to a hash cannot fail.
+	// Writes to a hash never fail.
 	_, _ = h.WriteString(it.GetKey())
 	if t := it.GetTarget(); t != nil {
 		_, _ = fmt.Fprintf(h, "\x00%d\x00%t\x00%t\x00%t\x00%s\x00%s\x00%s\x00%q", it.GetEpoch(),
@@ -167,20 +177,22 @@
 	return h.Sum64()
 }
 
-// Scope bounds what Since returns.
+// Scope restricts which items Since returns. The zero value returns all. Changes of load are
+// those after which only a target's load differs; all others are changes of state.
 type Scope struct {
-	// NotTo leaves out what came from this peer.
-	NotTo string
-	// StateOnly leaves out changes of load, LoadOnly all others.
+	// ExcludePeer omits the items that came from this peer; empty omits none.
+	ExcludePeer string
+	// StateOnly omits changes of load.
 	StateOnly bool
-	LoadOnly  bool
-	// LoadItems is the most changes of load to return, newest first; zero is
-	// no bound. Changes of state are never left out.
-	LoadItems int
+	// LoadOnly omits changes of state.
+	LoadOnly bool
+	// MaxLoadItems is the most changes of load to return, preferring the newest; zero means no
+	// limit. It does not limit changes of state.
+	MaxLoadItems int
 }
 
-// Since returns the items changed after index, oldest first, with the index
-// now reached. Their ages are brought up to date.
+// Since returns the items in scope that changed after the log index, oldest change first, with
+// updated ages, and the current log index.
 func (s *Store) Since(index uint64, scope Scope) ([]*api.Item, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,32 +201,32 @@
 	loads := 0
 	for e := s.log.Back(); e != nil && e.Value.(*record).index > index; e = e.Prev() {
 		r := e.Value.(*record)
-		if scope.NotTo != "" && r.from == scope.NotTo {
+		if scope.ExcludePeer != "" && r.from == scope.ExcludePeer {
 			continue
 		}
-		isLoad := r.stateIndex <= index
+		isLoad := r.lastStateIndex <= index
 		if isLoad {
 			loads++
 		}
-		if scope.keeps(isLoad, loads) {
-			out = append(out, r.aged(now))
+		if scope.includes(isLoad, loads) {
+			out = append(out, r.withAge(now))
 		}
 	}
 	slices.Reverse(out)
 	return out, s.index
 }
 
-// keeps reports whether an item belongs to the scope; loads counts the changes
-// of load so far.
-func (s Scope) keeps(isLoad bool, loads int) bool {
+// includes reports whether a change belongs to the scope. isLoad says whether it is a change of
+// load, and loads counts the changes of load so far, including this one.
+func (s Scope) includes(isLoad bool, loads int) bool {
 	if !isLoad {
 		return !s.LoadOnly
 	}
-	return !s.StateOnly && (s.LoadItems == 0 || loads <= s.LoadItems)
+	return !s.StateOnly && (s.MaxLoadItems == 0 || loads <= s.MaxLoadItems)
 }
 
-// onlyLoadDiffers reports whether two statuses of a target say the same but
-// for the load.
+// onlyLoadDiffers reports whether a and b are statuses of the same boot of a target that are
+// equal except for the load.
 func onlyLoadDiffers(a, b *api.Item) bool {
 	x, y := a.GetTarget(), b.GetTarget()
 	if x == nil || y == nil || a.GetEpoch() != b.GetEpoch() {
@@ -225,7 +237,8 @@
 		x.GetVersion() == y.GetVersion() && slices.Equal(x.GetAdapters(), y.GetAdapters())
 }
 
-// IsState reports whether the item, just merged, changed more than load.
+// IsState reports whether the last change of the item under key was a change of state rather
+// than of load only.
 func (s *Store) IsState(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,22 +247,24 @@
 		return false
 	}
 	r := e.Value.(*record)
-	return r.stateIndex == r.index
+	return r.lastStateIndex == r.index
 }
 
-// All returns every item with its age brought up to date.
+// All returns every item with its current age, oldest change first.
 func (s *Store) All() []*api.Item {
 	items, _ := s.Since(0, Scope{})
 	return items
 }
 
+// age returns the time from the item's observation at its source until now. Only this store's
+// own clock is used: the age on arrival came with the item.
 func (r *record) age(now time.Time) time.Duration {
 	return time.Duration(r.item.GetAgeMs())*time.Millisecond + now.Sub(r.received)
 }
 
-// aged returns the item with its age at now; only a target's load has a use
-// for it, so other items are passed on as they are.
-func (r *record) aged(now time.Time) *api.Item {
+// withAge returns the item with its age at now. Only a target's status needs an age, so other
+// items are returned unchanged.
+func (r *record) withAge(now time.Time) *api.Item {
 	if r.item.GetTarget() == nil {
 		return r.item
 	}
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -10,91 +10,98 @@
 	"garnethoist.org/garnethoist/internal/table"
 )
 
-// View is the typed content of a store at one moment. It is immutable.
+// View is the decoded content of a store at one moment. It must not be modified.
 type View struct {
-	Table   table.Table
+	Table table.Table
+	// VMs holds the VMs of the platform's list, Peers the stewards' items and Targets the
+	// targets, each by name.
 	VMs     map[string]store.VM
 	Peers   map[string]*api.Item
 	Targets map[string]TargetView
-	// ListRevision is the revision of the VM list.
+	// ListRevision is the revision of the platform's VM list.
 	ListRevision uint64
-	// Index is the store's log index that the view was taken at.
-	Index uint64
-	taken time.Time
+	// Index is the store's log index at which the view was built.
+	Index   uint64
+	takenAt time.Time
 }
 
-// TargetView is all that is known of one target.
+// TargetView combines what the VM list, the table, the target's status and the drains say
+// about one target.
 type TargetView struct {
 	Name       string
 	DataCentre string
 	Address    string
 	Kind       store.VMKind
-	// Service is the service it is assigned to, empty for none.
+	// Service is the service that the target is assigned to, empty for none.
 	Service string
-	// Boot is the target's incarnation; zero while no status was seen.
+	// Boot is the target's incarnation; zero until a status has been received.
 	Boot uint64
 	// Status is the last known status, or nil.
 	Status *api.Target
-	// Draining is set while the holder of the lease keeps new work away.
+	// Draining is set while the holder of the service's lease withholds new work from the
+	// target.
 	Draining bool
-	// ObservedAt is when the status was taken, on the store's clock.
+	// ObservedAt is when the status was observed at its source, on the store's clock.
 	ObservedAt time.Time
-	// Listed is the platform's word: live or leaving.
+	// Listed is the state in the platform's VM list: live or leaving.
 	Listed store.VMState
 }
 
-// Leaving reports whether any sign says that the target is on its way out.
+// Leaving reports whether the VM list or the target's own status says that it is leaving.
 func (t TargetView) Leaving() bool {
 	return t.Listed == store.VMLeaving || t.Status.GetLeaving()
 }
 
-// Usable reports whether the target may get new work.
+// Usable reports whether the target may get new work. A target without a status may not.
 func (t TargetView) Usable() bool {
 	s := t.Status
 	return s.GetReachable() && !t.Leaving() && !s.GetChanging() && !t.Draining
 }
 
-// TableVersion returns the version of the operators' table, at little cost.
+// TableVersion returns the version of the operators' table without decoding a view; zero if
+// there is none.
 func (s *Store) TableVersion() uint64 { return s.Get(keyTableHead).GetHead().GetVersion() }
 
-// ListRevision returns the revision of the VM list, at little cost.
+// ListRevision returns the revision of the VM list without decoding a view; zero if there is
+// none.
 func (s *Store) ListRevision() uint64 { return s.Get(keyListHead).GetListHead().GetRevision() }
 
-// View decodes the store's content. The same view is returned until something
-// has changed.
+// View decodes the store's content. It returns the same view until an item changes.
 func (s *Store) View() *View { return s.RecentView(0) }
 
-// RecentView is View, but a view that is not older than maxAge will do, so that
-// a caller in no hurry costs no decoding for each change of load.
+// RecentView is like View but may return an outdated view that is less than maxAge old. It
+// spares callers that tolerate this the decoding after every change of load.
 func (s *Store) RecentView(maxAge time.Duration) *View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if v := s.view; v != nil && (v.Index == s.index || now.Sub(v.taken) < maxAge) {
+	if v := s.view; v != nil && (v.Index == s.index || now.Sub(v.takenAt) < maxAge) {
 		return v
 	}
-	s.view = s.decode(now)
+	s.view = s.buildView(now)
 	return s.view
 }
 
-// decode builds a view; the caller holds the lock.
-func (s *Store) decode(now time.Time) *View {
+// buildView decodes the store's content at now. The caller must hold s.mu.
+func (s *Store) buildView(now time.Time) *View {
 	n := s.log.Len()
 	v := &View{
 		VMs: make(map[string]store.VM, n), Peers: map[string]*api.Item{},
-		Targets: make(map[string]TargetView, n), Index: s.index, taken: now,
+		Targets: make(map[string]TargetView, n), Index: s.index, takenAt: now,
 	}
 	statuses := make(map[string]*record, n)
 	drains := map[string]bool{}
 	for e := s.log.Front(); e != nil; e = e.Next() {
-		v.add(e.Value.(*record), statuses, drains)
+		v.addRecord(e.Value.(*record), statuses, drains)
 	}
 	v.Table.Sort()
-	v.joinTargets(statuses, drains, now)
+	v.addTargets(statuses, drains, now)
 	return v
 }
 
-func (v *View) add(r *record, statuses map[string]*record, drains map[string]bool) {
+// addRecord decodes one item into the view. It collects the records of target statuses and the
+// drain flags, both by target name, for addTargets.
+func (v *View) addRecord(r *record, statuses map[string]*record, drains map[string]bool) {
 	it := r.item
 	name := NameOf(it.GetKey())
 	switch body := it.GetBody().(type) {
@@ -115,18 +122,20 @@
 	}
 }
 
+// addRow adds a row to the view's table, unless it was removed or does not decode.
 func (v *View) addRow(r *api.Row) {
 	if len(r.GetJson()) == 0 {
 		return
 	}
 	var row table.Row
-	// A row that does not decode came from a newer release: the service is
-	// left out rather than served under half-read limits.
+	// A row that does not decode came from a newer release. The service is omitted, as serving
+	// it with partially decoded limits would be worse.
 	if err := json.Unmarshal(r.GetJson(), &row); err == nil {
 		v.Table.Rows = append(v.Table.Rows, row)
 	}
 }
 
+// addVM adds a VM to the view unless it was removed from the list.
 func (v *View) addVM(name string, vm *api.Vm) {
 	if vm.GetRemoved() {
 		return
@@ -137,30 +146,33 @@
 	}
 }
 
-// joinTargets puts together what the VM list, the table and the targets say.
-func (v *View) joinTargets(statuses map[string]*record, drains map[string]bool, now time.Time) {
-	var known []table.Target
+// addTargets builds the targets of the view from the VM list, the assignments of the table, the
+// latest statuses and the drain flags.
+func (v *View) addTargets(statuses map[string]*record, drains map[string]bool, now time.Time) {
+	var listed []table.Target
 	for _, vm := range v.VMs {
-		if kind, ok := serviceKind(vm.Kind); ok {
-			known = append(known, table.Target{Name: vm.Name, DataCentre: vm.DataCentre, Kind: kind})
+		if kind, ok := targetKind(vm.Kind); ok {
+			listed = append(listed, table.Target{Name: vm.Name, DataCentre: vm.DataCentre, Kind: kind})
 		}
 	}
-	sort.Slice(known, func(i, j int) bool { return known[i].Name < known[j].Name })
-	services := table.Assign(v.Table, known)
-	for _, k := range known {
-		vm := v.VMs[k.Name]
+	sort.Slice(listed, func(i, j int) bool { return listed[i].Name < listed[j].Name })
+	services := table.Assign(v.Table, listed)
+	for _, l := range listed {
+		vm := v.VMs[l.Name]
 		t := TargetView{
-			Name: k.Name, DataCentre: k.DataCentre, Address: vm.Address, Kind: vm.Kind,
-			Service: services[k.Name], Listed: vm.State, Draining: drains[k.Name],
+			Name: l.Name, DataCentre: l.DataCentre, Address: vm.Address, Kind: vm.Kind,
+			Service: services[l.Name], Listed: vm.State, Draining: drains[l.Name],
 		}
-		if r := statuses[k.Name]; r != nil {
+		if r := statuses[l.Name]; r != nil {
 			t.Boot, t.Status, t.ObservedAt = r.item.GetEpoch(), r.item.GetTarget(), now.Add(-r.age(now))
 		}
-		v.Targets[k.Name] = t
+		v.Targets[l.Name] = t
 	}
 }
 
-func serviceKind(k store.VMKind) (table.Kind, bool) {
+// targetKind returns the kind of service that a VM of kind k serves as a target. It returns
+// false for VMs that are not targets.
+func targetKind(k store.VMKind) (table.Kind, bool) {
 	switch k {
 	case store.VMEngine:
 		return table.Language, true
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -281,9 +281,9 @@
 // data centre gets no loads, and what came from the peer is not sent back,
 // unless the peer holds nothing: it may have started anew since.
 func (g *Gossip) scope(vm, dataCentre string, held uint64) gossip.Scope {
-	s := gossip.Scope{StateOnly: dataCentre != g.self.DataCentre, LoadItems: loadItemsPerRound}
+	s := gossip.Scope{StateOnly: dataCentre != g.self.DataCentre, MaxLoadItems: loadItemsPerRound}
 	if held > 0 {
-		s.NotTo = vm
+		s.ExcludePeer = vm
 	}
 	return s
 }
