--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -11,16 +11,16 @@
 	"garnethoist.org/garnethoist/internal/standin"
 )
 
-// nullWriter is a caller that takes everything.
-type nullWriter struct{ header http.Header }
+// discardResponseWriter is an http.ResponseWriter that discards the response.
+type discardResponseWriter struct{ header http.Header }
 
-func (w *nullWriter) Header() http.Header         { return w.header }
-func (w *nullWriter) Write(p []byte) (int, error) { return len(p), nil }
-func (w *nullWriter) WriteHeader(int)             {}
-func (w *nullWriter) Flush()                      {}
+func (w *discardResponseWriter) Header() http.Header         { return w.header }
+func (w *discardResponseWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (w *discardResponseWriter) WriteHeader(int)             {}
+func (w *discardResponseWriter) Flush()                      {}
 
-// recorded is an engine's answer of n tokens as it goes over the wire.
-func recorded(n int) []byte {
+// streamResponse returns the body of an engine's streaming response of n tokens.
+func streamResponse(n int) []byte {
 	var b bytes.Buffer
 	for i := 1; i <= n; i++ {
 		fmt.Fprintf(&b, "id: 18ed763289ea4a19-1:%d\ndata: {\"id\":\"chatcmpl-18ed763289ea4a19-1\",\"object\":\"chat.completion.chunk\",\"created\":1796221788,\"model\":\"standin\",\"choices\":[{\"index\":0,\"delta\":{\"role\":\"assistant\",\"content\":\"%s\"},\"finish_reason\":null}]}\n\n", i, standin.Token(7, i))
@@ -29,34 +29,36 @@
 	return b.Bytes()
 }
 
-// oneEvent gives one event a read, as an engine does that sends tokens as they
-// come.
-type oneEvent struct {
+// eventSizedReader returns at most size bytes per read. With the size of an event it acts like
+// an engine that sends each token as soon as it is generated.
+type eventSizedReader struct {
 	rest []byte
 	size int
 }
 
-func (o *oneEvent) Read(p []byte) (int, error) {
-	if len(o.rest) == 0 {
+// Read implements io.Reader.
+func (r *eventSizedReader) Read(p []byte) (int, error) {
+	if len(r.rest) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(p, o.rest[:min(o.size, len(o.rest))])
-	o.rest = o.rest[n:]
+	n := copy(p, r.rest[:min(r.size, len(r.rest))])
+	r.rest = r.rest[n:]
 	return n, nil
 }
 
-// BenchmarkCopyEvents gives the time and the allocations for one token.
+// BenchmarkCopyEvents measures the time per token, and the allocations per stream of 1000
+// tokens.
 func BenchmarkCopyEvents(b *testing.B) {
 	const tokens = 1000
-	answer := recorded(tokens)
+	answer := streamResponse(tokens)
 	relay := &Relay{cfg: DefaultConfig()}
-	idle := watchIdle(time.Hour, time.Hour, func() {})
+	idle := newIdleWatch(time.Hour, time.Hour, func() {})
 	defer idle.stop()
 	b.ReportAllocs()
 	for b.Loop() {
 		s := &streamState{engine: "engine-1", replayable: true}
-		out := newEventWriter(&nullWriter{header: http.Header{}})
-		if err := relay.copyEvents(out, s, &oneEvent{rest: answer, size: len(answer) / tokens}, idle); err != nil {
+		out := newEventWriter(&discardResponseWriter{header: http.Header{}})
+		if err := relay.copyEvents(out, s, &eventSizedReader{rest: answer, size: len(answer) / tokens}, idle); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/relay/chat.go
+++ b/internal/relay/chat.go
@@ -12,34 +12,37 @@
 	"garnethoist.org/garnethoist/internal/target"
 )
 
-// Chat is a caller's chat completion request. Fields that the relay does not
-// know are kept as they came.
+// Chat is a caller's chat completion request. Fields that the relay does not know are preserved
+// as received.
 type Chat struct {
+	// body is the request as received, and fields its top-level fields.
 	body   []byte
 	fields map[string]json.RawMessage
 	// Stream says whether the caller wants server-sent events.
 	Stream bool
-	// MaxTokens is the most tokens of the answer; zero when not given.
+	// MaxTokens is the most tokens to generate; zero when not given.
 	MaxTokens int
-	// PromptTokens estimates the prompt's length.
+	// PromptTokens is the estimated length of the prompt in tokens.
 	PromptTokens int
 	// Prefix is the hash of the prompt's beginning.
 	Prefix uint64
-	// deterministic requests give the same answer when run again.
+	// deterministic is set if the request produces the same response each time it is run, as it
+	// has a seed or a temperature of 0.
 	deterministic bool
-	// single requests ask for one choice.
-	single bool
+	// singleChoice is set if the request asks for one choice.
+	singleChoice bool
 }
 
 const (
-	// bytesPerToken estimates tokens from JSON text.
+	// bytesPerToken is the assumed length of a token in JSON text, for estimates.
 	bytesPerToken = 4
-	// prefixBytes is how much of the messages' JSON makes up the prefix by
-	// which an engine's cache is met.
-	prefixBytes = 1024
+	// prefixHashBytes is how many bytes of the messages' JSON are hashed into the prefix. A
+	// request is matched by its prefix with the engines that may have it cached.
+	prefixHashBytes = 1024
 )
 
-// ParseChat checks a request body as far as the relay needs to.
+// ParseChat parses a request body and checks the fields that the relay uses. Its error is an
+// *errkind.Error of kind BadRequest.
 func ParseChat(body []byte) (*Chat, error) {
 	c := &Chat{body: body}
 	if err := json.Unmarshal(body, &c.fields); err != nil {
@@ -52,17 +55,18 @@
 	if err := json.Unmarshal(c.fields["messages"], &messages); err != nil || len(messages) == 0 {
 		return nil, errkind.New(errkind.BadRequest, "messages must be a list with at least one message")
 	}
-	if err := c.readOptions(); err != nil {
+	if err := c.parseOptions(); err != nil {
 		return nil, err
 	}
 	prompt := c.fields["messages"]
 	c.PromptTokens = len(prompt)/bytesPerToken + 1
-	c.Prefix = xxhash.Sum64(prompt[:min(len(prompt), prefixBytes)])
+	c.Prefix = xxhash.Sum64(prompt[:min(len(prompt), prefixHashBytes)])
 	return c, nil
 }
 
-func (c *Chat) readOptions() error {
-	var maxNew, n int
+// parseOptions parses the optional fields that the relay uses.
+func (c *Chat) parseOptions() error {
+	var maxCompletionTokens, n int
 	var temperature *float64
 	var seed *int64
 	options := []struct {
@@ -71,7 +75,7 @@
 	}{
 		{"stream", &c.Stream},
 		{"max_tokens", &c.MaxTokens},
-		{"max_completion_tokens", &maxNew},
+		{"max_completion_tokens", &maxCompletionTokens},
 		{"n", &n},
 		{"temperature", &temperature},
 		{"seed", &seed},
@@ -85,19 +89,20 @@
 			return errkind.Wrap(errkind.BadRequest, err, "%s has the wrong type", o.name)
 		}
 	}
-	if maxNew > 0 {
-		c.MaxTokens = maxNew
+	if maxCompletionTokens > 0 {
+		c.MaxTokens = maxCompletionTokens
 	}
 	if c.MaxTokens < 0 || n < 0 {
-		return errkind.New(errkind.BadRequest, "max_tokens and n must not be below zero")
+		return errkind.New(errkind.BadRequest, "max_tokens and n must not be negative")
 	}
-	c.single = n <= 1
+	c.singleChoice = n <= 1
 	c.deterministic = seed != nil || (temperature != nil && *temperature == 0)
 	return nil
 }
 
-// with returns the body with the named fields set; the others are unharmed.
-func (c *Chat) with(set map[string]json.RawMessage) ([]byte, error) {
+// withFields returns the body with the given fields replaced or added. The other fields keep
+// their values.
+func (c *Chat) withFields(set map[string]json.RawMessage) ([]byte, error) {
 	fields := make(map[string]json.RawMessage, len(c.fields)+len(set))
 	for k, v := range c.fields {
 		fields[k] = v
@@ -109,9 +114,10 @@
 	return body, errors.Wrap(err, "encode body")
 }
 
-// prefillBody asks an engine to prefill only and export the KV cache.
+// prefillBody returns the body that asks an engine to run only the prefill and export the KV
+// cache.
 func (c *Chat) prefillBody() ([]byte, error) {
-	return c.with(map[string]json.RawMessage{
+	return c.withFields(map[string]json.RawMessage{
 		"stream":                json.RawMessage("false"),
 		"max_tokens":            json.RawMessage("1"),
 		"max_completion_tokens": json.RawMessage("1"),
@@ -119,17 +125,18 @@
 	})
 }
 
-// decodeBody asks an engine to import the KV cache and decode.
+// decodeBody returns the body that asks an engine to import the KV cache kv and decode.
 func (c *Chat) decodeBody(kv target.KVTransfer) ([]byte, error) {
 	raw, err := json.Marshal(kv)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode kv_transfer_params")
 	}
-	return c.with(map[string]json.RawMessage{"kv_transfer_params": raw})
+	return c.withFields(map[string]json.RawMessage{"kv_transfer_params": raw})
 }
 
-// continueBody asks an engine to go on after text, the JSON string content
-// (without quotes) of the tokens relayed so far.
+// continueBody returns the body that asks an engine to continue the response after text, which
+// is the content of a JSON string (without quotes) and has been relayed in the given number of
+// events. Each event counts as a token of max_tokens.
 func (c *Chat) continueBody(text []byte, events int) ([]byte, error) {
 	messages := bytes.TrimRight(c.fields["messages"], " \t\r\n")
 	messages = bytes.TrimSuffix(messages, []byte("]"))
@@ -153,10 +160,10 @@
 		}
 		set[name] = left
 	}
-	return c.with(set)
+	return c.withFields(set)
 }
 
-// ErrorCode returns the code of an engine's error body, or "".
+// ErrorCode returns the error code in an engine's error body, or "" if there is none.
 func ErrorCode(body []byte) string {
 	var e target.ErrorBody
 	if err := json.Unmarshal(body, &e); err != nil {
--- a/internal/relay/eventid.go
+++ b/internal/relay/eventid.go
@@ -1,6 +1,6 @@
-// Package relay carries language requests to engines and their answers back:
-// streams token by token, resumed after an engine or entry is lost, and whole
-// answers tried again where that is safe.
+// Package relay forwards requests for language models to engines and returns their responses.
+// Streams are relayed token by token and resumed after an engine or entry is lost.
+// Non-streaming requests are retried where that is safe.
 package relay
 
 import (
@@ -12,7 +12,7 @@
 	"garnethoist.org/garnethoist/internal/table"
 )
 
-// EventID is the place in a stream that a caller holds. Its text form is
+// EventID identifies the last event of a stream that a caller has received. Its text form is
 // ENGINE/STREAM:EVENT:BASE.
 type EventID struct {
 	// Engine is the name of the engine that holds the stream.
@@ -21,25 +21,24 @@
 	Stream string
 	// Event is the engine's number of the event, from 1.
 	Event int
-	// Base is the number of events before the engine's first, relayed from
-	// engines that held the stream earlier.
+	// Base is the number of events relayed from engines that served the stream before.
 	Base int
 }
 
-// maxEventIDBytes bounds an event id's text.
+// maxEventIDBytes bounds the text form of an event id.
 const maxEventIDBytes = 256
 
 // maxEventNumber bounds the numbers in an event id.
 const maxEventNumber = 1 << 30
 
-// ParseEventID parses the text form.
+// ParseEventID parses the text form of an event id.
 func ParseEventID(s string) (EventID, error) {
 	if len(s) > maxEventIDBytes {
 		return EventID{}, errors.New("event id is too long")
 	}
 	engine, rest, ok := strings.Cut(s, "/")
 	if !ok || !table.ValidName(engine) {
-		return EventID{}, errors.New("event id names no engine")
+		return EventID{}, errors.New("event id has no valid engine name")
 	}
 	parts := strings.Split(rest, ":")
 	if len(parts) != 3 || parts[0] == "" {
@@ -56,24 +55,25 @@
 	return EventID{Engine: engine, Stream: parts[0], Event: event, Base: base}, nil
 }
 
+// parseNumber parses a decimal number from 0 to maxEventNumber without sign or leading zeros.
 func parseNumber(s string) (int, error) {
 	n, err := strconv.Atoi(s)
 	if err != nil {
 		return 0, errors.Wrap(err, "not a number")
 	}
 	if n < 0 || n > maxEventNumber || strconv.Itoa(n) != s {
-		return 0, errors.New("not a plain number in range")
+		return 0, errors.New("not a decimal number in range")
 	}
 	return n, nil
 }
 
-// String returns the text form.
+// String returns the text form of the event id.
 func (id EventID) String() string {
 	return id.Engine + "/" + id.Stream + ":" + strconv.Itoa(id.Event) + ":" + strconv.Itoa(id.Base)
 }
 
-// parseEngineID splits an engine's own id, STREAM:EVENT.
-func parseEngineID(s []byte) (stream []byte, event int, ok bool) {
+// parseEngineEventID parses an engine's event id, STREAM:EVENT. Event numbers start at 1.
+func parseEngineEventID(s []byte) (stream []byte, event int, ok bool) {
 	scale := 1
 	for i := len(s) - 1; i > 0; i-- {
 		if s[i] == ':' {
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -13,84 +13,92 @@
 	"garnethoist.org/garnethoist/internal/errkind"
 )
 
-// event is one server-sent event of an engine. Its slices are valid until the
-// next event is read.
+// event is one server-sent event of an engine. Its slices are valid until the next fill of the
+// reader.
 type event struct {
-	// id is the engine's own id, or empty.
+	// id is the engine's event id, or empty.
 	id []byte
-	// rest is the event's other lines with the blank line that ends it.
+	// rest is the event's text without the id line, up to and including the final blank line.
 	rest []byte
-	// data is the payload of the first data line.
+	// data is the value of the first data line.
 	data []byte
+	// done is set for the [DONE] event, which ends a complete stream.
 	done bool
-	// lines counts the lines, and idSize the bytes of the id line.
-	lines  int
-	idSize int
+	// lineCount is the number of lines, and idLineBytes the length of the id line.
+	lineCount   int
+	idLineBytes int
 }
 
-// maxEventBytes bounds one event.
+// maxEventBytes bounds one event: a read buffer of this size does not grow any more.
 const maxEventBytes = 1 << 20
 
+// Names of the fields of server-sent events, and the data of the event that ends a complete
+// stream.
 const (
 	prefixID   = "id:"
 	prefixData = "data:"
 	doneData   = "[DONE]"
 )
 
-// errEventTooLarge: an engine sent an event above maxEventBytes.
+// errEventTooLarge: an engine sent an event longer than maxEventBytes.
 var errEventTooLarge = errors.New("relay: event too large")
 
-// Each stream needs a buffer to read and one to write. They begin small, as
-// most streams bring a token at a time; one that brings more at once takes
-// large ones from the pool.
+// smallBufferBytes is the initial size of a stream's read buffer and the most that its write
+// buffer holds before it grows. Most streams bring one token at a time; a stream that brings
+// more at once gets large buffers from largeBuffers.
 const smallBufferBytes = 4 << 10
 
+// largeBuffers holds unused buffers of largeBufferBytes.
 var largeBuffers = sync.Pool{New: func() any {
 	b := make([]byte, largeBufferBytes)
 	return &b
 }}
 
-// largeBufferBytes holds what one read can bring and the ids that are added.
+// largeBufferBytes is enough for the data of one read plus the longer event ids that the relay
+// writes.
 const largeBufferBytes = readBufferBytes + readBufferBytes/4
 
-// enlarge returns a large buffer that begins with the content of small, and
-// what to give back to the pool once it is not used any more.
-func enlarge(small []byte) (large []byte, pooled *[]byte) {
+// copyToLarge returns a large buffer that begins with the content of small, and the pointer to
+// pass to releaseLarge when the buffer is no longer used.
+func copyToLarge(small []byte) (large []byte, pooled *[]byte) {
 	pooled = largeBuffers.Get().(*[]byte)
 	copy(*pooled, small)
 	return *pooled, pooled
 }
 
-func giveBack(pooled *[]byte) {
+// releaseLarge returns a buffer of copyToLarge to the pool; nil is ignored.
+func releaseLarge(pooled *[]byte) {
 	if pooled != nil {
 		largeBuffers.Put(pooled)
 	}
 }
 
-// eventReader splits an engine's answer into events, in place.
+// eventReader splits an engine's response into events, without copying them.
 type eventReader struct {
 	src io.Reader
 	buf []byte
-	// pooled is the buffer to give back; buf may have outgrown it.
+	// pooled is the buffer to return to the pool, or nil. buf may have outgrown it.
 	pooled *[]byte
-	// buf[start:end] has been read and not yet been taken.
+	// buf[start:end] has been read from src but not yet returned in an event.
 	start, end int
 }
 
+// newEventReader returns a reader of the events in r.
 func newEventReader(r io.Reader) *eventReader {
 	return &eventReader{src: r, buf: make([]byte, smallBufferBytes)}
 }
 
+// release releases the buffer. The reader and its events must not be used afterwards.
 func (r *eventReader) release() {
-	giveBack(r.pooled)
+	releaseLarge(r.pooled)
 	r.buf, r.pooled = nil, nil
 }
 
-// next reads one event, however long that takes. io.ErrUnexpectedEOF means
+// next returns the next event and blocks until it has been received. io.ErrUnexpectedEOF means
 // that the stream ended without its [DONE] event.
 func (r *eventReader) next() (event, error) {
 	for {
-		if ev, ok := r.take(); ok {
+		if ev, ok := r.nextBuffered(); ok {
 			return ev, nil
 		}
 		if err := r.fill(); err != nil {
@@ -99,9 +107,9 @@
 	}
 }
 
-// take returns the next event that has arrived whole, if there is one. It is
-// valid until the next fill.
-func (r *eventReader) take() (event, bool) {
+// nextBuffered returns the next event that has been received completely, or false if there is
+// none. The event is valid until the next fill.
+func (r *eventReader) nextBuffered() (event, bool) {
 	var ev event
 	for pos := r.start; ; {
 		end := bytes.IndexByte(r.buf[pos:r.end], '\n')
@@ -114,11 +122,11 @@
 			line = line[:n-1]
 		}
 		if len(line) > 0 {
-			ev.addLine(line, r.buf[r.start:pos])
+			ev.parseLine(line, r.buf[r.start:pos])
 			continue
 		}
-		if ev.lines > 0 {
-			ev.rest = r.buf[r.start+ev.idSize : pos]
+		if ev.lineCount > 0 {
+			ev.rest = r.buf[r.start+ev.idLineBytes : pos]
 			r.start = pos
 			return ev, true
 		}
@@ -126,22 +134,24 @@
 	}
 }
 
-// addLine notes an id or data line. The id is the first line, as engines write
-// it; an id elsewhere stays among the rest. upTo is the event so far, with
-// this line.
-func (ev *event) addLine(line, upTo []byte) {
-	ev.lines++
+// parseLine adds a line to the event and parses an id or data line. Only the first line is
+// taken as the id, as engines write it first; a later id line remains part of the rest. upTo is
+// the event's text up to and including the line.
+func (ev *event) parseLine(line, upTo []byte) {
+	ev.lineCount++
 	switch {
-	case ev.lines == 1 && string(line[:min(len(line), len(prefixID))]) == prefixID:
-		ev.id = trimField(line, len(prefixID))
-		ev.idSize = len(upTo)
+	case ev.lineCount == 1 && string(line[:min(len(line), len(prefixID))]) == prefixID:
+		ev.id = fieldValue(line, len(prefixID))
+		ev.idLineBytes = len(upTo)
 	case ev.data == nil && string(line[:min(len(line), len(prefixData))]) == prefixData:
-		ev.data = trimField(line, len(prefixData))
+		ev.data = fieldValue(line, len(prefixData))
 		ev.done = string(ev.data) == doneData
 	}
 }
 
-// fill reads more of the stream.
+// fill reads more of the stream, which invalidates the events returned so far. It returns
+// io.ErrUnexpectedEOF at the end of the stream and errEventTooLarge if an event does not fit in
+// maxEventBytes.
 func (r *eventReader) fill() error {
 	if r.start > 0 {
 		r.end = copy(r.buf, r.buf[r.start:r.end])
@@ -156,7 +166,7 @@
 	n, err := r.src.Read(r.buf[r.end:])
 	r.end += n
 	if r.end == len(r.buf) && r.pooled == nil {
-		r.buf, r.pooled = enlarge(r.buf)
+		r.buf, r.pooled = copyToLarge(r.buf)
 	}
 	switch {
 	case n > 0:
@@ -167,8 +177,9 @@
 	return err
 }
 
-// trimField returns a line's value: what follows the name and one space.
-func trimField(line []byte, name int) []byte {
+// fieldValue returns the value of a line: what follows the field name of the given length,
+// without one leading space.
+func fieldValue(line []byte, name int) []byte {
 	value := line[name:]
 	if len(value) > 0 && value[0] == ' ' {
 		return value[1:]
@@ -176,25 +187,27 @@
 	return value
 }
 
-// eventWriter writes events to a caller. Events gather in buf until flush.
+// eventWriter writes events to a caller. They are buffered until flush.
 type eventWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 	buf     []byte
-	// pooled is the large buffer to give back, if any.
+	// pooled is the buffer to return to the pool, or nil.
 	pooled *[]byte
-	broken bool
+	// writeFailed is set once a write to the caller has failed.
+	writeFailed bool
 }
 
+// newEventWriter returns a writer of events to w.
 func newEventWriter(w http.ResponseWriter) *eventWriter {
 	return &eventWriter{w: w, control: http.NewResponseController(w)}
 }
 
-// gone reports whether writing to the caller has failed.
-func (o *eventWriter) gone() bool { return o.broken }
+// callerGone reports whether a write to the caller has failed.
+func (o *eventWriter) callerGone() bool { return o.writeFailed }
 
-// start sends the header before the first event.
-func (o *eventWriter) start(s *streamState) {
+// writeHeader writes the response header, if that has not been done.
+func (o *eventWriter) writeHeader(s *streamState) {
 	if s.started {
 		return
 	}
@@ -205,34 +218,34 @@
 	o.w.WriteHeader(http.StatusOK)
 }
 
-// relay passes one event on under the caller's numbering. Events that the
-// caller already has are dropped; a gap breaks the stream off before it does
-// harm.
-func (o *eventWriter) relay(s *streamState, ev event) error {
-	stream, n, ok := parseEngineID(ev.id)
+// writeEvent buffers one event of an engine, with an id of the form of EventID. Events that the
+// caller already has are dropped. A gap in the engine's event numbers is a recoverable error, as
+// the caller would otherwise get an incomplete response.
+func (o *eventWriter) writeEvent(s *streamState, ev event) error {
+	stream, n, ok := parseEngineEventID(ev.id)
 	if !ok {
-		// Without numbers the stream can be relayed but not resumed.
+		// Without event numbers the stream can be relayed but not resumed.
 		s.replayable = false
-		o.start(s)
+		o.writeHeader(s)
 		o.buf = append(o.buf, ev.rest...)
 		return nil
 	}
-	if n <= s.event && string(stream) == s.stream {
+	if n <= s.lastEvent && string(stream) == s.stream {
 		return nil
 	}
-	if n != s.event+1 {
-		return broken(errors.Errorf("event %d follows event %d", n, s.event))
+	if n != s.lastEvent+1 {
+		return recoverable(errors.Errorf("event %d follows event %d", n, s.lastEvent))
 	}
 	if s.stream == "" {
 		s.stream = string(stream)
 	}
-	s.event = n
+	s.lastEvent = n
 	if s.skip > 0 {
 		s.skip--
 		return nil
 	}
-	s.remember(ev.data)
-	o.start(s)
+	s.recordText(ev.data)
+	o.writeHeader(s)
 	o.reserve(len(ev.id) + len(ev.rest))
 	o.buf = append(o.buf, "id: "...)
 	o.buf = append(o.buf, s.engine...)
@@ -245,28 +258,28 @@
 		o.buf = strconv.AppendInt(o.buf, int64(s.base), 10)
 		o.buf = append(o.buf, '\n')
 	}
-	o.buf = append(o.buf, s.sameChunkID(ev.rest)...)
+	o.buf = append(o.buf, s.withOriginalChunkID(ev.rest)...)
 	return nil
 }
 
-// reserve makes room for an event, in a large buffer once a small one does not
-// hold what comes at once.
+// reserve prepares the buffer for n more bytes. It switches to a large buffer once the unsent
+// events exceed smallBufferBytes.
 func (o *eventWriter) reserve(n int) {
 	if o.pooled != nil || len(o.buf)+n <= smallBufferBytes {
 		return
 	}
 	used := len(o.buf)
-	o.buf, o.pooled = enlarge(o.buf)
+	o.buf, o.pooled = copyToLarge(o.buf)
 	o.buf = o.buf[:used]
 }
 
-// release gives up the buffer.
+// release releases the buffer. The writer must not be used afterwards.
 func (o *eventWriter) release() {
-	giveBack(o.pooled)
+	releaseLarge(o.pooled)
 	o.buf, o.pooled = nil, nil
 }
 
-// flush sends what has gathered.
+// flush sends the buffered events to the caller. It returns errCallerGone if that fails.
 func (o *eventWriter) flush() error {
 	if len(o.buf) == 0 {
 		return nil
@@ -277,134 +290,143 @@
 	}
 	o.buf = o.buf[:0]
 	if err != nil {
-		o.broken = true
+		o.writeFailed = true
 		return errCallerGone
 	}
 	return nil
 }
 
-// done ends a complete stream.
-func (o *eventWriter) done(s *streamState) error {
-	o.start(s)
+// finish ends a complete stream with the [DONE] event.
+func (o *eventWriter) finish(s *streamState) error {
+	o.writeHeader(s)
 	o.buf = append(o.buf, "data: [DONE]\n\n"...)
 	return o.flush()
 }
 
-// finishLength ends a stream of which only the end was lost.
-func (o *eventWriter) finishLength(s *streamState) error {
-	chunk := chunkEnd{ID: string(s.chunkID), Object: "chat.completion.chunk", Choices: []choiceEnd{{FinishReason: "length"}}}
+// finishWithLength ends a stream that has reached its token limit and lost its engine before
+// the last chunk: it writes that chunk with the finish reason "length".
+func (o *eventWriter) finishWithLength(s *streamState) error {
+	chunk := finishChunk{ID: string(s.chunkID), Object: "chat.completion.chunk", Choices: []finishChoice{{FinishReason: "length"}}}
 	data, err := json.Marshal(chunk)
 	if err != nil {
 		return errors.Wrap(err, "encode last chunk")
 	}
-	o.data(data)
-	return o.done(s)
+	o.appendData(data)
+	return o.finish(s)
 }
 
-// chunkEnd is a chunk that carries only a finish reason.
-type chunkEnd struct {
-	ID      string      `json:"id"`
-	Object  string      `json:"object"`
-	Choices []choiceEnd `json:"choices"`
+// finishChunk is a chat completion chunk without content, which gives the finish reason.
+type finishChunk struct {
+	ID      string         `json:"id"`
+	Object  string         `json:"object"`
+	Choices []finishChoice `json:"choices"`
 }
 
-type choiceEnd struct {
+// finishChoice is the choice in a finishChunk.
+type finishChoice struct {
 	Index        int      `json:"index"`
 	Delta        struct{} `json:"delta"`
 	FinishReason string   `json:"finish_reason"`
 }
 
-// fail tells the caller in the stream that the answer is not complete. There
-// is no [DONE] after it.
-func (o *eventWriter) fail(e *errkind.Error) {
-	o.data(errkind.Body(e))
-	// The caller may be gone; there is no one else to tell.
+// writeError sends e to the caller as the last event of an incomplete stream. No [DONE] event
+// follows it.
+func (o *eventWriter) writeError(e *errkind.Error) {
+	o.appendData(errkind.Body(e))
+	// The write fails only if the caller has closed the connection; then nobody needs the error.
 	_ = o.flush()
 }
 
-// data adds an event without an id.
-func (o *eventWriter) data(payload []byte) {
+// appendData buffers an event that has the given data and no id.
+func (o *eventWriter) appendData(payload []byte) {
 	o.buf = append(o.buf, "data: "...)
 	o.buf = append(o.buf, payload...)
 	o.buf = append(o.buf, "\n\n"...)
 }
 
+// Fields of the chunks of a chat completion, as they appear in JSON without spaces.
 var (
-	contentField = []byte(`"content":"`)
-	chunkIDField = []byte(`"id":"`)
-	toolField    = []byte(`"tool_calls"`)
-	finishNull   = []byte(`"finish_reason":null`)
+	contentField     = []byte(`"content":"`)
+	chunkIDField     = []byte(`"id":"`)
+	toolCallsField   = []byte(`"tool_calls"`)
+	finishReasonNull = []byte(`"finish_reason":null`)
 )
 
-// remember keeps the token's text for going on elsewhere.
-func (s *streamState) remember(data []byte) {
+// recordText adds the content of a chunk to the text with which another engine can continue the
+// stream. If the content cannot be determined or the text exceeds maxReplayBytes, the stream is
+// no longer replayable.
+func (s *streamState) recordText(data []byte) {
 	if !s.replayable {
-		s.noteChunkID(data)
+		s.recordChunkID(data)
 		return
 	}
 	if len(s.text) > maxReplayBytes {
 		s.replayable, s.text = false, nil
 		return
 	}
-	// Chunks of one stream are alike up to the content.
-	if at := s.contentAt; at > 0 && at < len(data) && bytes.HasPrefix(data[at:], contentField) {
-		s.text = append(s.text, untilQuote(data[at+len(contentField):])...)
+	// The chunks of a stream usually differ only from the content on, so the content is at the
+	// same offset as in the last chunk.
+	if at := s.contentOffset; at > 0 && at < len(data) && bytes.HasPrefix(data[at:], contentField) {
+		s.text = append(s.text, untilClosingQuote(data[at+len(contentField):])...)
 		return
 	}
-	s.rememberOther(data)
+	s.recordOtherChunk(data)
 }
 
-// rememberOther takes in a chunk that is not like the last one.
-func (s *streamState) rememberOther(data []byte) {
-	s.noteChunkID(data)
-	if bytes.Contains(data, toolField) {
+// recordOtherChunk does the same for a chunk that has no content at the offset of the last one.
+func (s *streamState) recordOtherChunk(data []byte) {
+	s.recordChunkID(data)
+	if bytes.Contains(data, toolCallsField) {
 		s.replayable, s.text = false, nil
 		return
 	}
 	at := bytes.Index(data, contentField)
 	if at < 0 {
-		// A chunk of a shape not known here: its tokens cannot be kept.
-		if bytes.Contains(data, finishNull) && s.event > 1 {
+		// The chunk may carry tokens in a form that is not known here, so the recorded text
+		// would be incomplete.
+		if bytes.Contains(data, finishReasonNull) && s.lastEvent > 1 {
 			s.replayable, s.text = false, nil
 		}
 		return
 	}
-	s.contentAt = at
-	s.text = append(s.text, untilQuote(data[at+len(contentField):])...)
+	s.contentOffset = at
+	s.text = append(s.text, untilClosingQuote(data[at+len(contentField):])...)
 }
 
-func (s *streamState) noteChunkID(data []byte) {
+// recordChunkID records the completion id of the first chunk.
+func (s *streamState) recordChunkID(data []byte) {
 	if s.chunkID == nil {
-		s.chunkID = append([]byte{}, jsonString(data, chunkIDField)...)
+		s.chunkID = append([]byte{}, jsonStringAfter(data, chunkIDField)...)
 	}
 }
 
-// sameChunkID keeps the completion id the same across engines, as clients
-// check it.
-func (s *streamState) sameChunkID(rest []byte) []byte {
-	if !s.moved {
+// withOriginalChunkID replaces the completion id in the text of an event by that of the first
+// chunk if a new generation has taken over the stream. Client libraries check that the id stays
+// the same.
+func (s *streamState) withOriginalChunkID(rest []byte) []byte {
+	if !s.restarted {
 		return rest
 	}
-	id := jsonString(rest, chunkIDField)
+	id := jsonStringAfter(rest, chunkIDField)
 	if id == nil || bytes.Equal(id, s.chunkID) {
 		return rest
 	}
 	return bytes.Replace(rest, id, s.chunkID, 1)
 }
 
-// jsonString returns the raw content of the first JSON string behind field, or
-// nil when there is none.
-func jsonString(data, field []byte) []byte {
+// jsonStringAfter returns the raw content of the JSON string that follows the first occurrence
+// of field, or nil if there is none. field includes the opening quote.
+func jsonStringAfter(data, field []byte) []byte {
 	i := bytes.Index(data, field)
 	if i < 0 {
 		return nil
 	}
-	return untilQuote(data[i+len(field):])
+	return untilClosingQuote(data[i+len(field):])
 }
 
-// untilQuote returns the raw JSON string that s begins with, or nil when it
-// does not end.
-func untilQuote(s []byte) []byte {
+// untilClosingQuote returns the raw content of the JSON string whose opening quote precedes s,
+// or nil if it has no closing quote.
+func untilClosingQuote(s []byte) []byte {
 	for j := 0; j < len(s); j++ {
 		switch s[j] {
 		case '\\':
--- a/internal/relay/idle.go
+++ b/internal/relay/idle.go
@@ -5,70 +5,76 @@
 	"time"
 )
 
-// idleChecks is how often within its limit an idle watch looks for progress;
-// silence is found out at most that part of the limit late.
-const idleChecks = 4
+// idleChecksPerLimit is how often per limit an idleWatch checks for progress. Idleness is
+// detected at most one check interval after the limit.
+const idleChecksPerLimit = 4
 
-// idleWatch calls a function once a stream has made no progress for too long.
-// Progress costs no look at the clock.
+// idleWatch calls a function once when a stream has made no progress for too long. Recording
+// progress does not read the clock.
 type idleWatch struct {
 	limit  time.Duration
-	silent func()
+	onIdle func()
 
-	mu    sync.Mutex
+	// mu guards the fields below.
+	mu sync.Mutex
+	// timer waits for the first progress and then for the next check.
 	timer *time.Timer
-	// moved is set by progress and cleared by each check.
-	moved bool
-	// still counts the checks without progress.
-	still   int
-	stopped bool
+	// progressed is set by recordProgress and cleared by each check.
+	progressed bool
+	// checksWithoutProgress is zero before the first progress. After that it is one plus the
+	// number of consecutive checks that found no progress.
+	checksWithoutProgress int
+	stopped               bool
 }
 
-// watchIdle waits up to first for the first progress and up to limit between
-// further ones.
-func watchIdle(first, limit time.Duration, silent func()) *idleWatch {
-	w := &idleWatch{limit: limit, silent: silent}
+// newIdleWatch returns a watch that calls onIdle in a goroutine of its own if there is no
+// progress within first, or within limit after any later progress. The caller must stop it.
+func newIdleWatch(first, limit time.Duration, onIdle func()) *idleWatch {
+	w := &idleWatch{limit: limit, onIdle: onIdle}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(first, silent)
+	w.timer = time.AfterFunc(first, onIdle)
 	return w
 }
 
-// progress notes that something has come.
-func (w *idleWatch) progress() {
+// recordProgress records that the stream has made progress.
+func (w *idleWatch) recordProgress() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.stopped || w.moved {
+	if w.stopped || w.progressed {
 		return
 	}
-	w.moved = true
-	if w.still == 0 && w.timer.Stop() {
-		w.still = 1
-		w.timer = time.AfterFunc(w.limit/idleChecks, w.check)
+	w.progressed = true
+	if w.checksWithoutProgress == 0 && w.timer.Stop() {
+		w.checksWithoutProgress = 1
+		w.timer = time.AfterFunc(w.limit/idleChecksPerLimit, w.check)
 	}
 }
 
+// check runs at each check interval after the first progress. It calls onIdle, without holding
+// w.mu, after idleChecksPerLimit consecutive checks without progress.
 func (w *idleWatch) check() {
 	w.mu.Lock()
 	if w.stopped {
 		w.mu.Unlock()
 		return
 	}
-	if w.moved {
-		w.moved, w.still = false, 1
+	if w.progressed {
+		w.progressed, w.checksWithoutProgress = false, 1
 	} else {
-		w.still++
+		w.checksWithoutProgress++
 	}
-	over := w.still > idleChecks
+	over := w.checksWithoutProgress > idleChecksPerLimit
 	if !over {
-		w.timer = time.AfterFunc(w.limit/idleChecks, w.check)
+		w.timer = time.AfterFunc(w.limit/idleChecksPerLimit, w.check)
 	}
 	w.mu.Unlock()
 	if over {
-		w.silent()
+		w.onIdle()
 	}
 }
 
+// stop ends the watch. A call of onIdle that has begun is not awaited.
 func (w *idleWatch) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/relay/parse_test.go
+++ b/internal/relay/parse_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// A valid request remains valid when it is changed to continue a response.
 func FuzzParseChat(f *testing.F) {
 	f.Add([]byte(chatBody(`,"max_tokens":3,"seed":1`)))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -22,6 +23,7 @@
 	})
 }
 
+// The text form of a parsed event id is the text that was parsed.
 func FuzzEventID(f *testing.F) {
 	f.Add("engine-1/18ed-4:7:0")
 	f.Fuzz(func(t *testing.T, s string) {
@@ -32,6 +34,7 @@
 	})
 }
 
+// No stream of events makes the parsers panic.
 func FuzzEventReader(f *testing.F) {
 	f.Add([]byte("id: s:1\ndata: {}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("\r\n\r\nid:\ndata:\n\n"))
@@ -42,10 +45,8 @@
 			if err != nil {
 				return
 			}
-			parseEngineID(ev.id)
-			(&streamState{replayable: true}).remember(ev.data)
+			parseEngineEventID(ev.id)
+			(&streamState{replayable: true}).recordText(ev.data)
 		}
 	})
 }
-
-// outOfOrder is an engine that leaves out its second event.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -17,35 +17,40 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// Need says what a route is wanted for.
+// Need describes the attempt for which a Router chooses a target.
 type Need struct {
+	// Service is the service that the request is for.
 	Service string
-	Role    target.Role
-	// Prefix and PromptTokens describe the prompt.
-	Prefix       uint64
+	// Role is the role that the target must have.
+	Role target.Role
+	// Prefix is the hash of the prompt's beginning; see Chat.Prefix.
+	Prefix uint64
+	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int
-	// Avoid names targets that this request has already failed on.
+	// Avoid names targets on which this request has already failed.
 	Avoid []string
-	// Retry marks a further try of a request that was already admitted.
+	// Retry marks a further attempt of a request that was already admitted.
 	Retry bool
 }
 
-// Outcome is how a target fared with one try.
+// Outcome is the result of one attempt as far as it concerns the target's health.
 type Outcome int
 
-// The outcomes of a try.
+// The outcomes of an attempt.
 const (
-	// OutcomeOK: the target answered in full.
+	// OutcomeOK: the target sent a complete response.
 	OutcomeOK Outcome = iota
-	// OutcomeRefused: the target refused and is otherwise well.
+	// OutcomeRefused: the target refused the request but is otherwise healthy.
 	OutcomeRefused
-	// OutcomeFailed: the target broke off, did not answer or failed.
+	// OutcomeFailed: the target sent an incomplete response, none, or a server error.
 	OutcomeFailed
-	// OutcomeAbandoned: the caller went away; nothing is known of the target.
+	// OutcomeAbandoned: the attempt ended early for a reason unrelated to the target, such as
+	// a caller that closed its connection.
 	OutcomeAbandoned
 )
 
-// Route is one target chosen for one try. Done must be called once.
+// Route is a target chosen for one attempt. Done reports the attempt's outcome to the Router
+// and must be called exactly once.
 type Route struct {
 	Name    string
 	Address string
@@ -54,32 +59,33 @@
 
 // Router chooses targets.
 type Router interface {
-	// Route chooses a target, or fails with an *errkind.Error.
+	// Route chooses a target for an attempt. Its error is an *errkind.Error.
 	Route(Need) (Route, error)
-	// Find returns the address of the target called name, if it is known.
+	// Find returns the address of the target called name, and whether that target is known.
 	Find(name string) (address string, ok bool)
-	// Split reports whether the service's engines are split into prefill and
-	// decode, so that a request should use one of each.
+	// Split reports whether the service has separate prefill and decode engines, so that a
+	// request should use one of each.
 	Split(service string) bool
 }
 
 // Config holds the relay's limits.
 type Config struct {
-	// IdleTimeout is how long a stream may give no event before its engine is
-	// taken for lost.
+	// IdleTimeout is how long a stream may produce no event before its engine is considered
+	// lost.
 	IdleTimeout time.Duration
 	// DialTimeout bounds connecting to an engine.
 	DialTimeout time.Duration
-	// MaxAnswerBytes bounds a whole answer that is held for a retry.
-	MaxAnswerBytes int64
+	// MaxResponseBytes bounds a response that is read completely before it is used, such as
+	// one that is buffered so that the request can be retried until it is complete.
+	MaxResponseBytes int64
 }
 
 // DefaultConfig returns the limits used in production.
 func DefaultConfig() Config {
-	return Config{IdleTimeout: 4 * time.Second, DialTimeout: 2 * time.Second, MaxAnswerBytes: 16 << 20}
+	return Config{IdleTimeout: 4 * time.Second, DialTimeout: 2 * time.Second, MaxResponseBytes: 16 << 20}
 }
 
-// Relay carries language requests. It is safe for concurrent use.
+// Relay forwards requests for language models to engines. It is safe for concurrent use.
 type Relay struct {
 	cfg    Config
 	router Router
@@ -87,14 +93,14 @@
 	http   *http.Client
 }
 
-// maxIdlePerEngine bounds the idle connections kept to one engine.
+// maxIdlePerEngine is the most idle connections kept to one engine.
 const maxIdlePerEngine = 64
 
-// readBufferBytes is the read buffer of a connection to an engine; it is part
-// of the memory of an idle stream.
+// readBufferBytes is the size of the read buffer of a connection to an engine. An idle stream
+// keeps it in memory.
 const readBufferBytes = 64 << 10
 
-// New returns a relay that asks router for targets.
+// New returns a relay that uses the targets chosen by router.
 func New(cfg Config, router Router, log *telemetry.Logger) *Relay {
 	return &Relay{cfg: cfg, router: router, log: log, http: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: cfg.DialTimeout}).DialContext,
@@ -105,35 +111,38 @@
 	}}}
 }
 
-// Stop closes idle connections.
+// Stop closes the idle connections to engines. It always returns nil.
 func (r *Relay) Stop(context.Context) error {
 	r.http.CloseIdleConnections()
 	return nil
 }
 
-// Call is one caller's language request.
+// Call is one request of a caller.
 type Call struct {
+	// ID identifies the request to engines and in the log.
 	ID      string
 	Service string
 	Chat    *Chat
-	// Resume is the event after which the caller wants to go on, or nil.
+	// Resume is the last event that the caller received when it resumes a stream, or nil.
 	Resume *EventID
-	// Deadline is when the answer stops being worth a retry.
+	// Deadline ends a request for a buffered response, and the retries of a stream that has
+	// not begun.
 	Deadline time.Time
 	// Budget is the service's retry budget.
 	Budget *retry.Budget
 }
 
-// mayRetry reports whether another try is allowed now. A try that certainly
-// did not run costs nothing of the budget's purpose but still counts, as it
-// loads the fleet the same.
-func (c *Call) mayRetry(now time.Time) bool {
+// takeRetry reports whether another attempt is allowed now, and if so takes it from the retry
+// budget. An attempt that certainly did not run counts as well, because the next one puts the
+// same load on the fleet.
+func (c *Call) takeRetry(now time.Time) bool {
 	return now.Before(c.Deadline) && c.Budget.Retry()
 }
 
-// post sends a body to an engine. The body is never rewound, so the HTTP
-// client cannot send it twice by itself.
-func (r *Relay) post(ctx context.Context, c *Call, address string, body []byte, lastEvent string) (*http.Response, error) {
+// postChat sends a chat completion request to an engine. lastEventID is the engine's id of the
+// event after which to resume a stream, or "". GetBody is unset so that the HTTP client cannot
+// send the body a second time by itself.
+func (r *Relay) postChat(ctx context.Context, c *Call, address string, body []byte, lastEventID string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+target.PathChat, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "build request")
@@ -141,136 +150,149 @@
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(target.HeaderRequestID, c.ID)
-	if lastEvent != "" {
-		req.Header.Set(target.HeaderLastEventID, lastEvent)
+	if lastEventID != "" {
+		req.Header.Set(target.HeaderLastEventID, lastEventID)
 	}
 	return r.http.Do(req)
 }
 
-// Whole serves a request for a whole answer.
+// Whole serves a non-streaming request. The response is buffered until it is complete, so a
+// request that fails on one engine can be retried on another. Its error is an *errkind.Error;
+// nothing has been written to w then.
 func (r *Relay) Whole(ctx context.Context, w http.ResponseWriter, c *Call) error {
 	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
 	need := Need{Service: c.Service, Role: target.RoleBoth, Prefix: c.Chat.Prefix, PromptTokens: c.Chat.PromptTokens}
-	var last error
+	var targetErr error
 	for {
 		route, err := r.router.Route(need)
 		if err != nil {
-			return firstOf(last, err)
+			return preferTargetError(targetErr, err)
 		}
-		a, err := r.wholeFrom(ctx, c, route)
+		resp, err := r.fetchResponse(ctx, c, route)
 		if err == nil {
-			return a.writeTo(w)
+			return resp.writeTo(w)
 		}
 		if ctx.Err() != nil {
-			return ctxError(ctx, err)
+			return contextError(ctx, err)
 		}
-		last = err
+		targetErr = err
 		need.Avoid = append(need.Avoid, route.Name)
 		need.Retry = true
-		if a.final || !c.mayRetry(time.Now()) {
-			return last
+		if resp.final || !c.takeRetry(time.Now()) {
+			return targetErr
 		}
 	}
 }
 
-// firstOf returns the failure that the caller should hear of: that of a target
-// rather than that there is no further one.
-func firstOf(last, err error) error {
-	if last != nil {
-		return last
+// preferTargetError returns the error to report when no target is left: that of the last
+// target tried, if any, else routeErr, the router's.
+func preferTargetError(targetErr, routeErr error) error {
+	if targetErr != nil {
+		return targetErr
 	}
-	return err
+	return routeErr
 }
 
-// ctxError tells a caller that went away from a deadline that passed.
-func ctxError(ctx context.Context, err error) error {
+// contextError wraps err, of an attempt that ended with ctx, according to whether the deadline
+// passed or the caller closed its connection.
+func contextError(ctx context.Context, err error) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return errkind.Wrap(errkind.DeadlineExceeded, err, "the answer was not ready by the service's deadline")
+		return errkind.Wrap(errkind.DeadlineExceeded, err, "the response was not complete by the service's deadline")
 	}
-	return errkind.Wrap(errkind.ClientGone, err, "the caller went away")
+	return errkind.Wrap(errkind.ClientGone, err, "the caller closed the connection")
 }
 
-// answer is a target's whole answer.
-type answer struct {
+// response is a target's complete response.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
-	// final answers are the caller's own fault; another target would say the
-	// same.
+	// final marks a failure that must not be retried, as another target would give the same
+	// result.
 	final bool
 }
 
-func (a answer) writeTo(w http.ResponseWriter) error {
-	copyHeader(w.Header(), a.header)
-	w.WriteHeader(a.status)
-	// A failed write means that the caller has gone; the answer is complete.
-	_, _ = w.Write(a.body)
+// writeTo writes the response to a caller. It always returns nil.
+func (r response) writeTo(w http.ResponseWriter) error {
+	copyHeader(w.Header(), r.header)
+	w.WriteHeader(r.status)
+	// A failed write means that the caller has closed the connection. The response itself is
+	// complete.
+	_, _ = w.Write(r.body)
 	return nil
 }
 
-func (r *Relay) wholeFrom(ctx context.Context, c *Call, route Route) (answer, error) {
-	resp, err := r.post(ctx, c, route.Address, c.Chat.body, "")
+// fetchResponse sends the request to the target of route and reads its complete response. It
+// reports the attempt's outcome to the route. With an error, only the response's final field
+// is set.
+func (r *Relay) fetchResponse(ctx context.Context, c *Call, route Route) (response, error) {
+	resp, err := r.postChat(ctx, c, route.Address, c.Chat.body, "")
 	if err != nil {
-		route.Done(outcomeOf(ctx))
-		return answer{}, dialError(err)
+		route.Done(failureOutcome(ctx))
+		return response{}, dialError(err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, r.cfg.MaxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, r.cfg.MaxResponseBytes+1))
 	if err != nil {
-		route.Done(outcomeOf(ctx))
-		return answer{}, errkind.Wrap(errkind.TargetLost, err, "the engine broke off its answer")
+		route.Done(failureOutcome(ctx))
+		return response{}, errkind.Wrap(errkind.TargetLost, err, "the connection to the engine was lost before the response was complete")
 	}
-	if int64(len(body)) > r.cfg.MaxAnswerBytes {
+	if int64(len(body)) > r.cfg.MaxResponseBytes {
 		route.Done(OutcomeOK)
-		return answer{final: true}, errkind.New(errkind.TargetFailed, "the engine's answer is larger than %d bytes", r.cfg.MaxAnswerBytes)
+		return response{final: true}, errkind.New(errkind.TargetFailed, "the engine's response is larger than %d bytes", r.cfg.MaxResponseBytes)
 	}
-	return r.judge(resp, body, route)
+	return r.classifyResponse(resp, body, route)
 }
 
-// judge sorts a complete answer into success, caller's fault and failure.
-func (r *Relay) judge(resp *http.Response, body []byte, route Route) (answer, error) {
-	a := answer{status: resp.StatusCode, header: resp.Header, body: body}
+// classifyResponse returns a complete response that is to be passed on to the caller, whether a
+// success or the caller's own error, and an error for a refusal or failure of the engine. It
+// reports the attempt's outcome to the route.
+func (r *Relay) classifyResponse(resp *http.Response, body []byte, route Route) (response, error) {
+	whole := response{status: resp.StatusCode, header: resp.Header, body: body}
 	switch {
 	case target.VouchesNotRun(ErrorCode(body)):
 		route.Done(OutcomeRefused)
-		e := errkind.New(errkind.TargetFailed, "the engine refused: %s", ErrorCode(body))
+		e := errkind.New(errkind.TargetFailed, "the engine refused the request: %s", ErrorCode(body))
 		e.Outcome = errkind.NotRun
-		return answer{}, e
+		return response{}, e
 	case resp.StatusCode >= http.StatusInternalServerError:
 		route.Done(OutcomeFailed)
-		return answer{}, errkind.New(errkind.TargetFailed, "the engine answered %d", resp.StatusCode)
+		return response{}, errkind.New(errkind.TargetFailed, "the engine responded with status %d", resp.StatusCode)
 	}
 	route.Done(OutcomeOK)
-	return a, nil
+	return whole, nil
 }
 
-// dialError sorts a failed round trip: only a failed dial is certain not to
-// have run.
+// dialError wraps the error of a failed round trip. The request certainly did not run only if
+// connecting failed.
 func dialError(err error) *errkind.Error {
-	e := errkind.Wrap(errkind.TargetLost, err, "the target did not answer")
+	e := errkind.Wrap(errkind.TargetLost, err, "the target did not respond")
 	if NeverSent(err) {
 		e.Outcome = errkind.NotRun
 	}
 	return e
 }
 
-// NeverSent reports whether err, of an HTTP round trip, is certain proof that
-// no byte of the request left.
+// NeverSent reports whether err, of an HTTP round trip, proves that no byte of the request was
+// sent, because connecting failed.
 func NeverSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func outcomeOf(ctx context.Context) Outcome {
+// failureOutcome returns the outcome of a failed attempt under ctx: the target is not to blame
+// if the caller closed its connection.
+func failureOutcome(ctx context.Context) Outcome {
 	if ctx.Err() != nil && !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return OutcomeAbandoned
 	}
 	return OutcomeFailed
 }
 
-// hopHeaders are meant for one connection and are not passed on.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders apply to a single connection and are not forwarded; neither is
+// Content-Length, which net/http sets anew.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 }
@@ -278,19 +300,20 @@
 // CopyHeader adds the end-to-end headers of src to dst.
 func CopyHeader(dst, src http.Header) { copyHeader(dst, src) }
 
+// copyHeader adds all headers of src but the hop-by-hop ones to dst.
 func copyHeader(dst, src http.Header) {
 	for k, vs := range src {
-		if hopHeaders[k] {
+		if hopByHopHeaders[k] {
 			continue
 		}
 		dst[k] = append(dst[k], vs...)
 	}
 }
 
-// cancelTimeout bounds telling an engine that a stream is not wanted.
+// cancelTimeout bounds the request that cancels a stream on an engine.
 const cancelTimeout = 2 * time.Second
 
-// cancelStream tells the engine to stop generating.
+// cancelStream asks the engine at address to stop generating the stream. Failures are ignored.
 func (r *Relay) cancelStream(address, stream string) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
@@ -300,19 +323,19 @@
 	}
 	resp, err := r.http.Do(req)
 	if err != nil {
-		// The engine drops the stream by itself after its grace period.
+		// The engine ends an abandoned stream by itself after its grace period.
 		return
 	}
 	resp.Body.Close()
 }
 
-// kvParams is the part of a prefill answer that the decode engine needs.
-type kvParams struct {
+// prefillResponse is the part of a prefill engine's response that the decode engine needs.
+type prefillResponse struct {
 	KV *target.KVTransfer `json:"kv_transfer_params"`
 }
 
-// prefill runs the prompt on a prefill engine and returns the reference to its
-// KV cache. Any failure only means that the caller falls back to one engine.
+// prefill processes the prompt on a prefill engine and returns a reference to the resulting KV
+// cache. After an error, the request falls back to a single engine for prefill and decode.
 func (r *Relay) prefill(ctx context.Context, c *Call) (target.KVTransfer, error) {
 	route, err := r.router.Route(Need{
 		Service: c.Service, Role: target.RolePrefill, Prefix: c.Chat.Prefix, PromptTokens: c.Chat.PromptTokens,
@@ -325,21 +348,21 @@
 		route.Done(OutcomeAbandoned)
 		return target.KVTransfer{}, err
 	}
-	resp, err := r.post(ctx, c, route.Address, body, "")
+	resp, err := r.postChat(ctx, c, route.Address, body, "")
 	if err != nil {
-		route.Done(outcomeOf(ctx))
+		route.Done(failureOutcome(ctx))
 		return target.KVTransfer{}, errors.Wrap(err, "prefill")
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, r.cfg.MaxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, r.cfg.MaxResponseBytes))
 	if err != nil || resp.StatusCode != http.StatusOK {
 		route.Done(OutcomeFailed)
 		return target.KVTransfer{}, errors.Errorf("prefill: status %d, %v", resp.StatusCode, err)
 	}
 	route.Done(OutcomeOK)
-	var p kvParams
+	var p prefillResponse
 	if err := json.Unmarshal(data, &p); err != nil || p.KV == nil {
-		return target.KVTransfer{}, errors.New("prefill: the answer holds no kv_transfer_params")
+		return target.KVTransfer{}, errors.New("prefill: the response has no kv_transfer_params")
 	}
 	return *p.KV, nil
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -14,56 +14,65 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// maxReplayBytes bounds the text kept for going on elsewhere when an engine is
-// lost; a longer answer can then only be resumed on its own engine.
+// maxReplayBytes bounds the generated text that is kept so that another engine can continue it
+// when the stream's engine is lost. A longer response can only be resumed on its own engine or, if
+// it is deterministic, generated again.
 const maxReplayBytes = 256 << 10
 
-// streamState is where a caller's stream stands, across engines.
+// streamState is the progress of a caller's stream across the engines that serve it.
 type streamState struct {
-	// engine, stream and event name the last event relayed.
-	engine string
-	stream string
-	event  int
-	// base is the events relayed from earlier engines.
+	// engine, stream and lastEvent identify the last event received: the engine's name, its
+	// name for the stream, and its number of the event, from 1. stream and lastEvent are zero
+	// until an engine's first event.
+	engine    string
+	stream    string
+	lastEvent int
+	// base is the number of events relayed from earlier engines.
 	base int
-	// text is the JSON string content of the tokens relayed, while replayable.
-	text       []byte
+	// text is the generated text relayed so far, as the content of a JSON string. It is kept
+	// while replayable is set.
+	text []byte
+	// replayable is set while another engine can continue the stream from text.
 	replayable bool
-	// contentAt is where the content began in the last chunk.
-	contentAt int
-	// skip is how many of the next engine's events the caller already has.
+	// contentOffset is the offset of the content field in the last chunk that had one.
+	contentOffset int
+	// skip is how many of the engine's next events the caller has already received.
 	skip int
-	// chunkID is the completion id that the caller saw first.
+	// chunkID is the completion id in the first chunk relayed.
 	chunkID []byte
+	// started is set once the response header has been written to the caller.
 	started bool
-	// noTransfer is set once an engine could not import the KV cache; one
-	// engine then does it all.
-	noTransfer bool
-	// moved is set once the stream has gone on with another generation.
-	moved bool
+	// kvImportFailed is set once an engine could not import the KV cache. A single engine then
+	// does both prefill and decode.
+	kvImportFailed bool
+	// restarted is set once a new generation has taken over the stream.
+	restarted bool
 }
 
-// events returns how many events the caller holds.
-func (s *streamState) events() int { return s.base + s.event }
+// position returns how far the stream has come: the number of events relayed from earlier
+// engines plus those received from the current one. The caller has more than that while events
+// are being skipped.
+func (s *streamState) position() int { return s.base + s.lastEvent }
 
-// errBroken is wrapped by failures after which the stream may go on elsewhere.
-var errBroken = errors.New("relay: stream broke off")
+// errRecoverable matches every failure after which the stream may continue, on the same engine
+// or another. See recoverable.
+var errRecoverable = errors.New("relay: stream interrupted")
 
-// errSilent: the engine gave no event for too long. It is not asked again, as
-// it would cost the caller the same wait once more.
-var errSilent = errors.New("relay: engine fell silent")
+// errEngineIdle: the engine sent no event for too long. The stream is not resumed on it, as
+// the caller would have to wait the same time again.
+var errEngineIdle = errors.New("relay: no event from the engine within the idle timeout")
 
 // errUnknownStream: the engine no longer has the stream.
 var errUnknownStream = errors.New("relay: engine does not know the stream")
 
 // errCallerGone: writing to the caller failed.
-var errCallerGone = errors.New("relay: caller went away")
+var errCallerGone = errors.New("relay: caller closed the connection")
 
-// Stream serves a streaming request. Once the first event is out, every
-// failure is told in the stream, and a stream that is not complete never ends
-// with the [DONE] event.
+// Stream serves a streaming request. A failure before the first event is returned and nothing
+// has been written to w. Once the first event has been written, a failure is also reported in
+// the stream, and an incomplete stream never ends with the [DONE] event.
 func (r *Relay) Stream(ctx context.Context, w http.ResponseWriter, c *Call) error {
-	s := &streamState{replayable: c.Chat.single}
+	s := &streamState{replayable: c.Chat.singleChoice}
 	out := newEventWriter(w)
 	defer out.release()
 	err := r.runStream(ctx, out, c, s)
@@ -71,127 +80,135 @@
 		return err
 	}
 	if !errors.Is(err, errCallerGone) {
-		out.fail(errkind.From(err))
+		out.writeError(errkind.From(err))
 	}
 	return err
 }
 
+// runStream relays the stream from one engine after another until it is complete or cannot be
+// continued.
 func (r *Relay) runStream(ctx context.Context, out *eventWriter, c *Call, s *streamState) error {
 	var avoid []string
 	if c.Resume != nil {
-		err := r.resumeForCaller(ctx, out, c, s)
-		if !errors.Is(err, errBroken) {
+		err := r.resumeFromEventID(ctx, out, c, s)
+		if !errors.Is(err, errRecoverable) {
 			return err
 		}
 		avoid = append(avoid, s.engine)
 	}
-	var last error
+	var targetErr error
 	for {
-		route, err := r.openRoute(c, avoid, last != nil || c.Resume != nil)
+		route, err := r.chooseRoute(c, avoid, targetErr != nil || c.Resume != nil)
 		if err != nil {
-			return firstOf(last, err)
+			return preferTargetError(targetErr, err)
 		}
-		transfer := s.noTransfer
-		err = r.streamOn(ctx, out, c, s, route)
-		if err == nil || !errors.Is(err, errBroken) {
+		importFailedBefore := s.kvImportFailed
+		err = r.streamFromEngine(ctx, out, c, s, route)
+		if err == nil || !errors.Is(err, errRecoverable) {
 			return err
 		}
-		last = lostError(err)
-		if transfer == s.noTransfer {
+		targetErr = streamLostError(err)
+		if importFailedBefore == s.kvImportFailed {
 			avoid = append(avoid, route.Name)
 		}
-		if err := r.prepareNext(c, s, err); err != nil {
+		if err := r.prepareFailover(c, s, err); err != nil {
 			return err
 		}
 	}
 }
 
-func (r *Relay) openRoute(c *Call, avoid []string, again bool) (Route, error) {
+// chooseRoute chooses the engine that decodes the stream, other than those in avoid. retry
+// marks a further attempt of the request.
+func (r *Relay) chooseRoute(c *Call, avoid []string, retry bool) (Route, error) {
 	role := target.RoleBoth
 	if r.router.Split(c.Service) {
 		role = target.RoleDecode
 	}
 	return r.router.Route(Need{
 		Service: c.Service, Role: role, Prefix: c.Chat.Prefix, PromptTokens: c.Chat.PromptTokens,
-		Avoid: avoid, Retry: again,
+		Avoid: avoid, Retry: retry,
 	})
 }
 
-func lostError(err error) error {
+// streamLostError returns the *errkind.Error in err's chain, or else wraps err as StreamLost.
+func streamLostError(err error) error {
 	if e := (*errkind.Error)(nil); errors.As(err, &e) {
 		return e
 	}
-	return errkind.Wrap(errkind.StreamLost, err, "the engine was lost and the stream could not go on")
+	return errkind.Wrap(errkind.StreamLost, err, "the engine was lost and the stream could not be continued")
 }
 
-// prepareNext readies the state for another engine, or says why there can be
-// none. A stream that has begun is carried on even past the deadline, as it
-// is in the caller's hands; only the budget bounds it then.
-func (r *Relay) prepareNext(c *Call, s *streamState, cause error) error {
+// prepareFailover prepares the state for another engine after the failure cause, or returns an
+// error if there must be no further attempt. A stream that has begun continues even past the
+// deadline, as the caller is already receiving it; then only the retry budget limits the
+// attempts.
+func (r *Relay) prepareFailover(c *Call, s *streamState, cause error) error {
 	if !s.started {
-		if !c.mayRetry(time.Now()) {
-			return lostError(cause)
+		if !c.takeRetry(time.Now()) {
+			return streamLostError(cause)
 		}
 		return nil
 	}
 	if !c.Budget.Retry() {
-		return lostError(cause)
+		return streamLostError(cause)
 	}
 	switch {
 	case s.replayable:
-		s.base, s.event = s.events(), 0
+		s.base, s.lastEvent = s.position(), 0
 	case c.Chat.deterministic:
-		s.skip, s.base, s.event = s.events(), 0, 0
+		s.skip, s.base, s.lastEvent = s.position(), 0, 0
 	default:
-		return lostError(cause)
+		return streamLostError(cause)
 	}
 	s.stream = ""
-	s.moved = true
+	s.restarted = true
 	return nil
 }
 
-// resumeForCaller goes on where a caller that came back with an event id left
-// off: on the stream's own engine, or, for an answer that is the same when run
-// again, anew with the known events skipped.
-func (r *Relay) resumeForCaller(ctx context.Context, out *eventWriter, c *Call, s *streamState) error {
+// resumeFromEventID continues a stream after the event that the caller names, on the engine
+// that holds it. If that fails and the response is deterministic, it returns errRecoverable,
+// with the state prepared to generate the response again and skip the events that the caller
+// has.
+func (r *Relay) resumeFromEventID(ctx context.Context, out *eventWriter, c *Call, s *streamState) error {
 	s.engine, s.stream = c.Resume.Engine, c.Resume.Stream
-	s.event, s.base = c.Resume.Event, c.Resume.Base
+	s.lastEvent, s.base = c.Resume.Event, c.Resume.Base
 	s.replayable = false
 	if address, ok := r.router.Find(s.engine); ok {
 		route := Route{Name: s.engine, Address: address, Done: func(Outcome) {}}
-		err := r.resumeOn(ctx, out, c, s, route)
-		if err == nil || !errors.Is(err, errBroken) {
+		err := r.resumeOnEngine(ctx, out, c, s, route)
+		if err == nil || !errors.Is(err, errRecoverable) {
 			return err
 		}
 	}
 	if !c.Chat.deterministic {
-		return errkind.New(errkind.StreamLost, "engine %s no longer has the stream, and an answer without a seed or with a temperature cannot be run again to the same words", s.engine)
+		return errkind.New(errkind.StreamLost, "engine %s no longer has the stream, and without a seed or a temperature of 0 the response cannot be reproduced", s.engine)
 	}
-	s.skip, s.base, s.event, s.stream = s.events(), 0, 0, ""
-	return errBroken
+	s.skip, s.base, s.lastEvent, s.stream = s.position(), 0, 0, ""
+	return errRecoverable
 }
 
-// streamOn starts or continues the stream on one engine, and resumes it there
-// as long as that brings events.
-func (r *Relay) streamOn(ctx context.Context, out *eventWriter, c *Call, s *streamState, route Route) error {
-	body, err := r.bodyFor(ctx, c, s)
+// streamFromEngine starts or continues the stream on the engine of route, and resumes it there
+// for as long as each attempt brings events. It reports the outcome to the route.
+func (r *Relay) streamFromEngine(ctx context.Context, out *eventWriter, c *Call, s *streamState, route Route) error {
+	body, err := r.requestBody(ctx, c, s)
 	if err != nil {
 		route.Done(OutcomeAbandoned)
 		return err
 	}
 	if body == nil {
 		route.Done(OutcomeAbandoned)
-		return out.finishLength(s)
+		return out.finishWithLength(s)
 	}
 	s.engine = route.Name
 	err = r.attempt(ctx, out, c, s, route, body, "")
-	if errors.Is(err, errBroken) && s.stream != "" && !errors.Is(err, errSilent) {
-		err = r.resumeOn(ctx, out, c, s, route)
+	if errors.Is(err, errRecoverable) && s.stream != "" && !errors.Is(err, errEngineIdle) {
+		err = r.resumeOnEngine(ctx, out, c, s, route)
 	}
 	route.Done(streamOutcome(err))
 	return err
 }
 
+// streamOutcome returns the outcome for the engine of a stream that ended with err.
 func streamOutcome(err error) Outcome {
 	var e *errkind.Error
 	switch {
@@ -205,16 +222,17 @@
 	return OutcomeFailed
 }
 
-// bodyFor returns the body for the next engine; nil when the caller already
-// holds every token and only the end is missing.
-func (r *Relay) bodyFor(ctx context.Context, c *Call, s *streamState) ([]byte, error) {
+// requestBody returns the body of the request to the next engine. It first runs the prefill if
+// that takes a separate engine; if the prefill fails, the next engine does it. The body is nil
+// if the caller already has max_tokens tokens and only the end of the stream is missing.
+func (r *Relay) requestBody(ctx context.Context, c *Call, s *streamState) ([]byte, error) {
 	if s.started && s.replayable && s.base > 0 {
 		if c.Chat.MaxTokens > 0 && s.base >= c.Chat.MaxTokens {
 			return nil, nil
 		}
 		return c.Chat.continueBody(s.text, s.base)
 	}
-	if s.noTransfer || !r.router.Split(c.Service) {
+	if s.kvImportFailed || !r.router.Split(c.Service) {
 		return c.Chat.body, nil
 	}
 	kv, err := r.prefill(ctx, c)
@@ -225,118 +243,128 @@
 	return c.Chat.decodeBody(kv)
 }
 
-// resumeOn asks the stream's engine for the events after the last, once for
-// each break that brought events since.
-func (r *Relay) resumeOn(ctx context.Context, out *eventWriter, c *Call, s *streamState, route Route) error {
+// resumeOnEngine requests the events after the last one from the stream's engine. After an
+// interruption it tries again, provided that the interrupted attempt brought events and did not
+// end because the engine was idle.
+func (r *Relay) resumeOnEngine(ctx context.Context, out *eventWriter, c *Call, s *streamState, route Route) error {
 	for {
-		before := s.event
-		lastEvent := s.stream + ":" + strconv.Itoa(s.event)
-		err := r.attempt(ctx, out, c, s, route, c.Chat.body, lastEvent)
-		if !errors.Is(err, errBroken) || errors.Is(err, errSilent) || s.event == before {
+		before := s.lastEvent
+		lastEventID := s.stream + ":" + strconv.Itoa(s.lastEvent)
+		err := r.attempt(ctx, out, c, s, route, c.Chat.body, lastEventID)
+		if !errors.Is(err, errRecoverable) || errors.Is(err, errEngineIdle) || s.lastEvent == before {
 			return err
 		}
 		r.log.Info(telemetry.EventStreamResumed, telemetry.F("request", c.ID), telemetry.F("engine", s.engine))
 	}
 }
 
-// attempt opens one connection to an engine and relays its events.
-func (r *Relay) attempt(ctx context.Context, out *eventWriter, c *Call, s *streamState, route Route, body []byte, lastEvent string) error {
-	try, cancel := context.WithCancel(ctx)
+// attempt sends one request to the engine of route and relays its events until the stream ends
+// or is interrupted. lastEventID is the engine's id of the event after which to resume, or "".
+// If the caller closes its connection after the first event, the stream is cancelled on the
+// engine.
+func (r *Relay) attempt(ctx context.Context, out *eventWriter, c *Call, s *streamState, route Route, body []byte, lastEventID string) error {
+	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	idle := watchIdle(r.idleLimit(c, s), r.cfg.IdleTimeout, cancel)
+	idle := newIdleWatch(r.firstEventLimit(c, s), r.cfg.IdleTimeout, cancel)
 	defer idle.stop()
-	resp, err := r.post(try, c, route.Address, body, lastEvent)
+	resp, err := r.postChat(attemptCtx, c, route.Address, body, lastEventID)
 	switch {
 	case err != nil && ctx.Err() != nil:
-		return callerGone()
-	case err != nil && try.Err() != nil:
-		return broken(errSilent)
+		return callerGoneError()
+	case err != nil && attemptCtx.Err() != nil:
+		return recoverable(errEngineIdle)
 	case err != nil:
-		return broken(dialError(err))
+		return recoverable(dialError(err))
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return r.refused(out, s, resp, lastEvent != "")
+		return r.handleErrorResponse(out, s, resp, lastEventID != "")
 	}
 	err = r.copyEvents(out, s, resp.Body, idle)
-	if err != nil && ctx.Err() == nil && try.Err() != nil {
-		return broken(errSilent)
+	if err != nil && ctx.Err() == nil && attemptCtx.Err() != nil {
+		return recoverable(errEngineIdle)
 	}
-	if err == nil || (ctx.Err() == nil && !out.gone()) {
+	if err == nil || (ctx.Err() == nil && !out.callerGone()) {
 		return err
 	}
 	if s.stream != "" {
 		r.cancelStream(route.Address, s.stream)
 	}
-	return callerGone()
+	return callerGoneError()
 }
 
-func callerGone() error {
-	return errkind.Wrap(errkind.ClientGone, errCallerGone, "the caller went away")
+// callerGoneError returns the error for a caller that closed its connection.
+func callerGoneError() error {
+	return errkind.Wrap(errkind.ClientGone, errCallerGone, "the caller closed the connection")
 }
 
-// idleLimit bounds the wait for the next event. The first may take as long as
-// the deadline allows.
-func (r *Relay) idleLimit(c *Call, s *streamState) time.Duration {
+// firstEventLimit bounds an attempt's wait for its first event. The first event of the whole
+// stream may take until the deadline, or IdleTimeout if that is longer.
+func (r *Relay) firstEventLimit(c *Call, s *streamState) time.Duration {
 	if s.started {
 		return r.cfg.IdleTimeout
 	}
 	return max(time.Until(c.Deadline), r.cfg.IdleTimeout)
 }
 
-// brokenError marks an error as one after which the stream may go on.
-type brokenError struct{ err error }
+// recoverableError marks an error as one after which the stream may continue.
+type recoverableError struct{ err error }
 
-func broken(err error) error { return &brokenError{err: err} }
+// recoverable wraps err so that it matches errRecoverable as well.
+func recoverable(err error) error { return &recoverableError{err: err} }
 
-func (b *brokenError) Error() string        { return b.err.Error() }
-func (b *brokenError) Unwrap() error        { return b.err }
-func (b *brokenError) Is(target error) bool { return target == errBroken }
+func (b *recoverableError) Error() string        { return b.err.Error() }
+func (b *recoverableError) Unwrap() error        { return b.err }
+func (b *recoverableError) Is(target error) bool { return target == errRecoverable }
 
-// refused sorts an engine's answer that is no stream.
-func (r *Relay) refused(out *eventWriter, s *streamState, resp *http.Response, resuming bool) error {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, r.cfg.MaxAnswerBytes))
+// handleErrorResponse handles an engine's response with a status other than 200. It returns a
+// recoverable error if the stream may continue elsewhere, StreamLost if the stream had begun,
+// and otherwise passes the response on to the caller. resuming says whether the request was to
+// resume a stream.
+func (r *Relay) handleErrorResponse(out *eventWriter, s *streamState, resp *http.Response, resuming bool) error {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, r.cfg.MaxResponseBytes))
 	if err != nil {
-		return broken(errkind.Wrap(errkind.TargetLost, err, "the engine broke off its answer"))
+		return recoverable(errkind.Wrap(errkind.TargetLost, err, "the connection to the engine was lost before the response was complete"))
 	}
 	code := ErrorCode(body)
 	switch {
 	case resuming && resp.StatusCode == http.StatusNotFound:
-		return broken(errUnknownStream)
+		return recoverable(errUnknownStream)
 	case target.VouchesNotRun(code):
-		s.noTransfer = s.noTransfer || code == target.CodeTransferFailed
-		e := errkind.New(errkind.TargetFailed, "the engine refused: %s", code)
+		s.kvImportFailed = s.kvImportFailed || code == target.CodeTransferFailed
+		e := errkind.New(errkind.TargetFailed, "the engine refused the request: %s", code)
 		e.Outcome = errkind.NotRun
-		return broken(e)
+		return recoverable(e)
 	case resp.StatusCode >= http.StatusInternalServerError:
-		return broken(errkind.New(errkind.TargetFailed, "the engine answered %d", resp.StatusCode))
+		return recoverable(errkind.New(errkind.TargetFailed, "the engine responded with status %d", resp.StatusCode))
 	case s.started:
-		return errkind.New(errkind.StreamLost, "the engine answered %d", resp.StatusCode)
+		return errkind.New(errkind.StreamLost, "the engine responded with status %d", resp.StatusCode)
 	}
-	// The request is at fault: the engine's own words go to the caller.
-	return answer{status: resp.StatusCode, header: resp.Header, body: body}.writeTo(out.w)
+	// The request is at fault, so the caller gets the engine's response.
+	return response{status: resp.StatusCode, header: resp.Header, body: body}.writeTo(out.w)
 }
 
-// copyEvents relays events until the end of the stream.
+// copyEvents relays the events in body until the end of the stream, and records in idle that
+// the engine makes progress.
 func (r *Relay) copyEvents(out *eventWriter, s *streamState, body io.Reader, idle *idleWatch) error {
 	in := newEventReader(body)
 	defer in.release()
 	for {
-		for ev, ok := in.take(); ok; ev, ok = in.take() {
+		for ev, ok := in.nextBuffered(); ok; ev, ok = in.nextBuffered() {
 			if ev.done {
-				return out.done(s)
+				return out.finish(s)
 			}
-			if err := out.relay(s, ev); err != nil {
+			if err := out.writeEvent(s, ev); err != nil {
 				return err
 			}
 		}
-		// All that has arrived is passed on before more is waited for.
+		// Everything received is sent on before the next read, which may block.
 		if err := out.flush(); err != nil {
 			return err
 		}
 		if err := in.fill(); err != nil {
-			return broken(errors.Wrap(err, "read stream"))
+			return recoverable(errors.Wrap(err, "read stream"))
 		}
-		idle.progress()
+		idle.recordProgress()
 	}
 }
