--- a/internal/entry/decisions.go
+++ b/internal/entry/decisions.go
@@ -10,40 +10,45 @@
 	"garnethoist.org/garnethoist/internal/errkind"
 )
 
-// maxPendingDecisions bounds the records that wait for a steward.
+// maxPendingDecisions is the most decision records that wait to be sent to a
+// steward. Further ones are dropped.
 const maxPendingDecisions = 256
 
-// refusalSpacing is the least time between two records of the same class of
-// refusal; the later one carries the count.
-const refusalSpacing = time.Second
+// minRefusalInterval is the least time between two records of refusals of the
+// same service and kind. A record carries the number of refusals since the last
+// one.
+const minRefusalInterval = time.Second
 
-// decisionLog gathers the entry's decision records until a steward takes them.
-// It is safe for concurrent use.
+// decisionLog collects the entry's decision records until they are sent to a
+// steward. It is safe for concurrent use.
 type decisionLog struct {
 	vm string
 
-	mu      sync.Mutex
-	next    uint64
-	pending []*api.Decision
-	classes map[refusalClass]*refusalCount
+	mu       sync.Mutex
+	lastID   uint64
+	pending  []*api.Decision
+	refusals map[refusalKey]*refusalCount
 }
 
-type refusalClass struct {
+// refusalKey is what refusals are counted by.
+type refusalKey struct {
 	service string
 	kind    errkind.Kind
 }
 
+// refusalCount is how many refusals came since the last record of them.
 type refusalCount struct {
-	last  time.Time
-	count int
+	recordedAt time.Time
+	count      int
 }
 
 func newDecisionLog(vm string) *decisionLog {
-	return &decisionLog{vm: vm, classes: map[refusalClass]*refusalCount{}}
+	return &decisionLog{vm: vm, refusals: map[refusalKey]*refusalCount{}}
 }
 
-// setAside records that a target gets no requests for a while.
-func (d *decisionLog) setAside(service, name string, wait time.Duration) string {
+// recordSetAside records that the target called name gets no requests for the
+// time wait, and returns the record's id.
+func (d *decisionLog) recordSetAside(service, name string, wait time.Duration) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.add(&api.Decision{
@@ -52,31 +57,33 @@
 	})
 }
 
-// refused counts a refusal and records it, at most one a second of its class.
-func (d *decisionLog) refused(service string, e *errkind.Error, now time.Time) {
+// recordRefusal counts a refusal, and adds a record unless there was one of the
+// same service and kind within minRefusalInterval.
+func (d *decisionLog) recordRefusal(service string, e *errkind.Error, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	class := refusalClass{service: service, kind: e.Kind}
-	c, ok := d.classes[class]
+	key := refusalKey{service: service, kind: e.Kind}
+	c, ok := d.refusals[key]
 	if !ok {
 		c = &refusalCount{}
-		d.classes[class] = c
+		d.refusals[key] = c
 	}
 	c.count++
-	if now.Sub(c.last) < refusalSpacing {
+	if now.Sub(c.recordedAt) < minRefusalInterval {
 		return
 	}
 	d.add(&api.Decision{
 		Service: service, What: "refusal", Choice: string(e.Kind), Cause: e.Detail,
 		Inputs: []*api.Input{{Name: "count", Value: strconv.Itoa(c.count)}},
 	})
-	c.last, c.count = now, 0
+	c.recordedAt, c.count = now, 0
 }
 
-// add gives the record its id; the caller holds the lock.
+// add fills in the record's id, VM and time, and appends it unless the log is
+// full. It returns the id. The caller must hold d.mu.
 func (d *decisionLog) add(r *api.Decision) string {
-	d.next++
-	r.Id = fmt.Sprintf("%s-%d", d.vm, d.next)
+	d.lastID++
+	r.Id = fmt.Sprintf("%s-%d", d.vm, d.lastID)
 	r.Vm = d.vm
 	r.UnixMs = time.Now().UnixMilli()
 	if len(d.pending) < maxPendingDecisions {
@@ -85,8 +92,8 @@
 	return r.Id
 }
 
-// take returns the pending records and forgets them.
-func (d *decisionLog) take() []*api.Decision {
+// takePending returns the pending records and empties the log.
+func (d *decisionLog) takePending() []*api.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := d.pending
--- a/internal/entry/feed.go
+++ b/internal/entry/feed.go
@@ -19,28 +19,29 @@
 )
 
 const (
-	// reportInterval is the time between reports to the steward.
+	// reportInterval is the time between two reports to the steward.
 	reportInterval = time.Second
-	// viewInterval is the least time between two views, and loadInterval that
-	// between views of which only loads differ, so that load reports cost few
-	// rebuilds.
-	viewInterval = 50 * time.Millisecond
-	loadInterval = 500 * time.Millisecond
-	// coverGrace is how long after its first table an entry waits for a usable
-	// target of every service before it calls itself ready; a service may
-	// really have none.
-	coverGrace = 5 * time.Second
-	// feedSilence is how long a steward may send nothing before the next one
-	// is asked; stewards send an empty batch well within it.
-	feedSilence = 3 * time.Second
-	// firstRetry and maxRetry bound the wait between stewards.
-	firstRetry = 100 * time.Millisecond
-	maxRetry   = 2 * time.Second
+	// minViewInterval is the least time between two rebuilds of the view.
+	// loadViewInterval is the least time when only target loads have changed; it is
+	// longer, so that the frequent load reports cause few rebuilds.
+	minViewInterval  = 50 * time.Millisecond
+	loadViewInterval = 500 * time.Millisecond
+	// firstTargetTimeout is how long after its first table an entry waits for a
+	// usable target of every service before it reports itself ready without. It
+	// is bounded because a service may really have no target.
+	firstTargetTimeout = 5 * time.Second
+	// stewardTimeout is how long a steward may send nothing before the entry
+	// connects to the next one. Stewards send an empty batch well within it.
+	stewardTimeout = 3 * time.Second
+	// minRetryWait and maxRetryWait bound the exponential backoff before the entry
+	// connects to the next steward.
+	minRetryWait = 100 * time.Millisecond
+	maxRetryWait = 2 * time.Second
 )
 
-// feed keeps the entry's store current from one steward of its data centre,
-// and asks the next when that one is lost. The entry goes on with its last
-// view meanwhile.
+// feed keeps the entry's store up to date from one steward of its data centre
+// and rebuilds the view after changes. When it loses the steward it connects to
+// the next one; meanwhile the entry serves from its last view.
 type feed struct {
 	vm          string
 	incarnation uint64
@@ -52,39 +53,45 @@
 	decisions   *decisionLog
 	log         *telemetry.Logger
 
+	// ready is set once the table is known and every service has a usable target
+	// or firstTargetTimeout is over. It is never reset.
 	ready atomic.Bool
 	kernel.Background
 }
 
-// Start begins to follow a steward.
+// Start starts watching a steward and rebuilding the view.
 func (f *feed) Start(context.Context) error {
-	f.Run(f.follow, f.rebuild)
+	f.Run(f.followStewards, f.rebuildViews)
 	return nil
 }
 
-// usable reports whether the entry has known enough to serve.
-func (f *feed) usable() bool { return f.ready.Load() }
+// isReady reports whether the entry has ever known enough to serve requests.
+func (f *feed) isReady() bool { return f.ready.Load() }
 
-func (f *feed) follow(ctx context.Context) {
+// followStewards watches one steward after the other, with a backoff between
+// them, until ctx ends.
+func (f *feed) followStewards(ctx context.Context) {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = firstRetry, maxRetry
+	wait.InitialInterval, wait.MaxInterval = minRetryWait, maxRetryWait
 	for i := 0; ctx.Err() == nil; i++ {
 		addr := f.stewards[i%len(f.stewards)]
-		joined := time.Now()
-		err := f.watch(ctx, string(addr))
+		connectedAt := time.Now()
+		err := f.watchSteward(ctx, string(addr))
 		if ctx.Err() != nil {
 			return
 		}
 		f.log.Warn(telemetry.EventStewardLost, telemetry.F("steward", addr), telemetry.F("cause", err))
-		if time.Since(joined) > maxRetry {
+		if time.Since(connectedAt) > maxRetryWait {
 			wait.Reset()
 		}
 		kernel.Sleep(ctx, wait.NextBackOff())
 	}
 }
 
-// watch follows one steward until it fails or falls silent.
-func (f *feed) watch(ctx context.Context, addr string) error {
+// watchSteward merges one steward's updates into the store, and reports to it,
+// until the stream fails or nothing came for stewardTimeout. The error is never
+// nil.
+func (f *feed) watchSteward(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -100,29 +107,30 @@
 	var loops sync.WaitGroup
 	defer loops.Wait()
 	defer cancel()
-	loops.Go(func() { f.report(ctx, stream) })
+	loops.Go(func() { f.sendReports(ctx, stream) })
 	loops.Go(func() { f.renewGrants(ctx, client) })
-	silence := time.AfterFunc(feedSilence, cancel)
-	defer silence.Stop()
+	watchdog := time.AfterFunc(stewardTimeout, cancel)
+	defer watchdog.Stop()
 	for {
 		batch, err := stream.Recv()
 		if err != nil {
 			return errors.Wrap(err, "receive")
 		}
-		silence.Reset(feedSilence)
+		watchdog.Reset(stewardTimeout)
 		f.store.Merge(batch.GetItems(), addr)
 	}
 }
 
-// report sends the entry's counters until ctx ends. A failed send shows in
-// Recv as well, which ends ctx.
-func (f *feed) report(ctx context.Context, stream api.Steward_WatchClient) {
+// sendReports sends the entry's usage and decision records every reportInterval
+// until ctx ends or a send fails. A stream that fails to send also fails in Recv,
+// where watchSteward handles it.
+func (f *feed) sendReports(ctx context.Context, stream api.Steward_WatchClient) {
 	last := time.Now().Add(-reportInterval)
 	for ctx.Err() == nil {
 		now := time.Now()
 		err := stream.Send(&api.EntryReport{
 			Vm: f.vm, Incarnation: f.incarnation,
-			Usage: f.usage.report(now.Sub(last).Seconds()), Decisions: f.decisions.take(),
+			Usage: f.usage.report(now.Sub(last).Seconds()), Decisions: f.decisions.takePending(),
 		})
 		if err != nil {
 			return
@@ -132,10 +140,11 @@
 	}
 }
 
-// rebuild puts a new view in force after changes.
-func (f *feed) rebuild(ctx context.Context) {
+// rebuildViews applies a new view to the fleet after each change of the store,
+// and sets ready, until ctx ends.
+func (f *feed) rebuildViews(ctx context.Context) {
 	version := uint64(0)
-	var since time.Time
+	var firstTableAt time.Time
 	for {
 		changed := f.store.Changed()
 		_, digest := f.store.Summary()
@@ -143,16 +152,16 @@
 		f.fleet.apply(v)
 		if v.Table.Version > version {
 			if version == 0 {
-				since = time.Now()
+				firstTableAt = time.Now()
 			}
 			version = v.Table.Version
 			f.log.Info(telemetry.EventTableVersion, telemetry.F("version", version))
 		}
-		if version > 0 && (f.fleet.covered() || time.Since(since) > coverGrace) {
+		if version > 0 && (f.fleet.allServicesHaveTarget() || time.Since(firstTableAt) > firstTargetTimeout) {
 			f.ready.Store(true)
 		}
-		kernel.Sleep(ctx, viewInterval)
-		recheck := time.NewTimer(coverGrace)
+		kernel.Sleep(ctx, minViewInterval)
+		recheck := time.NewTimer(firstTargetTimeout)
 		select {
 		case <-ctx.Done():
 			recheck.Stop()
@@ -162,17 +171,19 @@
 		}
 		recheck.Stop()
 		if f.ready.Load() {
-			f.awaitState(ctx, digest)
+			f.coalesceLoadReports(ctx, digest)
 		}
 	}
 }
 
-// awaitState gives load reports time to gather; a change of state ends it.
-func (f *feed) awaitState(ctx context.Context, digest uint64) {
-	for waited := time.Duration(0); waited < loadInterval; waited += viewInterval {
+// coalesceLoadReports waits for up to loadViewInterval, so that one rebuild covers
+// several load reports. It returns early when the state's digest differs from
+// digest.
+func (f *feed) coalesceLoadReports(ctx context.Context, digest uint64) {
+	for waited := time.Duration(0); waited < loadViewInterval; waited += minViewInterval {
 		if _, now := f.store.Summary(); now != digest || ctx.Err() != nil {
 			return
 		}
-		kernel.Sleep(ctx, viewInterval)
+		kernel.Sleep(ctx, minViewInterval)
 	}
 }
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -19,119 +19,137 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// defaultSecondsPerToken is the prefill time assumed until one was measured.
+// defaultSecondsPerToken is the prefill time per prompt token, in seconds, that
+// is assumed until one is measured.
 const defaultSecondsPerToken = 50e-6
 
-// speedShare is the weight of a measurement that is slower than the estimate:
-// it may have waited.
-const speedShare = 0.0025
+// slowSampleWeight is the weight of a measurement that is slower than the
+// estimate, in an exponential moving average. It is small because the time may
+// include queueing.
+const slowSampleWeight = 0.0025
 
-// minMeasuredTokens is the shortest prompt that says something of the prefill
-// speed; the time of a shorter one is mostly that of everything else.
+// minMeasuredTokens is the length of the shortest prompt from which the prefill
+// speed is measured. The time to the first token of a shorter one is mostly other
+// overhead.
 const minMeasuredTokens = 256
 
 const (
-	// seenFacts is how many facts on cached prefixes an entry remembers for a
-	// service, and seenHorizon for how many seconds it believes them.
-	seenFacts   = 1 << 14
-	seenHorizon = 300
-	// heatPrefixes is how many prefixes' rates it tells apart, and heatWindow
-	// the time constant of the rates, in seconds.
-	heatPrefixes = 1 << 12
-	heatWindow   = 10
-	// cachedShare is the part of a prompt's prefill that a cached prefix is
-	// taken to save.
-	cachedShare = 0.5
+	// maxSeenPrefixes is how many pairs of a prefix and a target that caches it an
+	// entry remembers for each service. seenTTLSeconds is how long a pair is
+	// assumed to hold, in seconds.
+	maxSeenPrefixes = 1 << 14
+	seenTTLSeconds  = 300
+	// maxHeatPrefixes is for how many prefixes of a service an entry estimates the
+	// arrival rate. heatWindowSeconds is the time constant of the estimates, in
+	// seconds.
+	maxHeatPrefixes   = 1 << 12
+	heatWindowSeconds = 10
+	// cachedPrefixSaving is the assumed fraction of a prompt's prefill time that a
+	// cached prefix saves.
+	cachedPrefixSaving = 0.5
 )
 
-func newMemory() *route.Memory {
-	return &route.Memory{Seen: route.NewSeen(seenFacts, seenHorizon), Heat: route.NewHeat(heatPrefixes, heatWindow)}
+// newPrefixMemory returns an empty record of a service's prompt prefixes: where
+// they are cached and how often they arrive.
+func newPrefixMemory() *route.Memory {
+	return &route.Memory{Seen: route.NewSeen(maxSeenPrefixes, seenTTLSeconds), Heat: route.NewHeat(maxHeatPrefixes, heatWindowSeconds)}
 }
 
-// fleet is the entry's picture of the targets: the last view corrected by its
-// own work since. It implements relay.Router and is safe for concurrent use.
+// fleet is what the entry knows of the targets: their state in the last view,
+// updated by the requests that this entry has sent since. It implements
+// relay.Router and is safe for concurrent use.
 type fleet struct {
 	dataCentre string
 	log        *telemetry.Logger
 	start      time.Time
 	decisions  *decisionLog
 
-	mu       sync.Mutex
-	services map[string]*pool
-	members  map[string]*member
+	mu sync.Mutex
+	// pools is keyed by service, and states by target name.
+	pools  map[string]*targetPool
+	states map[string]*targetState
 }
 
-// pool is the targets of one service. targets[i] belongs to members[i].
-type pool struct {
-	row             table.Row
-	members         []*member
-	targets         []route.Target
-	split           bool
+// targetPool is the targets of one service. targets[i] and states[i] describe the
+// same target.
+type targetPool struct {
+	row     table.Row
+	states  []*targetState
+	targets []route.Target
+	// split is set when the service has usable engines for prefill alone and for
+	// decode alone in this data centre.
+	split bool
+	// secondsPerToken is the estimated prefill time per prompt token.
 	secondsPerToken float64
 	memory          *route.Memory
-	// pace bounds the work that this entry lets in; reported is the targets'
-	// mean wait at their last reports, in seconds, over usable targets.
-	pace     *limit.Pace
-	reported float64
-	usable   int
-	// entries is how many entries share the targets.
+	// pace limits the rate at which this entry admits work. reportedWait is the
+	// mean wait before prefill in the last reports of the usableTargets, in
+	// seconds; addTarget sums the waits and apply divides them. Targets of other
+	// data centres and decode engines do not count.
+	pace          *limit.Pace
+	reportedWait  float64
+	usableTargets int
+	// entries is how many entries of the data centre share the targets.
 	entries int
 }
 
-// member is one target across views.
-type member struct {
+// targetState is what the entry knows of one target. It is kept across views.
+type targetState struct {
 	name    string
 	address string
-	boot    uint64
-	health  route.Health
-	load    route.Load
-	busy    route.Busy
-	// running is the own requests in hand.
-	running int
+	// boot identifies the target's process; zero until its first status is known.
+	boot   uint64
+	health route.Health
+	load   route.Load
+	busy   route.Busy
+	// inFlight is the number of this entry's requests in flight at the target.
+	inFlight int
 }
 
 func newFleet(dataCentre string, log *telemetry.Logger, decisions *decisionLog) *fleet {
 	return &fleet{
 		dataCentre: dataCentre, log: log, start: time.Now(), decisions: decisions,
-		services: map[string]*pool{}, members: map[string]*member{},
+		pools: map[string]*targetPool{}, states: map[string]*targetState{},
 	}
 }
 
-// now is the fleet's clock, in seconds since its start.
+// now returns the time in seconds since the fleet was created.
 func (f *fleet) now() float64 { return time.Since(f.start).Seconds() }
 
-// apply puts a new view in force.
+// apply replaces the services and targets by those of a new view, and keeps what
+// was learned of services and targets that are in both.
 func (f *fleet) apply(v *gossip.View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	services := make(map[string]*pool, len(v.Table.Rows))
+	services := make(map[string]*targetPool, len(v.Table.Rows))
 	for _, row := range v.Table.Rows {
-		p := &pool{row: row, secondsPerToken: defaultSecondsPerToken, entries: f.entriesIn(v)}
-		if old, ok := f.services[row.Service]; ok {
+		p := &targetPool{row: row, secondsPerToken: defaultSecondsPerToken, entries: f.countEntries(v)}
+		if old, ok := f.pools[row.Service]; ok {
 			p.secondsPerToken, p.memory, p.pace = old.secondsPerToken, old.memory, old.pace
 		} else {
-			p.memory, p.pace = newMemory(), &limit.Pace{}
+			p.memory, p.pace = newPrefixMemory(), &limit.Pace{}
 		}
 		services[row.Service] = p
 	}
-	members := make(map[string]*member, len(v.Targets))
+	members := make(map[string]*targetState, len(v.Targets))
 	for name, t := range v.Targets {
-		m := f.memberFor(t)
-		members[name] = m
+		ts := f.stateFor(t)
+		members[name] = ts
 		if p, ok := services[t.Service]; ok {
-			p.add(m, t, f.dataCentre, now)
+			p.addTarget(ts, t, f.dataCentre, now)
 		}
 	}
 	for _, p := range services {
 		p.split = p.hasRole(route.Prefill) && p.hasRole(route.Decode)
-		p.reported /= float64(max(p.usable, 1))
+		p.reportedWait /= float64(max(p.usableTargets, 1))
 	}
-	f.services, f.members = services, members
+	f.pools, f.states = services, members
 }
 
-// entriesIn counts the VMs of the data centre, each of which has an entry.
-func (f *fleet) entriesIn(v *gossip.View) int {
+// countEntries returns the number of VMs alive in the data centre, each of which
+// runs one entry. It is at least one. It needs no lock.
+func (f *fleet) countEntries(v *gossip.View) int {
 	n := 0
 	for _, it := range v.Peers {
 		if it.GetPeer().GetDataCentre() == f.dataCentre && it.GetPeer().GetState() == api.PeerState_PEER_ALIVE {
@@ -141,45 +159,49 @@
 	return max(n, 1)
 }
 
-// memberFor keeps what is known of a target as long as it is the same
-// incarnation at the same address.
-func (f *fleet) memberFor(t gossip.TargetView) *member {
-	m, ok := f.members[t.Name]
-	if ok && m.boot == t.Boot && m.address == t.Address {
-		return m
+// stateFor returns the known state of a target if it is still the same process at
+// the same address, and otherwise an empty state. A state whose boot was unknown
+// takes that of t. The caller must hold f.mu.
+func (f *fleet) stateFor(t gossip.TargetView) *targetState {
+	ts, ok := f.states[t.Name]
+	if ok && ts.boot == t.Boot && ts.address == t.Address {
+		return ts
 	}
-	next := &member{name: t.Name, address: t.Address, boot: t.Boot}
-	if ok && m.boot == 0 && m.address == t.Address {
-		m.boot = t.Boot
-		return m
+	next := &targetState{name: t.Name, address: t.Address, boot: t.Boot}
+	if ok && ts.boot == 0 && ts.address == t.Address {
+		ts.boot = t.Boot
+		return ts
 	}
 	return next
 }
 
-func (p *pool) add(m *member, t gossip.TargetView, dataCentre string, now float64) {
+// addTarget adds a target of the view to the pool and takes its status into ts. now
+// is on the fleet's clock. The caller must hold the fleet's lock.
+func (p *targetPool) addTarget(ts *targetState, t gossip.TargetView, dataCentre string, now float64) {
 	s := t.Status
 	if s != nil {
 		observed := now - time.Since(t.ObservedAt).Seconds()
-		m.load.Report(observed, observed+float64(s.GetQueuedTokens())*p.secondsPerToken)
-		// In tokens, as the estimate of their time changes.
-		m.busy.Report(observed, float64(s.GetPrefillTokens()))
+		ts.load.Report(observed, observed+float64(s.GetQueuedTokens())*p.secondsPerToken)
+		// The work is kept in tokens and not in seconds, because the estimate of
+		// the seconds per token changes between reports.
+		ts.busy.Report(observed, float64(s.GetPrefillTokens()))
 	}
 	blocked := !t.Usable() || s.GetModel() != p.row.Model
 	if !blocked && t.DataCentre == dataCentre && t.Status.GetRole() != string(target.RoleDecode) {
-		p.usable++
-		p.reported += m.load.Reported()
+		p.usableTargets++
+		p.reportedWait += ts.load.Reported()
 	}
-	p.members = append(p.members, m)
+	p.states = append(p.states, ts)
 	p.targets = append(p.targets, route.Target{
-		Hash: xxhash.Sum64String(t.Name), Until: m.load.Until(), Busy: m.busy.Share() * p.secondsPerToken,
-		Running: max(float64(s.GetRunning()), float64(m.running)), Slots: float64(s.GetSlots()),
-		Roles: rolesOf(t), Remote: t.DataCentre != dataCentre, Blocked: blocked,
+		Hash: xxhash.Sum64String(t.Name), Until: ts.load.Until(), Busy: ts.busy.Share() * p.secondsPerToken,
+		Running: max(float64(s.GetRunning()), float64(ts.inFlight)), Slots: float64(s.GetSlots()),
+		Roles: routeRoles(t), Remote: t.DataCentre != dataCentre, Blocked: blocked,
 	})
 }
 
-// rolesOf returns what a target can be used for. An engine split off for one
-// phase still serves whole requests when no other is left; see pick.
-func rolesOf(t gossip.TargetView) route.Roles {
+// routeRoles returns the role that a target is used for. An engine for one phase
+// still serves whole requests when no other is left; see rolePreference.
+func routeRoles(t gossip.TargetView) route.Roles {
 	switch target.Role(t.Status.GetRole()) {
 	case target.RolePrefill:
 		return route.Prefill
@@ -189,7 +211,8 @@
 	return route.Whole
 }
 
-func (p *pool) hasRole(r route.Roles) bool {
+// hasRole reports whether the data centre has a usable target of the role.
+func (p *targetPool) hasRole(r route.Roles) bool {
 	for i := range p.targets {
 		t := &p.targets[i]
 		if t.Roles == r && !t.Blocked && !t.Remote {
@@ -199,41 +222,42 @@
 	return false
 }
 
-// Split implements relay.Router.
+// Split implements relay.Router. It reports whether prefill and decode of the
+// service run on separate engines.
 func (f *fleet) Split(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p, ok := f.services[service]
+	p, ok := f.pools[service]
 	return ok && p.split
 }
 
-// Find implements relay.Router.
+// Find implements relay.Router. It returns the address of the target called name.
 func (f *fleet) Find(name string) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m, ok := f.members[name]
+	ts, ok := f.states[name]
 	if !ok {
 		return "", false
 	}
-	return m.address, true
+	return ts.address, true
 }
 
-// row returns the service's row.
+// row returns the service's row of the table, or false if there is none.
 func (f *fleet) row(service string) (table.Row, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p, ok := f.services[service]
+	p, ok := f.pools[service]
 	if !ok {
 		return table.Row{}, false
 	}
 	return p.row, true
 }
 
-// covered reports whether every service has a usable target.
-func (f *fleet) covered() bool {
+// allServicesHaveTarget reports whether every service has a usable target.
+func (f *fleet) allServicesHaveTarget() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, p := range f.services {
+	for _, p := range f.pools {
 		usable := false
 		for i := range p.targets {
 			usable = usable || !p.targets[i].Blocked
@@ -245,32 +269,32 @@
 	return true
 }
 
-// totalWeight is the sum of all services' weights.
+// totalWeight returns the sum of the weights of all services.
 func (f *fleet) totalWeight() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	sum := 0.0
-	for _, p := range f.services {
+	for _, p := range f.pools {
 		sum += p.row.Weight
 	}
 	return sum
 }
 
-// rows returns the table's rows.
+// rows returns the rows of the table in no particular order.
 func (f *fleet) rows() []table.Row {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := make([]table.Row, 0, len(f.services))
-	for _, p := range f.services {
+	out := make([]table.Row, 0, len(f.pools))
+	for _, p := range f.pools {
 		out = append(out, p.row)
 	}
 	return out
 }
 
-// wantedRoles lists what to look for, in order of preference. A whole request
-// that finds no engine for both phases goes to a decode engine, which can
-// prefill, before a prefill engine.
-func wantedRoles(r target.Role) []route.Roles {
+// rolePreference returns the target roles that can serve a request of role r, the
+// preferred first. A request for both phases that finds no engine for both goes to
+// a decode engine, which can prefill too, before a prefill engine.
+func rolePreference(r target.Role) []route.Roles {
 	switch r {
 	case target.RolePrefill:
 		return []route.Roles{route.Prefill}
@@ -280,13 +304,14 @@
 	return []route.Roles{route.Whole, route.Decode, route.Prefill}
 }
 
-// Route implements relay.Router.
+// Route implements relay.Router. It chooses a target for a request and counts the
+// request there. The error's kind is UnknownService, NoTarget or CannotFinish.
 func (f *fleet) Route(n relay.Need) (relay.Route, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p, ok := f.services[n.Service]
+	p, ok := f.pools[n.Service]
 	if !ok {
-		return relay.Route{}, errkind.New(errkind.UnknownService, "there is no service called %s", n.Service)
+		return relay.Route{}, errkind.New(errkind.UnknownService, "there is no service called %q", n.Service)
 	}
 	choice := f.pick(p, n)
 	if choice.Index < 0 {
@@ -295,22 +320,24 @@
 	if err := f.admit(p, n, choice); err != nil {
 		return relay.Route{}, err
 	}
-	return f.send(p, n, choice.Index), nil
+	return f.assign(p, n, choice.Index), nil
 }
 
-func (f *fleet) pick(p *pool, n relay.Need) route.Choice {
+// pick chooses a target for the request. The choice's index is -1 if no target can
+// take it. The caller must hold f.mu.
+func (f *fleet) pick(p *targetPool, n relay.Need) route.Choice {
 	now := f.now()
 	elapsed := time.Since(f.start)
 	blocked := p.block(n.Avoid, elapsed)
 	defer p.unblock(blocked)
-	seconds := float64(n.PromptTokens) * p.secondsPerToken
+	prefillSeconds := float64(n.PromptTokens) * p.secondsPerToken
 	if !n.Retry && n.Prefix != 0 {
 		p.memory.Heat.Add(n.Prefix, now)
 	}
-	for _, role := range wantedRoles(n.Role) {
+	for _, role := range rolePreference(n.Role) {
 		c := route.Pick(p.targets, route.Request{
 			Now: now, Role: role, Prefix: n.Prefix, Entries: p.entries,
-			Seconds: seconds, CachedSeconds: seconds * cachedShare, Random: rand.Uint64(),
+			Seconds: prefillSeconds, CachedSeconds: prefillSeconds * cachedPrefixSaving, Random: rand.Uint64(),
 		}, p.memory)
 		if c.Index >= 0 {
 			return c
@@ -319,15 +346,16 @@
 	return route.Choice{Index: -1, Reason: route.ReasonNone}
 }
 
-// block marks targets that this request must not use and returns their
-// indices, to be unblocked after the decision.
-func (p *pool) block(avoid []string, now time.Duration) []int {
+// block marks the targets that this request must not use, which are those in avoid
+// and those set aside after failures, and returns their indices for unblock. now is
+// the time since the fleet was created.
+func (p *targetPool) block(avoid []string, now time.Duration) []int {
 	var blocked []int
-	for i, m := range p.members {
+	for i, ts := range p.states {
 		if p.targets[i].Blocked {
 			continue
 		}
-		if !m.health.Available(now) || slices.Contains(avoid, m.name) {
+		if !ts.health.Available(now) || slices.Contains(avoid, ts.name) {
 			p.targets[i].Blocked = true
 			blocked = append(blocked, i)
 		}
@@ -335,89 +363,95 @@
 	return blocked
 }
 
-func (p *pool) unblock(blocked []int) {
+// unblock reverts block.
+func (p *targetPool) unblock(blocked []int) {
 	for _, i := range blocked {
 		p.targets[i].Blocked = false
 	}
 }
 
-// admit refuses a first try that cannot finish in time.
-func (f *fleet) admit(p *pool, n relay.Need, c route.Choice) error {
+// admit refuses a request to a language service that cannot be answered by its
+// deadline. A retry is not checked again. The caller must hold f.mu.
+func (f *fleet) admit(p *targetPool, n relay.Need, c route.Choice) error {
 	if n.Retry || p.row.Kind != table.Language {
 		return nil
 	}
-	work := float64(n.PromptTokens) * p.secondsPerToken
-	v := limit.Admit(limit.Estimate{Wait: seconds(c.Wait), Work: seconds(work), Deadline: p.row.Deadline})
-	if v.Admit && p.usable > 0 {
-		over, ok := p.pace.Admit(f.now(), p.usable, p.entries, p.reported, p.row.Deadline.Seconds()-work)
-		v = limit.Verdict{Admit: ok, RetryAfter: seconds(over)}
+	prefillSeconds := float64(n.PromptTokens) * p.secondsPerToken
+	verdict := limit.Admit(limit.Estimate{Wait: secondsToDuration(c.Wait), Work: secondsToDuration(prefillSeconds), Deadline: p.row.Deadline})
+	if verdict.Admit && p.usableTargets > 0 {
+		waitSeconds, ok := p.pace.Admit(f.now(), p.usableTargets, p.entries, p.reportedWait, p.row.Deadline.Seconds()-prefillSeconds)
+		verdict = limit.Verdict{Admit: ok, RetryAfter: secondsToDuration(waitSeconds)}
 	}
-	if v.Admit {
-		p.pace.Sent(work)
+	if verdict.Admit {
+		p.pace.Sent(prefillSeconds)
 		return nil
 	}
 	e := errkind.New(errkind.CannotFinish, "the request could not be answered within %s", p.row.Deadline)
-	e.RetryAfter = v.RetryAfter
+	e.RetryAfter = verdict.RetryAfter
 	return e
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// secondsToDuration converts seconds to a duration.
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// send books the request's work on the target.
-func (f *fleet) send(p *pool, n relay.Need, i int) relay.Route {
-	m, t := p.members[i], &p.targets[i]
+// assign adds the request's work to the load of target i and returns the route,
+// whose Done reports the request's end to the fleet. The caller must hold f.mu.
+func (f *fleet) assign(p *targetPool, n relay.Need, i int) relay.Route {
+	ts, t := p.states[i], &p.targets[i]
 	now := f.now()
-	work := float64(n.PromptTokens) * p.secondsPerToken
+	prefillSeconds := float64(n.PromptTokens) * p.secondsPerToken
 	if n.Prefix != 0 {
 		if p.memory.Seen.Has(n.Prefix, t.Hash, now) {
-			work *= 1 - cachedShare
+			prefillSeconds *= 1 - cachedPrefixSaving
 		}
 		p.memory.Seen.Set(n.Prefix, t.Hash, now)
 	}
-	m.load.Sent(now, work)
-	t.Until = m.load.Until()
+	ts.load.Sent(now, prefillSeconds)
+	t.Until = ts.load.Until()
 	t.Running++
-	m.running++
-	m.health.Sent()
+	ts.inFlight++
+	ts.health.Sent()
 	var once sync.Once
-	return relay.Route{Name: m.name, Address: m.address, Done: func(o relay.Outcome) {
-		once.Do(func() { f.done(n.Service, m, o) })
+	return relay.Route{Name: ts.name, Address: ts.address, Done: func(o relay.Outcome) {
+		once.Do(func() { f.recordOutcome(n.Service, ts, o) })
 	}}
 }
 
-// done books the end of a request.
-func (f *fleet) done(service string, m *member, o relay.Outcome) {
+// recordOutcome removes a request that has ended from the target's requests in flight
+// and updates the target's health.
+func (f *fleet) recordOutcome(service string, ts *targetState, o relay.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m.running--
+	ts.inFlight--
 	switch o {
 	case relay.OutcomeOK, relay.OutcomeRefused:
-		m.health.OK()
+		ts.health.OK()
 	case relay.OutcomeAbandoned:
-		m.health.Unknown()
+		ts.health.Unknown()
 	case relay.OutcomeFailed:
-		if wait := m.health.Failed(time.Since(f.start)); wait > 0 {
-			id := f.decisions.setAside(service, m.name, wait)
-			f.log.Warn(telemetry.EventTargetSetAside, telemetry.F("target", m.name),
+		if wait := ts.health.Failed(time.Since(f.start)); wait > 0 {
+			id := f.decisions.recordSetAside(service, ts.name, wait)
+			f.log.Warn(telemetry.EventTargetSetAside, telemetry.F("target", ts.name),
 				telemetry.F("service", service), telemetry.F("wait", wait), telemetry.F("decision", id))
 		}
 	}
 }
 
-// observeFirst takes in how long a prompt took to its first token.
-func (f *fleet) observeFirst(service string, tokens int, took time.Duration) {
+// observeFirstToken updates the estimated prefill speed by the time that a prompt of
+// so many tokens took to its first token.
+func (f *fleet) observeFirstToken(service string, tokens int, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p, ok := f.services[service]
+	p, ok := f.pools[service]
 	if !ok || tokens < minMeasuredTokens {
 		return
 	}
 	perToken := took.Seconds() / float64(tokens)
-	// Waiting counts into the time, so only shorter times are believed at
-	// once; longer ones raise the estimate slowly.
+	// The time includes queueing, so a shorter time is taken over at once, and a
+	// longer one raises the estimate only slowly.
 	if perToken < p.secondsPerToken {
 		p.secondsPerToken = perToken
 		return
 	}
-	p.secondsPerToken += speedShare * (perToken - p.secondsPerToken)
+	p.secondsPerToken += slowSampleWeight * (perToken - p.secondsPerToken)
 }
--- a/internal/entry/grants.go
+++ b/internal/entry/grants.go
@@ -10,18 +10,20 @@
 	"garnethoist.org/garnethoist/internal/table"
 )
 
-// grantInterval is the time between requests for a share of limits.
+// grantInterval is the time between two requests for grants, and the time limit of
+// each request.
 const grantInterval = time.Second
 
-// renewGrants asks for shares of the services' limits until ctx ends. Without
-// an answer the entry falls back to its base part when its grant expires.
+// renewGrants asks the steward for grants of the services' limits every
+// grantInterval until ctx ends. Without an answer the entry falls back to its base
+// part when the grant expires.
 func (f *feed) renewGrants(ctx context.Context, c api.StewardClient) {
 	for ctx.Err() == nil {
 		kernel.Sleep(ctx, grantInterval)
 		for _, row := range f.fleet.rows() {
 			perS, inFlight := f.usage.demand(row.Service)
-			want := wantOf(row, f.shares.maxEntries, perS, inFlight)
-			// Most services stay within their base part and ask nobody.
+			want := extraDemand(row, f.shares.maxEntries, perS, inFlight)
+			// Most services stay within their base part and need no grant.
 			if want != (limit.Limits{}) {
 				f.renewGrant(ctx, c, row.Service, want)
 			}
@@ -29,9 +31,10 @@
 	}
 }
 
-// wantOf is how much of the row's limits the demand needs beyond the entry's
-// base part.
-func wantOf(row table.Row, maxEntries int, perS float64, inFlight int) limit.Limits {
+// extraDemand returns how much of the row's limits the entry needs beyond its base
+// part for a demand of perS requests a second and inFlight requests in flight. A
+// limit that the row doesn't set is zero in the result.
+func extraDemand(row table.Row, maxEntries int, perS float64, inFlight int) limit.Limits {
 	total := limit.Limits{RatePerS: row.RatePerS, InFlight: row.InFlight}
 	base := limit.BasePart(total, len(row.Engines), maxEntries)
 	var want limit.Limits
@@ -44,10 +47,12 @@
 	return want
 }
 
-// demandHeadroom is how much more than its recent demand an entry asks for, so
-// that a rising demand does not meet the limit before the next renewal.
+// demandHeadroom is the factor by which an entry asks for more than its recent
+// demand, so that rising demand does not reach the limit before the next renewal.
 const demandHeadroom = 1.3
 
+// renewGrant asks for one service's grant and puts it in force if the answer comes
+// from the lease's holder.
 func (f *feed) renewGrant(ctx context.Context, c api.StewardClient, service string, want limit.Limits) {
 	ctx, cancel := context.WithTimeout(ctx, grantInterval)
 	defer cancel()
@@ -58,10 +63,10 @@
 	if err != nil || !resp.GetHolder() {
 		return
 	}
-	// The grant counts from before it was asked for, so that it ends here
-	// before it ends in the holder's book.
-	f.shares.set(service, grant{
+	// The grant's time runs from before the request, so that it expires here
+	// before it expires at the holder.
+	f.shares.setGrant(service, grant{
 		rate: resp.GetRatePerS(), inFlight: int(resp.GetInFlight()),
-		until: asked.Add(time.Duration(resp.GetTtlMs()) * time.Millisecond),
+		expires: asked.Add(time.Duration(resp.GetTtlMs()) * time.Millisecond),
 	})
 }
--- a/internal/entry/modules.go
+++ b/internal/entry/modules.go
@@ -1,5 +1,6 @@
-// Package entry is the callers' side of garnethoist: admission, limits, routing,
-// relay of streams and calls that may not be repeated.
+// Package entry serves callers over HTTP: it applies limits and admission control,
+// routes requests to targets, relays streams, and runs calls that must not be
+// repeated at most once.
 package entry
 
 import (
@@ -17,7 +18,7 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// Names of the entry's modules.
+// Names of the entry's kernel modules.
 const (
 	ModuleLog      = "telemetry.log"
 	ModuleMetrics  = "telemetry.metrics"
@@ -35,7 +36,7 @@
 	ModuleServer   = "entry.server"
 )
 
-// Register adds the entry's modules to k. Logs go to logs.
+// Register adds the entry's modules to k. Log lines are written to logs.
 func Register(k *kernel.Kernel, cfg *settings.Entry, logs io.Writer) {
 	incarnation := uint64(time.Now().UnixNano())
 	k.Register(ModuleLog, func(*kernel.Kernel) (any, error) {
@@ -115,6 +116,6 @@
 	if g.Err != nil {
 		return nil, g.Err
 	}
-	admin.SetReady(s.ready)
+	admin.SetReady(s.notReadyReason)
 	return s, nil
 }
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -19,33 +19,37 @@
 )
 
 const (
-	// plainDialTimeout bounds connecting to a plain service.
+	// plainDialTimeout bounds connecting to a target of a plain service.
 	plainDialTimeout = 2 * time.Second
-	// maxPlainAnswer bounds an answer of a plain service.
-	maxPlainAnswer = 32 << 20
-	// keepTimeout bounds keeping the answer of a call that ran.
-	keepTimeout = 5 * time.Second
+	// maxPlainAnswerBytes is the largest answer accepted from a plain service.
+	maxPlainAnswerBytes = 32 << 20
+	// claimUpdateTimeout bounds storing the answer of a call that ran, and releasing
+	// the claim of one that did not.
+	claimUpdateTimeout = 5 * time.Second
 )
 
-// plainForwarder sends calls to plain services.
+// plainForwarder holds the HTTP clients for calls to plain services.
 type plainForwarder struct {
-	// repeatable keeps connections; its calls may be sent again.
-	repeatable *http.Client
-	// single opens a connection for each call. The HTTP client sends a
-	// request again by itself only on a connection that it has used before,
-	// so a call that may not be repeated never leaves twice.
-	single *http.Client
+	// keepAlive reuses connections. It is for calls that may be repeated, because
+	// the HTTP client may send a request again on its own.
+	keepAlive *http.Client
+	// noReuse opens a new connection for each call. The HTTP client sends a
+	// request again on its own only after a failure on a reused connection, so
+	// that a call that must not be repeated is never sent twice.
+	noReuse *http.Client
 }
 
 func newPlainForwarder() *plainForwarder {
-	return &plainForwarder{repeatable: plainClient(true), single: plainClient(false)}
+	return &plainForwarder{keepAlive: newPlainClient(true), noReuse: newPlainClient(false)}
 }
 
-func plainClient(keep bool) *http.Client {
+// newPlainClient returns a client that follows no redirects, and that reuses
+// connections only if keepAlive is set.
+func newPlainClient(keepAlive bool) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: plainDialTimeout}).DialContext,
-			DisableKeepAlives:   !keep,
+			DisableKeepAlives:   !keepAlive,
 			DisableCompression:  true,
 			MaxIdleConnsPerHost: 64,
 			IdleConnTimeout:     time.Minute,
@@ -56,12 +60,14 @@
 
 // Stop closes idle connections.
 func (p *plainForwarder) Stop(context.Context) error {
-	p.repeatable.CloseIdleConnections()
+	p.keepAlive.CloseIdleConnections()
 	return nil
 }
 
-// plainCall serves a request to a plain service.
-func (s *server) plainCall(w *statusWriter, r *http.Request, q *request) error {
+// servePlain serves a request to a plain service. A call that is neither repeatable
+// nor safe runs at most once for each request. With an idempotency key it runs at most
+// once for all of the account's requests with the key.
+func (s *server) servePlain(w *answerWriter, r *http.Request, q *request) error {
 	ctx, cancel := context.WithDeadline(r.Context(), q.arrived.Add(q.row.Deadline))
 	defer cancel()
 	if q.row.Repeatable || safeMethod(r.Method) {
@@ -78,85 +84,92 @@
 		}
 		return writeAnswer(w, a)
 	}
-	return s.claimedCall(ctx, w, r, q)
+	return s.serveWithIdempotencyKey(ctx, w, r, q)
 }
 
-// safeMethod reports whether the HTTP method promises to have no effect.
+// safeMethod reports whether the HTTP method is safe, that is without side effects.
 func safeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// claimedCall runs a call with an idempotency key at most once.
-func (s *server) claimedCall(ctx context.Context, w *statusWriter, r *http.Request, q *request) error {
-	claim, kept, err := s.claims.Acquire(ctx, once.Call{
+// serveWithIdempotencyKey runs a call with an idempotency key at most once. It
+// claims the key first; if a call with the key has run already, it writes the stored
+// answer.
+func (s *server) serveWithIdempotencyKey(ctx context.Context, w *answerWriter, r *http.Request, q *request) error {
+	claim, storedAnswer, err := s.claims.Acquire(ctx, once.Call{
 		Service: q.row.Service, Account: r.Header.Get("Authorization"), Key: r.Header.Get(headerIdempotencyKey),
 		Token: q.id, BodyHash: once.HashBody(r.Method, r.URL.RequestURI(), q.body),
 	})
 	if err != nil {
 		return err
 	}
-	if kept != nil {
-		return writeAnswer(w, *kept)
+	if storedAnswer != nil {
+		return writeAnswer(w, *storedAnswer)
 	}
-	// The call goes on even if the caller leaves now, so that its answer is
-	// kept for when it asks again.
+	// The call goes on even if the caller disconnects, so that its answer is
+	// stored for when the caller asks again.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), q.arrived.Add(q.row.Deadline))
 	defer cancel()
 	a, err := s.forwardOnce(ctx, r, q)
 	if err != nil {
-		return s.settleFailed(claim, q, err)
+		return s.releaseIfNotRun(claim, q, err)
 	}
-	s.keep(claim, q, a)
+	s.storeAnswer(claim, q, a)
 	return writeAnswer(w, a)
 }
 
-// settleFailed frees the key of a call that certainly did not run.
-func (s *server) settleFailed(claim *once.Claim, q *request, err error) error {
+// releaseIfNotRun releases the claim of a failed call if err proves that the call
+// did not run. It returns err.
+func (s *server) releaseIfNotRun(claim *once.Claim, q *request, err error) error {
 	if errkind.From(err).Answer().Outcome != errkind.NotRun {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), keepTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), claimUpdateTimeout)
 	defer cancel()
-	if rerr := claim.Release(ctx); rerr != nil {
-		s.log.Warn(telemetry.EventClaimUnknown, telemetry.F("request", q.id), telemetry.F("cause", rerr))
+	if releaseErr := claim.Release(ctx); releaseErr != nil {
+		s.log.Warn(telemetry.EventClaimUnknown, telemetry.F("request", q.id), telemetry.F("cause", releaseErr))
 	}
 	return err
 }
 
-func (s *server) keep(claim *once.Claim, q *request, a once.Answer) {
-	ctx, cancel := context.WithTimeout(context.Background(), keepTimeout)
+// storeAnswer stores the answer of a call under its idempotency key. A failure is only
+// logged, and the caller still gets the answer.
+func (s *server) storeAnswer(claim *once.Claim, q *request, a once.Answer) {
+	ctx, cancel := context.WithTimeout(context.Background(), claimUpdateTimeout)
 	defer cancel()
 	if err := claim.Keep(ctx, a); err != nil {
 		s.log.Warn(telemetry.EventClaimUnknown, telemetry.F("request", q.id), telemetry.F("cause", err))
 	}
 }
 
-// forwardRepeatable sends a call that may be repeated, to other targets too
-// within the retry budget.
+// forwardRepeatable sends a call that may be repeated. After any failure it tries
+// another target while the retry budget lasts.
 func (s *server) forwardRepeatable(ctx context.Context, r *http.Request, q *request) (once.Answer, error) {
-	return s.forwardTries(ctx, s.plain.repeatable, r, q, func(*errkind.Error) bool { return true })
+	return s.forwardWithRetries(ctx, s.plain.keepAlive, r, q, func(*errkind.Error) bool { return true })
 }
 
-// forwardOnce sends a call that may not be repeated. Another target is tried
-// only after a failure that proves that the call was not run.
+// forwardOnce sends a call that must not be repeated. It tries another target only
+// after a failure that proves that the call did not run. Any other failure is
+// returned as OutcomeUnknown.
 func (s *server) forwardOnce(ctx context.Context, r *http.Request, q *request) (once.Answer, error) {
 	notRun := func(e *errkind.Error) bool { return e.Answer().Outcome == errkind.NotRun }
-	a, err := s.forwardTries(ctx, s.plain.single, r, q, notRun)
+	a, err := s.forwardWithRetries(ctx, s.plain.noReuse, r, q, notRun)
 	if err != nil && !notRun(errkind.From(err)) {
-		return a, unknownOutcome(errkind.From(err))
+		return a, outcomeUnknown(errkind.From(err))
 	}
 	return a, err
 }
 
-// forwardTries sends a call to one target after the other while failures allow
-// it and the retry budget lasts.
-func (s *server) forwardTries(ctx context.Context, client *http.Client, r *http.Request, q *request, again func(*errkind.Error) bool) (once.Answer, error) {
+// forwardWithRetries sends a call to one target after the other until one answers,
+// as long as mayRetry allows it for the last failure, ctx lasts and the retry budget
+// is not used up.
+func (s *server) forwardWithRetries(ctx context.Context, client *http.Client, r *http.Request, q *request, mayRetry func(*errkind.Error) bool) (once.Answer, error) {
 	need := relay.Need{Service: q.row.Service, Role: target.RoleBoth}
 	var last error
 	for {
 		route, err := s.fleet.Route(need)
 		if err != nil {
-			return once.Answer{}, firstError(last, err)
+			return once.Answer{}, firstNonNil(last, err)
 		}
 		a, err := s.forward(ctx, client, r, q, route)
 		if err == nil {
@@ -165,54 +178,57 @@
 		last = err
 		need.Avoid = append(need.Avoid, route.Name)
 		need.Retry = true
-		if ctx.Err() != nil || !again(errkind.From(err)) || !s.budget(q.row.Service).Retry() {
+		if ctx.Err() != nil || !mayRetry(errkind.From(err)) || !s.retryBudget(q.row.Service).Retry() {
 			return once.Answer{}, last
 		}
 	}
 }
 
-func firstError(last, err error) error {
+// firstNonNil returns last unless it is nil, and err otherwise.
+func firstNonNil(last, err error) error {
 	if last != nil {
 		return last
 	}
 	return err
 }
 
-// unknownOutcome tells the caller that a call that may not be repeated may
+// outcomeUnknown wraps the failure of a call that must not be repeated and that may
 // have run.
-func unknownOutcome(e *errkind.Error) error {
+func outcomeUnknown(e *errkind.Error) error {
 	return errkind.Wrap(errkind.OutcomeUnknown, e, "the target did not answer after the call was sent; it may have run")
 }
 
-// forward sends the call to one target and reads its whole answer.
+// forward sends the call to one target, reads its whole answer and reports the
+// outcome to the route. The outcome NotRun of an error means that the call certainly
+// did not run.
 func (s *server) forward(ctx context.Context, client *http.Client, r *http.Request, q *request, route relay.Route) (once.Answer, error) {
-	req, err := outgoing(ctx, r, q, route.Address)
+	req, err := newTargetRequest(ctx, r, q, route.Address)
 	if err != nil {
 		route.Done(relay.OutcomeAbandoned)
 		return once.Answer{}, err
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		route.Done(forwardOutcome(ctx))
+		route.Done(failureOutcome(ctx))
 		e := errkind.Wrap(errkind.TargetLost, err, "the target did not answer")
 		if relay.NeverSent(err) {
 			e.Outcome = errkind.NotRun
 		}
-		return once.Answer{}, forwardError(ctx, e)
+		return once.Answer{}, withContextCause(ctx, e)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainAnswerBytes+1))
 	if err != nil {
-		route.Done(forwardOutcome(ctx))
-		return once.Answer{}, forwardError(ctx, errkind.Wrap(errkind.TargetLost, err, "the target broke off its answer"))
+		route.Done(failureOutcome(ctx))
+		return once.Answer{}, withContextCause(ctx, errkind.Wrap(errkind.TargetLost, err, "the connection failed before the target's answer was complete"))
 	}
-	if len(body) > maxPlainAnswer {
+	if len(body) > maxPlainAnswerBytes {
 		route.Done(relay.OutcomeOK)
-		return once.Answer{}, errkind.New(errkind.TargetFailed, "the answer is larger than %d bytes", maxPlainAnswer)
+		return once.Answer{}, errkind.New(errkind.TargetFailed, "the answer is larger than %d bytes", maxPlainAnswerBytes)
 	}
 	if code := relay.ErrorCode(body); resp.StatusCode == http.StatusServiceUnavailable && target.VouchesNotRun(code) {
 		route.Done(relay.OutcomeRefused)
-		e := errkind.New(errkind.TargetFailed, "the target refused: %s", code)
+		e := errkind.New(errkind.TargetFailed, "the target refused the call: %s", code)
 		e.Outcome = errkind.NotRun
 		return once.Answer{}, e
 	}
@@ -222,16 +238,18 @@
 	return once.Answer{Status: resp.StatusCode, Header: header, Body: body}, nil
 }
 
-func forwardOutcome(ctx context.Context) relay.Outcome {
+// failureOutcome returns the outcome of a failed call: abandoned if the caller
+// disconnected, and a failure of the target otherwise.
+func failureOutcome(ctx context.Context) relay.Outcome {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return relay.OutcomeAbandoned
 	}
 	return relay.OutcomeFailed
 }
 
-// forwardError names the deadline or the caller as the cause where they are.
-// Whether the call left stays as it was found out.
-func forwardError(ctx context.Context, e *errkind.Error) error {
+// withContextCause returns e with the kind DeadlineExceeded or ClientGone if ctx has
+// ended, and e itself otherwise. Whether the call may have run stays as in e.
+func withContextCause(ctx context.Context, e *errkind.Error) error {
 	if ctx.Err() == nil {
 		return e
 	}
@@ -239,18 +257,20 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		kind = errkind.DeadlineExceeded
 	}
-	out := errkind.Wrap(kind, e, "no answer in time")
+	out := errkind.Wrap(kind, e, "the request ended before the target answered")
 	out.Outcome = e.Answer().Outcome
 	return out
 }
 
-func outgoing(ctx context.Context, r *http.Request, q *request, address string) (*http.Request, error) {
-	uri := trimService(r, q.row.Service)
+// newTargetRequest returns the request that is sent to the target at address.
+func newTargetRequest(ctx context.Context, r *http.Request, q *request, address string) (*http.Request, error) {
+	uri := targetURI(r, q.row.Service)
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+address+uri, nil)
 	if err != nil {
-		return nil, errkind.Wrap(errkind.BadRequest, err, "the path cannot be passed on")
+		return nil, errkind.Wrap(errkind.BadRequest, err, "the path is not valid in a URL")
 	}
-	// Set after NewRequest, so that the body cannot be rewound and sent again.
+	// The body is set after NewRequest, so that the request has no GetBody and the
+	// client cannot rewind the body to send it again.
 	req.Body = io.NopCloser(bytes.NewReader(q.body))
 	req.ContentLength = int64(len(q.body))
 	if len(q.body) == 0 {
@@ -262,11 +282,12 @@
 	return req, nil
 }
 
+// writeAnswer writes a target's answer to the caller.
 func writeAnswer(w http.ResponseWriter, a once.Answer) error {
 	relay.CopyHeader(w.Header(), a.Header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
 	w.WriteHeader(a.Status)
-	// A failed write means that the caller has gone; it may ask again.
+	// A failed write means that the caller has disconnected; it may ask again.
 	_, _ = w.Write(a.Body)
 	return nil
 }
--- a/internal/entry/plain_test.go
+++ b/internal/entry/plain_test.go
@@ -23,9 +23,9 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// closingTarget answers the first request of each connection and closes the
-// connection after reading the second, as a target does that dies at a bad
-// moment. It counts the requests by body.
+// closingTarget answers the first request of each connection, and closes the
+// connection without an answer after it has read the second one or a request with
+// the key "close". It counts the requests by idempotency key.
 type closingTarget struct {
 	listener net.Listener
 
@@ -74,25 +74,27 @@
 	}
 }
 
+// count returns how many requests with the key have arrived.
 func (c *closingTarget) count(key string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls[key]
 }
 
-// TestStockClientSendsTwice shows the fault that the entry's client guards
-// against: with an Idempotency-Key and no body, Go's own client sends a
-// request again on a reused connection that breaks.
-func TestStockClientSendsTwice(t *testing.T) {
+// This test shows the fault that plainForwarder.noReuse guards against: Go's
+// default HTTP client sends a request with an Idempotency-Key and no body again when a
+// reused connection breaks.
+func TestDefaultClientSendsTwice(t *testing.T) {
 	is := is.New(t)
 	c := newClosingTarget(t)
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	is.NoErr(post(client, c, "warm-up"))
-	_ = post(client, c, "renewal") // how it ends does not matter here
+	_ = post(client, c, "renewal") // whether it fails does not matter here
 	is.Equal(c.count("renewal"), 2)
 }
 
+// post sends a POST without a body to the target.
 func post(client *http.Client, c *closingTarget, key string) error {
 	req, err := http.NewRequest(http.MethodPost, "http://"+c.listener.Addr().String()+"/confirm", nil)
 	if err != nil {
@@ -104,13 +106,13 @@
 		return err
 	}
 	defer resp.Body.Close()
-	_, err = io.Copy(io.Discard, resp.Body) // so that the connection is used again
+	_, err = io.Copy(io.Discard, resp.Body) // so that the client reuses the connection
 	return err
 }
 
-// TestSingleClientSendsOnce: the same through the entry's own path for calls
-// that may not be repeated.
-func TestSingleClientSendsOnce(t *testing.T) {
+// A call that must not be repeated reaches the target once, also when the connection
+// breaks after the target has read the call.
+func TestUnrepeatableCallIsSentOnce(t *testing.T) {
 	for _, body := range []string{"", `{"subscriber":1}`} {
 		is := is.New(t)
 		c := newClosingTarget(t)
@@ -121,20 +123,21 @@
 		for _, key := range []string{"warm-up", "close"} {
 			r := httptest.NewRequest(http.MethodPost, "/services/renewals/confirm", strings.NewReader(body))
 			r.Header.Set(headerIdempotencyKey, key)
-			_, err := s.forward(context.Background(), s.plain.single, r, q, route)
+			_, err := s.forward(context.Background(), s.plain.noReuse, r, q, route)
 			if key == "warm-up" {
 				is.NoErr(err)
 				continue
 			}
 			is.True(err != nil)
-			is.Equal(errkind.From(err).Answer().Outcome, errkind.MayHaveRun) // it may have run: never not_run
+			is.Equal(errkind.From(err).Answer().Outcome, errkind.MayHaveRun) // the target has read it, so not_run would be wrong
 		}
 		is.Equal(c.count("close"), 1)
 		is.Equal(outcomes, []relay.Outcome{relay.OutcomeOK, relay.OutcomeFailed})
 	}
 }
 
-// A refused connection is the one failure after which not_run is certain.
+// A call whose connection was refused certainly did not run. It is the only failure
+// of a connection that proves it.
 func TestRefusedConnectionIsNotRun(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -144,40 +147,40 @@
 	q := &request{id: "q1", row: table.Row{Service: "renewals", Kind: table.Plain}}
 	r := httptest.NewRequest(http.MethodPost, "/services/renewals/confirm", nil)
 	route := relay.Route{Address: l.Addr().String(), Done: func(relay.Outcome) {}}
-	_, err = s.forward(context.Background(), s.plain.single, r, q, route)
+	_, err = s.forward(context.Background(), s.plain.noReuse, r, q, route)
 	is.True(err != nil)
 	is.Equal(errkind.From(err).Answer().Outcome, errkind.NotRun)
 }
 
 // An entry asks for a grant only when its demand exceeds its base part.
-func TestWantBeyondBasePart(t *testing.T) {
+func TestExtraDemandBeyondBasePart(t *testing.T) {
 	is := is.New(t)
 	row := table.Row{RatePerS: 80, InFlight: 40, Engines: []table.Assignment{{DataCentre: "a"}, {DataCentre: "b"}}}
-	// Base part of one of 2 x 2 entries: 10 a second and 5 in flight.
-	is.Equal(wantOf(row, 2, 7, 3), limit.Limits{})
-	is.Equal(wantOf(row, 2, 20, 10), limit.Limits{RatePerS: 16, InFlight: 8})
-	is.Equal(wantOf(table.Row{}, 2, 20, 10), limit.Limits{}) // no limits, nothing to ask for
+	// The base part of one of 2 x 2 entries is 10 requests a second and 5 in flight.
+	is.Equal(extraDemand(row, 2, 7, 3), limit.Limits{})
+	is.Equal(extraDemand(row, 2, 20, 10), limit.Limits{RatePerS: 16, InFlight: 8})
+	is.Equal(extraDemand(table.Row{}, 2, 20, 10), limit.Limits{}) // no limits, so no grant is needed
 }
 
-// The busy share follows the engine's work, whatever becomes of the estimate
-// of a token's time meanwhile.
+// The share of time for which an engine is busy stays right when the estimated time
+// per token changes between its reports.
 func TestBusyShareSurvivesANewEstimate(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("kakkanad", telemetry.Discard(), newDecisionLog("vm-1"))
-	p := &pool{row: table.Row{Service: "hints", Model: "m"}, secondsPerToken: 1e-3, memory: newMemory(), pace: &limit.Pace{}}
-	m := &member{name: "e1"}
+	p := &targetPool{row: table.Row{Service: "hints", Model: "m"}, secondsPerToken: 1e-3, memory: newPrefixMemory(), pace: &limit.Pace{}}
+	ts := &targetState{name: "e1"}
 	view := func(seconds float64, tokens uint64) gossip.TargetView {
 		return gossip.TargetView{
 			Name: "e1", DataCentre: "kakkanad", ObservedAt: f.start.Add(time.Duration(seconds * float64(time.Second))),
 			Status: &api.Target{Reachable: true, Model: "m", PrefillTokens: tokens},
 		}
 	}
-	p.add(m, gossip.TargetView{Name: "e1"}, "kakkanad", 0) // no status yet
+	p.addTarget(ts, gossip.TargetView{Name: "e1"}, "kakkanad", 0) // no status yet
 	for i, tokens := range []uint64{10000, 14000, 18000} {
 		p.secondsPerToken /= 2
-		p.targets, p.members = nil, nil
-		p.add(m, view(float64(8*i), tokens), "kakkanad", time.Since(f.start).Seconds())
+		p.targets, p.states = nil, nil
+		p.addTarget(ts, view(float64(8*i), tokens), "kakkanad", time.Since(f.start).Seconds())
 	}
-	// 500 tokens a second at an eighth of a millisecond each.
+	// The engine prefills 500 tokens a second, at an eighth of a millisecond each.
 	is.True(p.targets[0].Busy > 0.06 && p.targets[0].Busy < 0.065)
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -27,22 +27,23 @@
 )
 
 const (
-	// maxAccounts is how many client accounts one entry tells apart.
+	// maxAccounts is how many client accounts of a service an entry limits
+	// separately.
 	maxAccounts = 16000
-	// accountBurstSeconds is the seconds' worth of requests that an account
-	// may send at once.
+	// accountBurstSeconds is the burst of an account: as many requests as its rate
+	// allows in so many seconds.
 	accountBurstSeconds = 2
-	// headerTimeout bounds the time a caller takes to send its header.
+	// headerTimeout bounds the time that a caller takes to send a request's header.
 	headerTimeout = 5 * time.Second
-	// idleTimeout closes a caller's idle connection.
+	// idleTimeout is how long a caller's connection may stay idle.
 	idleTimeout = 2 * time.Minute
-	// notReady is why an entry that has just started takes no requests.
-	notReady = "table and targets not known yet"
-	// headerIdempotencyKey marks a call that may be asked again.
+	// reasonNoConfig is the reason why an entry that has just started is not ready.
+	reasonNoConfig = "table and targets not known yet"
+	// headerIdempotencyKey is the header by which a caller marks repeats of one call.
 	headerIdempotencyKey = "Idempotency-Key"
 )
 
-// server is the callers' HTTP edge.
+// server is the HTTP server for callers.
 type server struct {
 	cfg       *settings.Entry
 	fleet     *fleet
@@ -57,55 +58,59 @@
 	ids       *requestIDs
 	start     time.Time
 
-	http     *http.Server
-	served   sync.WaitGroup
+	httpServer *http.Server
+	// serving is done when the HTTP server has stopped.
+	serving  sync.WaitGroup
 	stopping atomic.Bool
+	// inFlight is the number of requests of all services in flight.
 	inFlight atomic.Int64
 
+	// mu guards the account limits and retry budgets, which are keyed by service.
 	mu       sync.Mutex
 	accounts map[string]*limit.Accounts
 	budgets  map[string]*retry.Budget
 }
 
-// Start listens for callers.
+// Start starts listening for callers.
 func (s *server) Start(context.Context) error {
 	l, err := net.Listen("tcp", string(s.cfg.Listen))
 	if err != nil {
 		return errors.Wrap(err, "listen for callers")
 	}
-	s.http = &http.Server{
+	s.httpServer = &http.Server{
 		Handler: s.handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 	}
-	s.served.Go(func() {
-		if err := s.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+	s.serving.Go(func() {
+		if err := s.httpServer.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			s.log.Warn(telemetry.EventStopped, telemetry.F("cause", err))
 		}
 	})
 	return nil
 }
 
-// Stop fails readiness, keeps serving while the balancer takes note, and then
-// waits for every request in hand.
+// Stop fails readiness, keeps serving for the ready grace so that load balancers
+// notice, and then waits for the requests in flight until ctx ends.
 func (s *server) Stop(ctx context.Context) error {
 	s.stopping.Store(true)
 	s.log.Info(telemetry.EventStopping, telemetry.F("in_flight", s.inFlight.Load()))
 	kernel.Sleep(ctx, s.cfg.ReadyGrace.D())
-	err := s.http.Shutdown(ctx)
-	s.served.Wait()
-	return errors.Wrap(err, "wait for requests in hand")
+	err := s.httpServer.Shutdown(ctx)
+	s.serving.Wait()
+	return errors.Wrap(err, "wait for requests in flight")
 }
 
-// ready says why the entry cannot take requests, or "".
-func (s *server) ready() string {
+// notReadyReason returns why the entry is not ready for requests, or "" if it is.
+func (s *server) notReadyReason() string {
 	switch {
 	case s.stopping.Load():
 		return "stopping"
-	case !s.feed.usable():
-		return notReady
+	case !s.feed.isReady():
+		return reasonNoConfig
 	}
 	return ""
 }
 
+// handler returns the handler for callers' requests.
 func (s *server) handler() http.Handler {
 	g := gin.New()
 	g.HandleMethodNotAllowed = false
@@ -116,66 +121,75 @@
 	return g
 }
 
-// request is one caller's request on its way through the entry.
+// request is one caller's request.
 type request struct {
-	id      string
-	row     table.Row
+	id string
+	// row is the service's row of the table. Its Service is empty until the service
+	// is known to exist.
+	row table.Row
+	// path is the path below /services/SERVICE.
 	path    string
 	arrived time.Time
 	body    []byte
+	// account is the hash that identifies the client account.
 	account uint64
 }
 
-// serve takes one request through its whole path and counts it once.
+// serve handles one request, writes the error body if it fails, and counts it once.
 func (s *server) serve(c *gin.Context) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	q := &request{id: s.ids.next(), path: c.Param("path"), arrived: time.Now()}
 	service := c.Param("service")
-	w := &statusWriter{ResponseWriter: c.Writer}
+	w := &answerWriter{ResponseWriter: c.Writer}
 	err := s.handle(w, c.Request, service, q)
 	if err == nil {
-		s.finish(service, q, w, nil)
+		s.recordAnswer(service, q, w, nil)
 		return
 	}
 	e := errkind.From(err)
-	begun := w.wrote
-	if !begun {
+	started := w.started
+	if !started {
 		errkind.Write(w, e)
 	}
-	s.finish(service, q, w, e)
-	if begun {
-		// The answer is cut short; the caller must not take it for complete.
+	s.recordAnswer(service, q, w, e)
+	if started {
+		// The answer is incomplete. Aborting the connection keeps the caller from
+		// taking it for complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// finish counts the answer and logs a refusal or failure.
-func (s *server) finish(service string, q *request, w *statusWriter, e *errkind.Error) {
+// recordAnswer counts the answer, and logs the refusal or failure e unless it is nil.
+// An answer in time is one that was complete by the deadline, or for a language
+// service one that had begun by then.
+func (s *server) recordAnswer(service string, q *request, w *answerWriter, e *errkind.Error) {
 	took := time.Since(q.arrived)
 	if q.row.Service == "" {
-		// Names that callers make up must not fill the counters.
+		// Names of services that do not exist must not add counters.
 		service = ""
 	}
 	inTime := q.row.Deadline == 0 || took <= q.row.Deadline
-	if q.row.Kind == table.Language && w.first > 0 {
-		inTime = w.first <= q.row.Deadline
+	if q.row.Kind == table.Language && w.timeToFirstByte > 0 {
+		inTime = w.timeToFirstByte <= q.row.Deadline
 	}
-	s.usage.result(service, inTime, e, took.Seconds())
+	s.usage.countAnswer(service, inTime, e, took.Seconds())
 	if e == nil {
 		return
 	}
 	event := telemetry.EventRequestFailed
 	if e.Answer().Outcome == errkind.NotRun {
 		event = telemetry.EventRequestRefused
-		s.decisions.refused(service, e, time.Now())
+		s.decisions.recordRefusal(service, e, time.Now())
 	}
 	s.log.Warn(event, telemetry.F("request", q.id), telemetry.F("service", service),
 		telemetry.F("kind", e.Kind), telemetry.F("cause", e.Error()))
 }
 
-func (s *server) handle(w *statusWriter, r *http.Request, service string, q *request) error {
-	if s.ready() == notReady {
+// handle checks the request against the service's limits, reads its body and
+// serves it. Arrivals are counted before the limits are checked.
+func (s *server) handle(w *answerWriter, r *http.Request, service string, q *request) error {
+	if s.notReadyReason() == reasonNoConfig {
 		return errkind.New(errkind.NotReady, "this entry does not know the table and its targets yet")
 	}
 	row, ok := s.fleet.row(service)
@@ -187,41 +201,44 @@
 	if err := s.checkPath(r, q); err != nil {
 		return err
 	}
-	s.usage.arrive(service)
-	q.account = accountOf(r)
-	if err := s.limits(q); err != nil {
+	s.usage.countArrival(service)
+	q.account = accountID(r)
+	if err := s.checkRateLimits(q); err != nil {
 		return err
 	}
-	if err := s.takePlace(row); err != nil {
+	if err := s.acquireSlot(row); err != nil {
 		return err
 	}
-	defer s.usage.end(service)
+	defer s.usage.release(service)
 	if err := s.readBody(w, r, q); err != nil {
 		return err
 	}
-	s.budget(service).Request()
+	s.retryBudget(service).Request()
 	if row.Kind == table.Language {
-		return s.language(w, r, q)
+		return s.serveLanguage(w, r, q)
 	}
-	return s.plainCall(w, r, q)
+	return s.servePlain(w, r, q)
 }
 
-// takePlace takes one of the entry's places, as far as the service's weight and
-// its share of the limit in flight allow.
-func (s *server) takePlace(row table.Row) error {
-	// The request itself is counted already.
+// acquireSlot counts the request as in flight, if the entry's limit, the service's
+// weighted part of it and the entry's share of the service's own limit allow it. The
+// caller releases the slot by s.usage.release.
+func (s *server) acquireSlot(row table.Row) error {
+	// s.inFlight counts this request already.
 	total := int(s.inFlight.Load()) - 1
 	_, own := s.usage.demand(row.Service)
 	if !limit.Fits(own, total, s.cfg.MaxInFlight, row.Weight, s.fleet.totalWeight()) {
-		return errkind.New(errkind.InFlightLimited, "this entry holds as many requests as it can")
+		return errkind.New(errkind.InFlightLimited, "this entry's limit of requests in flight is reached")
 	}
 	_, inFlight := s.shares.limits(row, time.Now())
-	if !s.usage.begin(row.Service, inFlight) {
+	if !s.usage.acquire(row.Service, inFlight) {
 		return errkind.New(errkind.InFlightLimited, "the service's limit of requests in flight is reached")
 	}
 	return nil
 }
 
+// checkPath refuses a request to a language service that is not a POST to the chat
+// completions path.
 func (s *server) checkPath(r *http.Request, q *request) error {
 	if q.row.Kind != table.Language {
 		return nil
@@ -235,9 +252,9 @@
 	return nil
 }
 
-// accountOf identifies the client account: by its credentials, else by its
-// address.
-func accountOf(r *http.Request) uint64 {
+// accountID returns a hash that identifies the client account: of its credentials
+// if the request has any, and otherwise of its IP address.
+func accountID(r *http.Request) uint64 {
 	if auth := r.Header.Get("Authorization"); auth != "" {
 		return xxhash.Sum64String(auth)
 	}
@@ -248,11 +265,12 @@
 	return xxhash.Sum64String(host)
 }
 
-// limits takes the request's tokens from its account and its service.
-func (s *server) limits(q *request) error {
+// checkRateLimits takes one token from the account's bucket and one from the
+// service's. The error tells when to retry.
+func (s *server) checkRateLimits(q *request) error {
 	now := time.Since(s.start)
 	if q.row.AccountRate > 0 {
-		wait, ok := s.takeAccount(q, now)
+		wait, ok := s.takeAccountToken(q, now)
 		if !ok {
 			e := errkind.New(errkind.AccountLimited, "this account's limit of %g requests a second is reached", q.row.AccountRate)
 			e.RetryAfter = wait
@@ -268,7 +286,10 @@
 	return nil
 }
 
-func (s *server) takeAccount(q *request, now time.Duration) (time.Duration, bool) {
+// takeAccountToken takes one token from the account's bucket for the service. If
+// there is none it returns how long to wait for one. now is the time since the server
+// was created.
+func (s *server) takeAccountToken(q *request, now time.Duration) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	accounts, ok := s.accounts[q.row.Service]
@@ -280,7 +301,8 @@
 	return accounts.Take(q.account, now, q.row.AccountRate, burst)
 }
 
-func (s *server) budget(service string) *retry.Budget {
+// retryBudget returns the service's retry budget.
+func (s *server) retryBudget(service string) *retry.Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b, ok := s.budgets[service]
@@ -291,7 +313,7 @@
 	return b
 }
 
-// readBody reads the caller's body within its size and time limits.
+// readBody reads the request's body into q, within MaxBodyBytes and BodyTimeout.
 func (s *server) readBody(w http.ResponseWriter, r *http.Request, q *request) error {
 	if r.ContentLength > s.cfg.MaxBodyBytes {
 		return errkind.New(errkind.BodyTooLarge, "the body is larger than %d bytes", s.cfg.MaxBodyBytes)
@@ -314,25 +336,28 @@
 	return nil
 }
 
+// bodyError returns the refusal for an error of reading the caller's body. No target
+// has seen the request at that point.
 func bodyError(err error) error {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		return errkind.Wrap(errkind.SlowBody, err, "the body did not arrive in time")
 	}
-	e := errkind.Wrap(errkind.ClientGone, err, "the body broke off")
+	e := errkind.Wrap(errkind.ClientGone, err, "the connection failed before the body was complete")
 	e.Outcome = errkind.NotRun
 	return e
 }
 
-// language serves a chat completion.
-func (s *server) language(w *statusWriter, r *http.Request, q *request) error {
+// serveLanguage serves a chat completion, and resumes a stream if the caller sends a
+// Last-Event-ID. The time to the first token of a stream updates the prefill speed.
+func (s *server) serveLanguage(w *answerWriter, r *http.Request, q *request) error {
 	chat, err := relay.ParseChat(q.body)
 	if err != nil {
 		return err
 	}
 	call := &relay.Call{
 		ID: q.id, Service: q.row.Service, Chat: chat,
-		Deadline: q.arrived.Add(q.row.Deadline), Budget: s.budget(q.row.Service),
+		Deadline: q.arrived.Add(q.row.Deadline), Budget: s.retryBudget(q.row.Service),
 	}
 	if last := r.Header.Get(target.HeaderLastEventID); last != "" && chat.Stream {
 		id, err := relay.ParseEventID(last)
@@ -345,45 +370,48 @@
 		return s.relay.Whole(r.Context(), w, call)
 	}
 	err = s.relay.Stream(r.Context(), w, call)
-	if err == nil && w.first > 0 {
-		s.fleet.observeFirst(q.row.Service, chat.PromptTokens, w.first)
+	if err == nil && w.timeToFirstByte > 0 {
+		s.fleet.observeFirstToken(q.row.Service, chat.PromptTokens, w.timeToFirstByte)
 	}
 	return err
 }
 
-// statusWriter notes when and whether an answer has begun.
-type statusWriter struct {
+// answerWriter records whether the answer has begun and how long after the request's
+// arrival.
+type answerWriter struct {
 	http.ResponseWriter
-	arrived time.Time
-	first   time.Duration
-	wrote   bool
+	arrived         time.Time
+	timeToFirstByte time.Duration
+	started         bool
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *statusWriter) WriteHeader(status int) {
-	w.note()
+func (w *answerWriter) WriteHeader(status int) {
+	w.markStarted()
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (w *statusWriter) Write(p []byte) (int, error) {
-	w.note()
+func (w *answerWriter) Write(p []byte) (int, error) {
+	w.markStarted()
 	return w.ResponseWriter.Write(p)
 }
 
-// Unwrap lets http.ResponseController reach the connection.
-func (w *statusWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap gives http.ResponseController access to the connection.
+func (w *answerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (w *statusWriter) note() {
-	if w.wrote {
+// markStarted records the first write of the answer.
+func (w *answerWriter) markStarted() {
+	if w.started {
 		return
 	}
-	w.wrote = true
-	w.first = time.Since(w.arrived)
+	w.started = true
+	w.timeToFirstByte = time.Since(w.arrived)
 }
 
-// trimService returns the URI as the target sees it.
-func trimService(r *http.Request, service string) string {
+// targetURI returns the request's URI without the prefix /services/SERVICE, as it is
+// sent to the target.
+func targetURI(r *http.Request, service string) string {
 	uri := strings.TrimPrefix(r.URL.RequestURI(), "/services/"+service)
 	if uri == "" || uri[0] != '/' {
 		uri = "/" + uri
--- a/internal/entry/usage.go
+++ b/internal/entry/usage.go
@@ -14,25 +14,29 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// usage counts each service's answers since the process started. It is safe
-// for concurrent use.
+// usage counts each service's requests and answers since the process started. It is
+// safe for concurrent use.
 type usage struct {
 	mu       sync.Mutex
 	services map[string]*serviceUsage
 
-	requests metric.Int64Counter
-	refusals metric.Int64Counter
-	duration metric.Float64Histogram
+	requests   metric.Int64Counter
+	errorCount metric.Int64Counter
+	duration   metric.Float64Histogram
 }
 
+// serviceUsage is the counters of one service. Answers are good, bad, or refused
+// through the caller's own fault.
 type serviceUsage struct {
 	good, bad, refused uint64
-	// arrived counts requests since perS was last taken.
-	arrived  uint64
-	perS     float64
-	inFlight int
+	// arrivals is the number of requests since the last report. arrivalsPerS is the
+	// arrival rate between the last two reports.
+	arrivals     uint64
+	arrivalsPerS float64
+	inFlight     int
 }
 
+// newUsage returns empty counters and registers their metrics.
 func newUsage(m *telemetry.Metrics) (*usage, error) {
 	requests, err := m.Meter.Int64Counter("garnet_requests_total", metric.WithDescription("Requests by service and result."))
 	if err != nil {
@@ -46,12 +50,12 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "duration histogram")
 	}
-	u := &usage{services: map[string]*serviceUsage{}, requests: requests, refusals: refusals, duration: duration}
-	return u, u.watchInFlight(m)
+	u := &usage{services: map[string]*serviceUsage{}, requests: requests, errorCount: refusals, duration: duration}
+	return u, u.registerInFlightGauge(m)
 }
 
-// watchInFlight exposes the requests in hand.
-func (u *usage) watchInFlight(m *telemetry.Metrics) error {
+// registerInFlightGauge registers the gauge of the requests in flight by service.
+func (u *usage) registerInFlightGauge(m *telemetry.Metrics) error {
 	gauge, err := m.Meter.Int64ObservableGauge("garnet_in_flight_requests", metric.WithDescription("Requests in hand by service."))
 	if err != nil {
 		return errors.Wrap(err, "in-flight gauge")
@@ -67,7 +71,9 @@
 	return errors.Wrap(err, "register in-flight gauge")
 }
 
-func (u *usage) service(name string) *serviceUsage {
+// forService returns the service's counters, which it creates if needed. The caller
+// must hold u.mu.
+func (u *usage) forService(name string) *serviceUsage {
 	s, ok := u.services[name]
 	if !ok {
 		s = &serviceUsage{}
@@ -76,20 +82,20 @@
 	return s
 }
 
-// arrive counts a request before any limit is applied: what is refused is
-// demand too.
-func (u *usage) arrive(service string) {
+// countArrival counts a request. It is called before any limit is applied, because
+// refused requests are part of the demand.
+func (u *usage) countArrival(service string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.service(service).arrived++
+	u.forService(service).arrivals++
 }
 
-// begin takes a place in flight, unless the service already has limit of them;
-// a limit of zero is none.
-func (u *usage) begin(service string, limit int) bool {
+// acquire counts a request as in flight and returns true, unless the service already
+// has limit of them. Zero is no limit.
+func (u *usage) acquire(service string, limit int) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	s := u.service(service)
+	s := u.forService(service)
 	if limit > 0 && s.inFlight >= limit {
 		return false
 	}
@@ -97,19 +103,19 @@
 	return true
 }
 
-// end gives back what begin took.
-func (u *usage) end(service string) {
+// release undoes a successful acquire.
+func (u *usage) release(service string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.service(service).inFlight--
+	u.forService(service).inFlight--
 }
 
-// result counts an answer. inTime says whether a complete answer met the
-// deadline; err is the refusal or failure, or nil.
-func (u *usage) result(service string, inTime bool, err *errkind.Error, seconds float64) {
+// countAnswer counts an answer that took so many seconds. inTime tells whether it
+// met the deadline if it is complete. err is the refusal or failure, or nil.
+func (u *usage) countAnswer(service string, inTime bool, err *errkind.Error, seconds float64) {
 	attr := attribute.String("service", service)
 	u.mu.Lock()
-	s := u.service(service)
+	s := u.forService(service)
 	result := "good"
 	switch {
 	case err != nil && err.Answer().CallerFault:
@@ -126,32 +132,32 @@
 	u.requests.Add(ctx, 1, metric.WithAttributes(attr, attribute.String("result", result)))
 	u.duration.Record(ctx, seconds, metric.WithAttributes(attr))
 	if err != nil {
-		u.refusals.Add(ctx, 1, metric.WithAttributes(attr, attribute.String("kind", string(err.Kind))))
+		u.errorCount.Add(ctx, 1, metric.WithAttributes(attr, attribute.String("kind", string(err.Kind))))
 	}
 }
 
-// demand returns the requests a second that arrived lately and the requests
-// in flight.
+// demand returns the service's arrival rate between the last two reports, in
+// requests per second, and its requests in flight.
 func (u *usage) demand(service string) (perS float64, inFlight int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	s := u.service(service)
-	return s.perS, s.inFlight
+	s := u.forService(service)
+	return s.arrivalsPerS, s.inFlight
 }
 
-// report returns the counters for a steward; elapsed is the seconds since the
-// last report.
+// report returns the counters of all services for a steward and starts a new period
+// of the arrival rates. elapsed is the time since the last report in seconds.
 func (u *usage) report(elapsed float64) []*api.ServiceUsage {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var out []*api.ServiceUsage
 	for name, s := range u.services {
-		s.perS = float64(s.arrived) / elapsed
+		s.arrivalsPerS = float64(s.arrivals) / elapsed
 		out = append(out, &api.ServiceUsage{
-			Service: name, DemandPerS: s.perS,
+			Service: name, DemandPerS: s.arrivalsPerS,
 			Usage: &api.Usage{Good: s.good, Bad: s.bad, Refused: s.refused},
 		})
-		s.arrived = 0
+		s.arrivals = 0
 	}
 	return out
 }
