--- a/internal/steward/authority.go
+++ b/internal/steward/authority.go
@@ -18,93 +18,101 @@
 )
 
 const (
-	// leaseCandidates is how many stewards of a data centre contend for a
-	// lease.
+	// leaseCandidates is how many stewards of a data centre try to acquire a
+	// service's lease.
 	leaseCandidates = 3
-	// stepsPerTTL is how often in its life a lease is renewed or observed.
-	stepsPerTTL = 3
-	// actInterval is the time between a holder's steps.
-	actInterval = 500 * time.Millisecond
+	// leaseStepsPerTTL is how many times within its TTL a lease is renewed or
+	// observed.
+	leaseStepsPerTTL = 3
+	// controlInterval is the time between two steps of a controller.
+	controlInterval = 500 * time.Millisecond
 )
 
-// authority contends for the lease of every service with targets in the data
-// centre, and runs the controller of each lease that it holds.
-type authority struct {
-	cfg     *settings.Steward
-	store   *gossip.Store
-	gossip  *member.Gossip
-	table   store.Table
-	weights store.WeightStore
-	engines order.Engines
-	clock   lease.Clock
-	log     *telemetry.Logger
-	records *decisionBook
+// leaseManager runs a controller for each service of the table. A controller tries to
+// acquire the service's lease if the service has targets in the data centre, and
+// manages the service's engines while it holds the lease.
+type leaseManager struct {
+	cfg       *settings.Steward
+	store     *gossip.Store
+	gossip    *member.Gossip
+	table     store.Table
+	weights   store.WeightStore
+	engines   order.Engines
+	clock     lease.Clock
+	log       *telemetry.Logger
+	decisions *decisionHistory
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// controllers is keyed by service.
 	controllers map[string]*controller
 
-	// Stop ends every controller, which releases its lease.
+	// Background's Stop ends every controller, which releases its lease.
 	kernel.Background
 }
 
-// Start begins to contend.
-func (a *authority) Start(context.Context) error {
-	a.Run(a.run)
+// Start starts the controllers of the table's services.
+func (m *leaseManager) Start(context.Context) error {
+	m.Run(m.run)
 	return nil
 }
 
-// run starts controllers as services appear, and waits for all of them.
-func (a *authority) run(ctx context.Context) {
-	var running sync.WaitGroup
-	defer running.Wait()
-	kernel.Every(ctx, a.cfg.LeaseTTL.D()/stepsPerTTL, func(ctx context.Context) { a.spawn(ctx, &running) })
+// run starts controllers as services appear in the table. After ctx ends it waits for
+// all of them.
+func (m *leaseManager) run(ctx context.Context) {
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	kernel.Every(ctx, m.cfg.LeaseTTL.D()/leaseStepsPerTTL, func(ctx context.Context) { m.startControllers(ctx, &wg) })
 }
 
-// spawn starts a controller for each service that has none yet. A controller
-// outlives its service's row: without targets it stops contending.
-func (a *authority) spawn(ctx context.Context, running *sync.WaitGroup) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, row := range a.store.RecentView(viewAge).Table.Rows {
-		if a.controllers[row.Service] != nil {
+// startControllers starts a controller for each service that has none yet. A
+// controller keeps running after its service's row is removed; it stops trying to
+// acquire the lease because the service then has no targets.
+func (m *leaseManager) startControllers(ctx context.Context, wg *sync.WaitGroup) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, row := range m.store.RecentView(maxViewAge).Table.Rows {
+		if m.controllers[row.Service] != nil {
 			continue
 		}
-		c := a.newController(row.Service)
-		a.controllers[row.Service] = c
-		running.Go(func() { c.run(ctx) })
+		c := m.newController(row.Service)
+		m.controllers[row.Service] = c
+		wg.Go(func() { c.run(ctx) })
 	}
 }
 
-func (a *authority) newController(service string) *controller {
-	self := a.gossip.Self()
+// newController returns a controller of the service that does not hold the lease.
+func (m *leaseManager) newController(service string) *controller {
+	self := m.gossip.Self()
 	l := lease.New(lease.Config{
 		DataCentre: self.DataCentre, Service: service, Holder: self.VM,
-		Incarnation: self.Incarnation, TTL: a.cfg.LeaseTTL.D(),
-	}, a.table, a.clock)
-	journal := order.NewJournal(a.table, self.DataCentre, service)
+		Incarnation: self.Incarnation, TTL: m.cfg.LeaseTTL.D(),
+	}, m.table, m.clock)
+	journal := order.NewJournal(m.table, self.DataCentre, service)
 	return &controller{
-		authority: a, service: service, lease: l,
-		sender: order.NewSender(journal, l, a.engines, a.clock, a.cfg.EngineReadTimeout.D()),
-		doneAt: map[string]time.Duration{}, plan: newRolePlan(a.cfg),
+		leaseManager: m, service: service, lease: l,
+		sender:      order.NewSender(journal, l, m.engines, m.clock, m.cfg.EngineReadTimeout.D()),
+		orderDoneAt: map[string]time.Duration{}, plan: newRolePlan(m.cfg),
 	}
 }
 
-// leaseOf returns the lease of a service, or nil.
-func (a *authority) leaseOf(service string) *lease.Lease {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	c, ok := a.controllers[service]
+// leaseOf returns the lease of a service as this steward takes part in it, or nil if
+// the service is not known.
+func (m *leaseManager) leaseOf(service string) *lease.Lease {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c, ok := m.controllers[service]
 	if !ok {
 		return nil
 	}
 	return c.lease
 }
 
-// holders returns the holder of each lease of the data centre as last heard.
-func (a *authority) holders() []*api.LeaseLine {
+// holders returns the last known holder of each lease of the data centre, sorted by
+// service.
+func (m *leaseManager) holders() []*api.LeaseLine {
 	var out []*api.LeaseLine
-	for _, row := range a.store.RecentView(viewAge).Table.Rows {
-		if it := a.store.Get(gossip.LeaseKey(a.gossip.Self().DataCentre, row.Service)); it != nil {
+	for _, row := range m.store.RecentView(maxViewAge).Table.Rows {
+		if it := m.store.Get(gossip.LeaseKey(m.gossip.Self().DataCentre, row.Service)); it != nil {
 			out = append(out, &api.LeaseLine{Service: row.Service, Holder: it.GetLease().GetVm(), Fence: it.GetEpoch()})
 		}
 	}
--- a/internal/steward/burnbook.go
+++ b/internal/steward/burnbook.go
@@ -10,45 +10,48 @@
 	"garnethoist.org/garnethoist/internal/table"
 )
 
-// The windows of the burn report.
+// The time windows of the report on error budget burn.
 const (
 	shortWindow = 5 * time.Minute
 	longWindow  = time.Hour
-	// sampleSpacing is the time between kept samples.
-	sampleSpacing = 10 * time.Second
+	// sampleInterval is the time between two stored samples of a counter.
+	sampleInterval = 10 * time.Second
 )
 
-// burnBook keeps the counters of the entries that this steward feeds. It is
-// safe for concurrent use.
-type burnBook struct {
+// burnTracker stores samples of the answer counters of the entries connected to this
+// steward, from which the burn of the services' error budgets is computed. It is safe
+// for concurrent use.
+type burnTracker struct {
 	start time.Time
 
 	mu     sync.Mutex
 	series map[seriesKey]*burn.Series
 }
 
-// seriesKey tells an entry's process and service.
+// seriesKey identifies the counters of one service in one process of an entry.
 type seriesKey struct {
 	vm          string
 	incarnation uint64
 	service     string
 }
 
-func newBurnBook() *burnBook {
-	return &burnBook{start: time.Now(), series: map[seriesKey]*burn.Series{}}
+// newBurnTracker returns a tracker without samples.
+func newBurnTracker() *burnTracker {
+	return &burnTracker{start: time.Now(), series: map[seriesKey]*burn.Series{}}
 }
 
-// add takes in one entry's report.
-func (b *burnBook) add(r *api.EntryReport) {
+// add stores one entry's report. A new series starts from zero, as the entry's own
+// counters did.
+func (b *burnTracker) add(r *api.EntryReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at := time.Since(b.start)
-	b.forgetBefore(at - longWindow)
+	b.dropBefore(at - longWindow)
 	for _, u := range r.GetUsage() {
 		key := seriesKey{vm: r.GetVm(), incarnation: r.GetIncarnation(), service: u.GetService()}
 		s, ok := b.series[key]
 		if !ok {
-			s = burn.NewSeries(sampleSpacing, longWindow)
+			s = burn.NewSeries(sampleInterval, longWindow)
 			s.Add(burn.Sample{At: at})
 			b.series[key] = s
 		}
@@ -56,9 +59,9 @@
 	}
 }
 
-// forgetBefore drops the series of entries that have been gone for longer than
-// any window; the caller holds the lock.
-func (b *burnBook) forgetBefore(at time.Duration) {
+// dropBefore drops the series whose last sample is older than at, so that entries
+// that stopped reporting do not accumulate. The caller must hold b.mu.
+func (b *burnTracker) dropBefore(at time.Duration) {
 	for key, s := range b.series {
 		if last, ok := s.Last(); ok && last < at {
 			delete(b.series, key)
@@ -66,8 +69,9 @@
 	}
 }
 
-// lines returns the counts of each service of the table.
-func (b *burnBook) lines(t table.Table) []*api.BurnLine {
+// lines returns the counts of good and bad answers in both windows for each service
+// of the table, sorted by service.
+func (b *burnTracker) lines(t table.Table) []*api.BurnLine {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	byService := map[string]*api.BurnLine{}
--- a/internal/steward/burnbook_test.go
+++ b/internal/steward/burnbook_test.go
@@ -11,16 +11,17 @@
 	"garnethoist.org/garnethoist/internal/table"
 )
 
+// usageReport returns the report of an entry that has given so many good answers.
 func usageReport(vm string, good uint64) *api.EntryReport {
 	return &api.EntryReport{Vm: vm, Incarnation: 1, Usage: []*api.ServiceUsage{{Service: "hints", Usage: &api.Usage{Good: good}}}}
 }
 
-// Entries that are gone count as long as a window holds them, and are then
-// forgotten.
-func TestGoneEntriesAreForgotten(t *testing.T) {
+// The answers of an entry that stopped reporting count until the long window has passed.
+// Then its series is dropped, so that series of old processes do not accumulate.
+func TestStaleEntriesAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBurnBook()
+		b := newBurnTracker()
 		rows := table.Table{Rows: []table.Row{{Service: "hints", Objective: 0.99}}}
 		b.add(usageReport("old", 5))
 		time.Sleep(longWindow / 2)
--- a/internal/steward/controller.go
+++ b/internal/steward/controller.go
@@ -20,37 +20,41 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// controller has one service's engines in its care while it holds the lease.
+// controller manages the engines of one service in the data centre while this steward
+// holds the service's lease. It is used by one goroutine, except for lease.
 type controller struct {
-	*authority
+	*leaseManager
 	service string
 	lease   *lease.Lease
 	sender  *order.Sender
-	holds   bool
-	// fence is the fencing number of the last tenure, held or not.
+	// holding tells whether the lease was held at the last step.
+	holding bool
+	// fence is the fencing token of the current tenure, or of the last one.
 	fence uint64
-	// lostAt is when the last tenure was seen to be over.
+	// lostAt is when the last tenure was found to have ended.
 	lostAt time.Duration
-	// drain is the last drain that this tenure has begun, if any.
+	// drain is the last drain started in this tenure, if any.
 	drain drain
-	// doneAt is when an engine was last seen to be done with an order; for
-	// up to viewLag after, the view shows it as it was before.
-	doneAt map[string]time.Duration
-	plan   *rolePlan
-	// nextSweep is when old claims are next removed.
-	nextSweep time.Duration
-	// nextLease is when the lease is due to be renewed or observed.
-	nextLease time.Duration
+	// orderDoneAt is when each engine's last order was found to be done. For up to
+	// maxViewLag after that, the view may still show the engine's old configuration.
+	orderDoneAt map[string]time.Duration
+	plan        *rolePlan
+	// nextClaimSweep is when old claims are due to be removed.
+	nextClaimSweep time.Duration
+	// nextLeaseStep is when the lease is due to be renewed or observed.
+	nextLeaseStep time.Duration
 }
 
-// drain is the drain of one engine. At most one of a service is under way.
+// drain is the drain of one engine: entries send it no new requests, so that it
+// becomes idle. A service drains at most one engine at a time.
 type drain struct {
-	engine string
-	began  time.Duration
+	engine    string
+	startedAt time.Duration
 }
 
+// run takes a step every controlInterval until ctx ends, and then releases the lease.
 func (c *controller) run(ctx context.Context) {
-	kernel.Every(ctx, actInterval, c.step)
+	kernel.Every(ctx, controlInterval, c.step)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.cfg.Platform.Timeout.D())
 	defer cancel()
 	if err := c.lease.Release(ctx); err != nil {
@@ -58,60 +62,65 @@
 	}
 }
 
-// step renews or contends, and acts if the lease is held.
+// step renews the lease or tries to acquire it when that is due, and reconciles the
+// engines if the lease is held. If an engine has a higher fencing token than the tenure,
+// it releases the lease, because only a new tenure gets a higher one.
 func (c *controller) step(ctx context.Context) {
 	var err error
-	if now := c.clock(); now >= c.nextLease {
-		c.nextLease = now + c.cfg.LeaseTTL.D()/stepsPerTTL
+	if now := c.clock(); now >= c.nextLeaseStep {
+		c.nextLeaseStep = now + c.cfg.LeaseTTL.D()/leaseStepsPerTTL
 		_, held := c.lease.Held()
 		if held || (c.gossip.Rank("lease/"+c.service) < leaseCandidates && len(c.targets()) > 0) {
 			err = c.lease.Step(ctx, true)
 		}
 	}
 	tenure, held := c.lease.Held()
-	c.noteTenure(tenure, held, err)
+	c.updateTenure(tenure, held, err)
 	if !held {
-		c.abandonDrain()
+		c.undrainAfterLeaseLoss()
 		return
 	}
-	err = c.act(ctx, tenure)
+	err = c.reconcile(ctx, tenure)
 	if errors.Is(err, order.ErrFenceBehind) {
-		err = stderrors.Join(err, errors.Wrap(c.lease.Release(ctx), "give up a tenure behind the engine's"))
+		err = stderrors.Join(err, errors.Wrap(c.lease.Release(ctx), "release the lease after an engine had a higher fencing token"))
 	}
 	if err != nil && ctx.Err() == nil {
 		c.log.Warn(telemetry.EventOrderRefused, telemetry.F("service", c.service), telemetry.F("cause", err))
 	}
 }
 
-func (c *controller) noteTenure(t lease.Tenure, held bool, cause error) {
+// updateTenure resets the state of the previous tenure when a new one begins, announces
+// a new holder by gossip, and logs when the lease is acquired or lost. cause is the
+// error of the lease's last step, or nil.
+func (c *controller) updateTenure(t lease.Tenure, held bool, cause error) {
 	switch {
-	case held && (!c.holds || c.fence != t.Fence):
+	case held && (!c.holding || c.fence != t.Fence):
 		c.drain = drain{}
 		c.plan = newRolePlan(c.cfg)
 		c.store.Merge([]*api.Item{gossip.LeaseItem(c.gossip.Self().DataCentre, c.service, c.gossip.Self().VM, t.Fence)}, "")
 		c.gossip.Spread()
 		c.log.Info(telemetry.EventLeaseAcquired, telemetry.F("service", c.service), telemetry.F("fence", t.Fence))
-	case !held && c.holds:
+	case !held && c.holding:
 		c.lostAt = c.clock()
 		c.log.Warn(telemetry.EventLeaseLost, telemetry.F("service", c.service), telemetry.F("fence", c.fence), telemetry.F("cause", cause))
 	}
-	c.holds = held
+	c.holding = held
 	if held {
 		c.fence = t.Fence
 	}
 }
 
-// abandonDrain puts the engine that the last tenure drained back in use once a
-// successor has had time to take the lease: while the platform is away none
-// can, and the engine would be kept from work until it is back. A successor's
-// word on the engine has a higher fencing number and stands.
-func (c *controller) abandonDrain() {
+// undrainAfterLeaseLoss ends the drain of the engine that the last tenure drained, once
+// a successor has had time to acquire the lease. While the platform is unreachable no
+// steward can acquire it, and the engine would stay unused until the platform is back.
+// A drain set by a successor has a higher fencing token and is left alone.
+func (c *controller) undrainAfterLeaseLoss() {
 	name := c.drain.engine
-	if name == "" || c.clock()-c.lostAt < successorTTLs*c.cfg.LeaseTTL.D() {
+	if name == "" || c.clock()-c.lostAt < successorWaitTTLs*c.cfg.LeaseTTL.D() {
 		return
 	}
 	c.drain = drain{}
-	if !c.draining(name) || !c.sender.Settled(name) {
+	if !c.isDraining(name) || !c.sender.Settled(name) {
 		return
 	}
 	if err := c.setDrain(name, false); err != nil {
@@ -119,10 +128,10 @@
 	}
 }
 
-// targets returns the service's engines in this data centre, by name.
+// targets returns the service's targets in this data centre, sorted by name.
 func (c *controller) targets() []gossip.TargetView {
 	var out []gossip.TargetView
-	for _, t := range c.store.RecentView(viewAge).Targets {
+	for _, t := range c.store.RecentView(maxViewAge).Targets {
 		if t.Service == c.service && t.DataCentre == c.gossip.Self().DataCentre {
 			out = append(out, t)
 		}
@@ -131,35 +140,37 @@
 	return out
 }
 
-// act completes what the journal shows, then brings engines to what the row
-// asks for, at most one change at a time.
-func (c *controller) act(ctx context.Context, t lease.Tenure) error {
+// reconcile first completes the unfinished orders in the journal, and then changes
+// engines whose configuration differs from the service's row, one at a time. For a
+// plain service it only removes old claims.
+func (c *controller) reconcile(ctx context.Context, t lease.Tenure) error {
 	if _, err := c.sender.Begin(ctx); err != nil {
 		return err
 	}
-	row, ok := c.store.RecentView(viewAge).Table.Row(c.service)
+	row, ok := c.store.RecentView(maxViewAge).Table.Row(c.service)
 	if !ok {
 		return nil
 	}
 	if row.Kind != table.Language {
-		return c.sweep(ctx)
+		return c.sweepClaims(ctx)
 	}
 	targets := c.targets()
-	open, err := c.complete(ctx, targets)
-	if err != nil || len(open) > 0 {
-		return stderrors.Join(err, c.undrainAllBut(targets, open...))
+	unfinished, err := c.completeOrders(ctx, targets)
+	if err != nil || len(unfinished) > 0 {
+		return stderrors.Join(err, c.undrainAllExcept(targets, unfinished...))
 	}
 	c.planRoles(row, targets)
-	return c.next(ctx, t, row, targets)
+	return c.advanceChange(ctx, t, row, targets)
 }
 
-// sweepInterval is the time between removals of old claims.
-const sweepInterval = time.Hour
+// claimSweepInterval is the time between two removals of old claims.
+const claimSweepInterval = time.Hour
 
-// sweep removes claims that are too old to matter.
-func (c *controller) sweep(ctx context.Context) error {
-	if now := c.clock(); now >= c.nextSweep {
-		c.nextSweep = now + sweepInterval
+// sweepClaims removes claims of idempotency keys that have expired, once in each
+// claimSweepInterval. A failure is only logged.
+func (c *controller) sweepClaims(ctx context.Context) error {
+	if now := c.clock(); now >= c.nextClaimSweep {
+		c.nextClaimSweep = now + claimSweepInterval
 		n, err := once.Sweep(ctx, c.table, c.service, time.Now())
 		if n > 0 || err != nil {
 			c.log.Info(telemetry.EventClaimsRemoved, telemetry.F("service", c.service), telemetry.F("count", n), telemetry.F("cause", err))
@@ -168,57 +179,58 @@
 	return nil
 }
 
-// complete carries every unfinished order of this service on by a step, and
-// returns the engines of those that remain.
-func (c *controller) complete(ctx context.Context, targets []gossip.TargetView) ([]string, error) {
+// completeOrders advances every unfinished order to one of targets by one step. It
+// returns the engines whose orders are still unfinished, and the first error.
+func (c *controller) completeOrders(ctx context.Context, targets []gossip.TargetView) ([]string, error) {
 	address := make(map[string]string, len(targets))
 	for _, t := range targets {
 		address[t.Name] = t.Address
 	}
-	var open []string
-	var first error
+	var unfinished []string
+	var firstErr error
 	for _, name := range c.sender.Unfinished() {
-		addr, ours := address[name]
-		if !ours {
+		addr, ok := address[name]
+		if !ok {
 			continue
 		}
 		done, err := c.sender.Complete(ctx, name, addr)
-		if err != nil && first == nil {
-			first = errors.Wrapf(err, "complete the order of %s", name)
+		if err != nil && firstErr == nil {
+			firstErr = errors.Wrapf(err, "complete the order of %s", name)
 		}
 		if !done {
-			open = append(open, name)
+			unfinished = append(unfinished, name)
 			continue
 		}
-		c.doneAt[name] = c.clock()
+		c.orderDoneAt[name] = c.clock()
 		c.log.Info(telemetry.EventOrderDone, telemetry.F("service", c.service), telemetry.F("target", name))
 	}
-	return open, first
+	return unfinished, firstErr
 }
 
-// next carries the change of one engine on: it is drained and then ordered.
-// No other engine stays drained.
-func (c *controller) next(ctx context.Context, t lease.Tenure, row table.Row, targets []gossip.TargetView) error {
-	tv, want, ok := c.choose(row, targets)
+// advanceChange advances the change of one engine: it is drained and then sent an
+// order. Drains of all other engines are ended.
+func (c *controller) advanceChange(ctx context.Context, t lease.Tenure, row table.Row, targets []gossip.TargetView) error {
+	tv, want, ok := c.chooseEngine(row, targets)
 	if !ok {
-		return c.undrainAllBut(targets)
+		return c.undrainAllExcept(targets)
 	}
-	if err := c.undrainAllBut(targets, tv.Name); err != nil {
+	if err := c.undrainAllExcept(targets, tv.Name); err != nil {
 		return err
 	}
-	return c.change(ctx, t, row, tv, want)
+	return c.drainAndOrder(ctx, t, row, tv, want)
 }
 
-// choose returns the engine to change and what it is to become: one whose drain
-// has begun, or else the first by name. An engine that may not be taken away
-// does not hold up those behind it.
-func (c *controller) choose(row table.Row, targets []gossip.TargetView) (tv gossip.TargetView, want target.Want, ok bool) {
+// chooseEngine returns the engine to change next and its new configuration. An engine
+// that is being drained already is preferred to the first one by name. The only engine
+// that serves the row's model is skipped, so that it does not block the change of the
+// others.
+func (c *controller) chooseEngine(row table.Row, targets []gossip.TargetView) (tv gossip.TargetView, want target.Want, ok bool) {
 	for _, t := range targets {
-		w, due := c.due(row, t)
-		if !due || (serves(t, row.Model) && !othersServe(t.Name, row.Model, targets)) {
+		w, due := c.pendingChange(row, t)
+		if !due || (servesModel(t, row.Model) && !otherServesModel(t.Name, row.Model, targets)) {
 			continue
 		}
-		if c.draining(t.Name) {
+		if c.isDraining(t.Name) {
 			return t, w, true
 		}
 		if !ok {
@@ -228,37 +240,42 @@
 	return tv, want, ok
 }
 
-// due returns what an engine is to become, and whether it is another by now
-// and can be changed.
-func (c *controller) due(row table.Row, t gossip.TargetView) (target.Want, bool) {
+// pendingChange returns the configuration that an engine is to have, and whether the
+// engine has another one and can be changed now. An engine whose last order was just
+// done is left alone for maxViewLag.
+func (c *controller) pendingChange(row table.Row, t gossip.TargetView) (target.Want, bool) {
 	if t.Status == nil || !t.Status.GetReachable() || t.Leaving() || t.Status.GetChanging() {
 		return target.Want{}, false
 	}
-	if at, ok := c.doneAt[t.Name]; ok && c.clock()-at < c.viewLag() {
+	if at, ok := c.orderDoneAt[t.Name]; ok && c.clock()-at < c.maxViewLag() {
 		return target.Want{}, false
 	}
-	want := target.Want{Role: c.plan.roleOf(t), Model: row.Model, Version: row.Version, Adapters: row.Adapters}
-	return want, !wantOf(t.Status).Equal(want)
+	want := target.Want{Role: c.plan.desiredRole(t), Model: row.Model, Version: row.Version, Adapters: row.Adapters}
+	return want, !reportedConfig(t.Status).Equal(want)
 }
 
-func wantOf(s *api.Target) target.Want {
+// reportedConfig returns the configuration that an engine's gossiped report shows.
+func reportedConfig(s *api.Target) target.Want {
 	return target.Want{Role: target.Role(s.GetRole()), Model: s.GetModel(), Version: s.GetVersion(), Adapters: s.GetAdapters()}
 }
 
-func wantOfStatus(s target.Status) target.Want {
+// statusConfig returns the configuration that an engine's own status shows.
+func statusConfig(s target.Status) target.Want {
 	return target.Want{Role: s.Role, Model: s.Model, Version: s.Version, Adapters: s.Adapters}
 }
 
-// viewLag is how far the view of an engine may be behind the engine: a poll,
-// the way of its report and the age of the view.
-func (c *controller) viewLag() time.Duration {
-	return c.cfg.PollInterval.D() + c.cfg.GossipInterval.D() + viewAge
+// maxViewLag returns how far the view of an engine may lag behind the engine: the time
+// to the next poll, the gossip of the report and the age of the view.
+func (c *controller) maxViewLag() time.Duration {
+	return c.cfg.PollInterval.D() + c.cfg.GossipInterval.D() + maxViewAge
 }
 
-// change drains an engine and orders it once it is idle.
-func (c *controller) change(ctx context.Context, t lease.Tenure, row table.Row, tv gossip.TargetView, want target.Want) error {
-	if serves(tv, row.Model) {
-		if settled, err := c.drained(tv.Name); err != nil || !settled {
+// drainAndOrder drains an engine and, once it is idle and the weight store allows the
+// load, sends it an order to take the configuration want. Each call advances this as
+// far as possible without waiting.
+func (c *controller) drainAndOrder(ctx context.Context, t lease.Tenure, row table.Row, tv gossip.TargetView, want target.Want) error {
+	if servesModel(tv, row.Model) {
+		if settled, err := c.ensureDrained(tv.Name); err != nil || !settled {
 			return err
 		}
 	}
@@ -269,61 +286,64 @@
 	if status.Running > 0 || status.Waiting > 0 || status.Changing {
 		return nil
 	}
-	if wantOfStatus(status).Equal(want) {
-		// It is as wanted already; the view lags behind.
+	if statusConfig(status).Equal(want) {
+		// The engine has the configuration already; the view lags behind.
 		return nil
 	}
-	wait, err := c.weights.Reserve(ctx, row.Model, weightBytes)
+	wait, err := c.weights.Reserve(ctx, row.Model, assumedWeightBytes)
 	if err != nil || wait > 0 {
-		return errors.Wrap(err, "reserve weight store")
+		return errors.Wrap(err, "reserve a load from the weight store")
 	}
 	err = c.sender.Give(ctx, tv.Name, tv.Address, row.Fencing, want)
 	c.log.Info(telemetry.EventOrderSent, telemetry.F("service", c.service), telemetry.F("target", tv.Name),
 		telemetry.F("role", want.Role), telemetry.F("version", want.Version), telemetry.F("fence", t.Fence), telemetry.F("err", err))
-	c.records.order(c.service, tv.Name, want, err)
+	c.decisions.recordOrder(c.service, tv.Name, want, err)
 	return err
 }
 
 const (
-	// drainSettle is how long after a drain began every entry has heard of it.
-	drainSettle = 2 * time.Second
-	// successorTTLs is how many lives of a lease after its loss a successor has
-	// taken it, if any can.
-	successorTTLs = 2
-	// weightBytes is the size assumed of one load of weights.
-	weightBytes = 1 << 30
+	// drainPropagation is how long after its start a drain is assumed to be known to
+	// every entry.
+	drainPropagation = 2 * time.Second
+	// successorWaitTTLs is the time after the loss of a lease, in TTLs, by which a
+	// successor has acquired it if any steward can.
+	successorWaitTTLs = 2
+	// assumedWeightBytes is the assumed size of a model's weights, in bytes.
+	assumedWeightBytes = 1 << 30
 )
 
-// serves reports whether entries may be sending work of the model to t.
-func serves(t gossip.TargetView, model string) bool { return t.Status.GetModel() == model }
+// servesModel reports whether t has the model loaded, so that entries may be sending
+// it requests.
+func servesModel(t gossip.TargetView, model string) bool { return t.Status.GetModel() == model }
 
-// othersServe reports whether an engine may be taken away: the last one of a
-// service that serves may not.
-func othersServe(name, model string, targets []gossip.TargetView) bool {
+// otherServesModel reports whether a usable engine other than name serves the model.
+// The only one that does must not be drained.
+func otherServesModel(name, model string, targets []gossip.TargetView) bool {
 	for _, t := range targets {
-		if t.Name != name && t.Usable() && serves(t, model) {
+		if t.Name != name && t.Usable() && servesModel(t, model) {
 			return true
 		}
 	}
 	return false
 }
 
-// drained begins the drain of an engine and reports whether every entry has
-// heard of it by now. One that was ended since it began counts for nothing.
-func (c *controller) drained(name string) (bool, error) {
-	if c.drain.engine == name && c.draining(name) {
-		return c.clock()-c.drain.began >= drainSettle, nil
-	}
-	c.drain = drain{engine: name, began: c.clock()}
+// ensureDrained starts the drain of an engine unless it is drained already, and
+// reports whether every entry knows of the drain by now. A drain that was ended in
+// the meantime is started again.
+func (c *controller) ensureDrained(name string) (bool, error) {
+	if c.drain.engine == name && c.isDraining(name) {
+		return c.clock()-c.drain.startedAt >= drainPropagation, nil
+	}
+	c.drain = drain{engine: name, startedAt: c.clock()}
 	return false, c.setDrain(name, true)
 }
 
-// undrainAllBut puts every drained engine but those called keep back in use. A
-// drain left behind by an earlier holder, or begun for a change that is not
-// carried on, would otherwise keep the engine from work for good.
-func (c *controller) undrainAllBut(targets []gossip.TargetView, keep ...string) error {
+// undrainAllExcept ends the drains of all targets except those named in keep. A drain
+// left by an earlier holder, or started for a change that is no longer wanted, would
+// otherwise keep the engine out of use for good.
+func (c *controller) undrainAllExcept(targets []gossip.TargetView, keep ...string) error {
 	for _, t := range targets {
-		if slices.Contains(keep, t.Name) || !c.draining(t.Name) {
+		if slices.Contains(keep, t.Name) || !c.isDraining(t.Name) {
 			continue
 		}
 		if err := c.setDrain(t.Name, false); err != nil {
@@ -333,15 +353,16 @@
 	return nil
 }
 
-// draining reports whether an engine is drained by the latest word on it,
-// which a view may lag behind.
-func (c *controller) draining(name string) bool {
+// isDraining reports whether the store's latest drain item for an engine is on. It
+// reads the store directly because views lag behind.
+func (c *controller) isDraining(name string) bool {
 	return c.store.Get(gossip.DrainKey(name)).GetDrain().GetOn()
 }
 
-// setDrain spreads the word on an engine's drain. It returns
-// order.ErrFenceBehind if the last word was given under a higher fencing
-// number, as by the holder of another service that had the engine.
+// setDrain starts or ends an engine's drain and spreads it by gossip. It returns
+// order.ErrFenceBehind if the last drain item has a higher fencing token than this
+// tenure, for example from the holder of another service that the engine was moved
+// from.
 func (c *controller) setDrain(name string, on bool) error {
 	last := c.store.Get(gossip.DrainKey(name))
 	if last.GetEpoch() > c.fence {
--- a/internal/steward/dialer.go
+++ b/internal/steward/dialer.go
@@ -11,12 +11,13 @@
 	"garnethoist.org/garnethoist/api"
 )
 
-// dialer keeps one connection to each steward that was talked to. It is safe
-// for concurrent use.
+// dialer keeps one connection to each steward that it has called. It is safe for
+// concurrent use.
 type dialer struct {
 	traffic *traffic
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// conns is keyed by address.
 	conns map[string]*grpc.ClientConn
 }
 
@@ -24,19 +25,20 @@
 	return &dialer{traffic: t, conns: map[string]*grpc.ClientConn{}}
 }
 
-// Stop closes every connection.
+// Stop closes all connections and returns the first error.
 func (d *dialer) Stop(context.Context) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var first error
+	var firstErr error
 	for _, c := range d.conns {
-		if err := c.Close(); err != nil && first == nil {
-			first = err
+		if err := c.Close(); err != nil && firstErr == nil {
+			firstErr = err
 		}
 	}
-	return errors.Wrap(first, "close connections")
+	return errors.Wrap(firstErr, "close connections")
 }
 
+// client returns a client for the steward at address, which it connects to if needed.
 func (d *dialer) client(address string) (api.StewardClient, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/steward/metrics.go
+++ b/internal/steward/metrics.go
@@ -13,9 +13,9 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// traffic counts the bytes of control as they are on the wire, headers
-// included: gossip, polls of targets and the platform. It is a gRPC stats
-// handler and wraps connections; safe for concurrent use.
+// traffic counts the bytes of control traffic on the wire, with an estimate of the
+// headers: gossip, polls of targets, and calls of the platform. It is a gRPC stats
+// handler and wraps connections. It is safe for concurrent use.
 type traffic struct {
 	sent     atomic.Int64
 	received atomic.Int64
@@ -30,51 +30,54 @@
 // HandleConn implements stats.Handler.
 func (t *traffic) HandleConn(context.Context, stats.ConnStats) {}
 
-// packetBytes is what TCP and IP add to a packet, about.
-const packetBytes = 52
+// packetOverhead is the approximate size of a packet's TCP and IP headers in bytes.
+const packetOverhead = 52
 
-// wrap counts what goes over a connection to a target or to the platform.
-func (t *traffic) wrap(c net.Conn) net.Conn { return &countedConn{Conn: c, traffic: t} }
+// countBytes wraps a connection to a target or to the platform so that its bytes are
+// counted.
+func (t *traffic) countBytes(c net.Conn) net.Conn { return &countingConn{Conn: c, traffic: t} }
 
-// countedConn is a connection whose bytes are counted.
-type countedConn struct {
+// countingConn is a connection that counts its bytes in traffic. It takes each read
+// and each write for one packet.
+type countingConn struct {
 	net.Conn
 	traffic *traffic
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		// The packet and its acknowledgement.
-		c.traffic.received.Add(int64(n) + packetBytes)
-		c.traffic.sent.Add(packetBytes)
+		// A received packet is acknowledged by one that is sent.
+		c.traffic.received.Add(int64(n) + packetOverhead)
+		c.traffic.sent.Add(packetOverhead)
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.traffic.sent.Add(int64(n) + packetBytes)
-	c.traffic.received.Add(packetBytes)
+	c.traffic.sent.Add(int64(n) + packetOverhead)
+	c.traffic.received.Add(packetOverhead)
 	return n, err
 }
 
-// headerBytes is what HTTP/2, TCP and IP add to a message, about.
-const headerBytes = 120
+// messageOverhead is the approximate size of a gRPC message's HTTP/2, TCP and IP
+// headers in bytes.
+const messageOverhead = 120
 
 // HandleRPC implements stats.Handler.
 func (t *traffic) HandleRPC(_ context.Context, s stats.RPCStats) {
 	switch m := s.(type) {
 	case *stats.InPayload:
-		t.received.Add(int64(m.WireLength) + headerBytes)
+		t.received.Add(int64(m.WireLength) + messageOverhead)
 	case *stats.OutPayload:
-		t.sent.Add(int64(m.WireLength) + headerBytes)
+		t.sent.Add(int64(m.WireLength) + messageOverhead)
 	}
 }
 
-// registerMetrics exposes what an operator watches of a steward.
+// registerMetrics registers the steward's metrics.
 func registerMetrics(m *telemetry.Metrics, t *traffic, store *gossip.Store) error {
 	sent, err := m.Meter.Int64ObservableCounter("garnet_control_sent_bytes_total", metric.WithDescription("Bytes of control sent."))
 	if err != nil {
--- a/internal/steward/modules.go
+++ b/internal/steward/modules.go
@@ -1,6 +1,6 @@
-// Package steward is the control side of garnethoist: it brings the operators'
-// table to every entry, knows peers and targets, holds leases and gives
-// engines orders.
+// Package steward is the control plane of garnethoist: it distributes the operators'
+// table to all entries, tracks peers and targets, holds the services' leases, and sends
+// orders to engines.
 package steward
 
 import (
@@ -18,30 +18,30 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// Names of the steward's modules.
+// Names of the steward's kernel modules.
 const (
-	ModuleLog       = "telemetry.log"
-	ModuleMetrics   = "telemetry.metrics"
-	ModuleAdmin     = "telemetry.admin"
-	ModulePlatform  = "platform.client"
-	ModuleTargets   = "target.client"
-	ModuleTables    = "table.store"
-	ModuleStore     = "gossip.store"
-	ModuleDialer    = "steward.dialer"
-	ModuleTraffic   = "steward.traffic"
-	ModuleGossip    = "member.gossip"
-	ModuleSync      = "steward.tablesync"
-	ModulePoller    = "steward.poller"
-	ModuleAuthority = "steward.authority"
-	ModuleRecords   = "steward.records"
-	ModuleBurns     = "steward.burns"
-	ModuleServer    = "steward.server"
+	ModuleLog          = "telemetry.log"
+	ModuleMetrics      = "telemetry.metrics"
+	ModuleAdmin        = "telemetry.admin"
+	ModulePlatform     = "platform.client"
+	ModuleTargets      = "target.client"
+	ModuleTables       = "table.store"
+	ModuleStore        = "gossip.store"
+	ModuleDialer       = "steward.dialer"
+	ModuleTraffic      = "steward.traffic"
+	ModuleGossip       = "member.gossip"
+	ModuleTableSync    = "steward.tablesync"
+	ModulePoller       = "steward.poller"
+	ModuleLeaseManager = "steward.authority"
+	ModuleDecisions    = "steward.records"
+	ModuleBurn         = "steward.burns"
+	ModuleServer       = "steward.server"
 )
 
-// statusTimeout bounds reading a target's status or sending it an order.
-const statusTimeout = time.Second
+// targetTimeout bounds a call that reads a target's status or sends it an order.
+const targetTimeout = time.Second
 
-// Register adds the steward's modules to k. Logs go to logs.
+// Register adds the steward's modules to k. Log lines are written to logs.
 func Register(k *kernel.Kernel, cfg *settings.Steward, logs io.Writer) {
 	k.Register(ModuleLog, func(*kernel.Kernel) (any, error) {
 		return telemetry.NewLogger(logs, "garnet-steward", cfg.VM), nil
@@ -59,14 +59,14 @@
 		if err != nil {
 			return nil, err
 		}
-		return httpstore.NewCounted(string(cfg.Platform.Address), cfg.Platform.Timeout.D(), t.wrap), nil
+		return httpstore.NewCounted(string(cfg.Platform.Address), cfg.Platform.Timeout.D(), t.countBytes), nil
 	})
 	k.Register(ModuleTargets, func(k *kernel.Kernel) (any, error) {
 		t, err := kernel.Get[*traffic](k, ModuleTraffic)
 		if err != nil {
 			return nil, err
 		}
-		return target.NewCountedClient(statusTimeout, t.wrap), nil
+		return target.NewCountedClient(targetTimeout, t.countBytes), nil
 	})
 	k.Register(ModuleStore, func(*kernel.Kernel) (any, error) { return gossip.NewStore(time.Now), nil })
 	k.Register(ModuleDialer, func(k *kernel.Kernel) (any, error) {
@@ -74,16 +74,16 @@
 		return newDialer(t), err
 	})
 	k.Register(ModuleTraffic, provideTraffic)
-	k.Register(ModuleRecords, func(*kernel.Kernel) (any, error) { return newDecisionBook(cfg.VM), nil })
-	k.Register(ModuleBurns, func(*kernel.Kernel) (any, error) { return newBurnBook(), nil })
+	k.Register(ModuleDecisions, func(*kernel.Kernel) (any, error) { return newDecisionHistory(cfg.VM), nil })
+	k.Register(ModuleBurn, func(*kernel.Kernel) (any, error) { return newBurnTracker(), nil })
 	k.Register(ModuleTables, func(k *kernel.Kernel) (any, error) {
 		p, err := kernel.Get[*httpstore.Client](k, ModulePlatform)
 		return table.NewStore(p, time.Now), err
 	})
 	k.Register(ModuleGossip, func(k *kernel.Kernel) (any, error) { return provideGossip(k, cfg) })
-	k.Register(ModuleSync, func(k *kernel.Kernel) (any, error) { return provideSync(k, cfg) })
+	k.Register(ModuleTableSync, func(k *kernel.Kernel) (any, error) { return provideTableSync(k, cfg) })
 	k.Register(ModulePoller, func(k *kernel.Kernel) (any, error) { return providePoller(k, cfg) })
-	k.Register(ModuleAuthority, func(k *kernel.Kernel) (any, error) { return provideAuthority(k, cfg) })
+	k.Register(ModuleLeaseManager, func(k *kernel.Kernel) (any, error) { return provideLeaseManager(k, cfg) })
 	k.Register(ModuleServer, func(k *kernel.Kernel) (any, error) { return provideServer(k, cfg) })
 }
 
@@ -114,7 +114,7 @@
 	return member.New(self, cfg.GossipInterval.D(), store, d, seeds, log), nil
 }
 
-func provideSync(k *kernel.Kernel, cfg *settings.Steward) (any, error) {
+func provideTableSync(k *kernel.Kernel, cfg *settings.Steward) (any, error) {
 	g := &kernel.Getter{Kernel: k}
 	t := &tableSync{
 		store: kernel.Need[*gossip.Store](g, ModuleStore), gossip: kernel.Need[*member.Gossip](g, ModuleGossip),
@@ -134,16 +134,16 @@
 	return p, g.Err
 }
 
-func provideAuthority(k *kernel.Kernel, cfg *settings.Steward) (any, error) {
+func provideLeaseManager(k *kernel.Kernel, cfg *settings.Steward) (any, error) {
 	g := &kernel.Getter{Kernel: k}
 	p := kernel.Need[*httpstore.Client](g, ModulePlatform)
-	a := &authority{
+	m := &leaseManager{
 		cfg: cfg, store: kernel.Need[*gossip.Store](g, ModuleStore), gossip: kernel.Need[*member.Gossip](g, ModuleGossip),
 		table: p, weights: p, engines: kernel.Need[*target.Client](g, ModuleTargets), clock: clock.Boot,
-		log: kernel.Need[*telemetry.Logger](g, ModuleLog), records: kernel.Need[*decisionBook](g, ModuleRecords),
+		log: kernel.Need[*telemetry.Logger](g, ModuleLog), decisions: kernel.Need[*decisionHistory](g, ModuleDecisions),
 		controllers: map[string]*controller{},
 	}
-	return a, g.Err
+	return m, g.Err
 }
 
 func provideServer(k *kernel.Kernel, cfg *settings.Steward) (any, error) {
@@ -151,16 +151,16 @@
 	admin := kernel.Need[*telemetry.Admin](g, ModuleAdmin)
 	s := &server{
 		listen: string(cfg.Listen), stopping: make(chan struct{}), store: kernel.Need[*gossip.Store](g, ModuleStore),
-		gossip: kernel.Need[*member.Gossip](g, ModuleGossip), sync: kernel.Need[*tableSync](g, ModuleSync),
-		tables: kernel.Need[*table.Store](g, ModuleTables), authority: kernel.Need[*authority](g, ModuleAuthority),
-		records: kernel.Need[*decisionBook](g, ModuleRecords), burns: kernel.Need[*burnBook](g, ModuleBurns),
-		grants: newGrantBooks(clock.Boot), dialer: kernel.Need[*dialer](g, ModuleDialer),
+		gossip: kernel.Need[*member.Gossip](g, ModuleGossip), tableSync: kernel.Need[*tableSync](g, ModuleTableSync),
+		tables: kernel.Need[*table.Store](g, ModuleTables), leases: kernel.Need[*leaseManager](g, ModuleLeaseManager),
+		decisions: kernel.Need[*decisionHistory](g, ModuleDecisions), burn: kernel.Need[*burnTracker](g, ModuleBurn),
+		grantAllocators: newGrantAllocators(clock.Boot), dialer: kernel.Need[*dialer](g, ModuleDialer),
 		traffic: kernel.Need[*traffic](g, ModuleTraffic),
 		log:     kernel.Need[*telemetry.Logger](g, ModuleLog),
 	}
 	if g.Err != nil {
 		return nil, g.Err
 	}
-	admin.SetReady(s.ready)
+	admin.SetReady(s.notReadyReason)
 	return s, nil
 }
--- a/internal/steward/records.go
+++ b/internal/steward/records.go
@@ -9,66 +9,70 @@
 	"garnethoist.org/garnethoist/internal/target"
 )
 
-// recordsKept is how many decision records are kept for each service.
-const recordsKept = 64
+// maxDecisionsPerService is how many decision records of each service are kept.
+const maxDecisionsPerService = 64
 
-// decisionBook keeps the latest decision records of each service: this
-// steward's own and those of the entries that it feeds. It is safe for
-// concurrent use.
-type decisionBook struct {
+// decisionHistory keeps the latest decision records of each service: this steward's
+// own and those of the entries connected to it. It is safe for concurrent use.
+type decisionHistory struct {
 	vm string
 
-	mu       sync.Mutex
-	next     uint64
+	mu     sync.Mutex
+	lastID uint64
+	// services holds each service's records, oldest first.
 	services map[string][]*api.Decision
 }
 
-func newDecisionBook(vm string) *decisionBook {
-	return &decisionBook{vm: vm, services: map[string][]*api.Decision{}}
+// newDecisionHistory returns an empty history of the steward on vm.
+func newDecisionHistory(vm string) *decisionHistory {
+	return &decisionHistory{vm: vm, services: map[string][]*api.Decision{}}
 }
 
-// add keeps records made elsewhere.
-func (b *decisionBook) add(records ...*api.Decision) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// add stores records that have an id, such as those of entries, and drops the oldest
+// ones above maxDecisionsPerService.
+func (h *decisionHistory) add(records ...*api.Decision) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	for _, r := range records {
-		kept := append(b.services[r.GetService()], r)
-		if len(kept) > recordsKept {
-			kept = append(kept[:0], kept[len(kept)-recordsKept:]...)
+		kept := append(h.services[r.GetService()], r)
+		if len(kept) > maxDecisionsPerService {
+			kept = append(kept[:0], kept[len(kept)-maxDecisionsPerService:]...)
 		}
-		b.services[r.GetService()] = kept
+		h.services[r.GetService()] = kept
 	}
 }
 
-// record gives a decision its id and keeps it.
-func (b *decisionBook) record(r *api.Decision) string {
-	b.mu.Lock()
-	b.next++
-	r.Id = fmt.Sprintf("%s-s%d", b.vm, b.next)
-	b.mu.Unlock()
-	r.Vm = b.vm
+// record fills in the id, VM and time of this steward's own record, stores it and
+// returns the id.
+func (h *decisionHistory) record(r *api.Decision) string {
+	h.mu.Lock()
+	h.lastID++
+	r.Id = fmt.Sprintf("%s-s%d", h.vm, h.lastID)
+	h.mu.Unlock()
+	r.Vm = h.vm
 	r.UnixMs = time.Now().UnixMilli()
-	b.add(r)
+	h.add(r)
 	return r.GetId()
 }
 
-// order records an order to an engine.
-func (b *decisionBook) order(service, engine string, want target.Want, err error) string {
-	cause := "the engine was not as the row asks"
+// recordOrder records that an engine was sent an order, or the error of sending it,
+// and returns the record's id.
+func (h *decisionHistory) recordOrder(service, engine string, want target.Want, err error) string {
+	cause := "the engine's configuration was not that of the service's row"
 	if err != nil {
 		cause = err.Error()
 	}
-	return b.record(&api.Decision{
+	return h.record(&api.Decision{
 		Service: service, What: "order", Choice: engine, Cause: cause,
 		Inputs: []*api.Input{{Name: "role", Value: string(want.Role)}, {Name: "version", Value: want.Version}},
 	})
 }
 
-// latest returns up to limit records of a service, newest first.
-func (b *decisionBook) latest(service string, limit int) []*api.Decision {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	kept := b.services[service]
+// latest returns up to limit records of a service, the newest first.
+func (h *decisionHistory) latest(service string, limit int) []*api.Decision {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	kept := h.services[service]
 	var out []*api.Decision
 	for i := len(kept) - 1; i >= 0 && len(out) < limit; i-- {
 		out = append(out, kept[i])
--- a/internal/steward/roleplan.go
+++ b/internal/steward/roleplan.go
@@ -13,40 +13,46 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// queueHorizon is the time within which queued work should be done; it turns a
-// queue into demand.
-const queueHorizon = 10 * time.Second
+// queueDrainTime is the time within which queued prefill work should be done. Queued
+// work divided by it counts as demand.
+const queueDrainTime = 10 * time.Second
 
-// rolePlan is what a holder knows of its service's mix and the roles it wants.
+// rolePlan decides on the roles of a service's engines, from the mix of prefill and
+// decode work that their counters show. It belongs to one tenure of the lease.
 type rolePlan struct {
 	speed    settings.EngineSpeed
 	interval time.Duration
 
 	planner *roles.Planner
+	// engines is the number of engines that the planner plans for.
 	engines int
-	// counters holds each engine's work counters at the last observation.
-	counters map[string]workCounters
-	lastAt   time.Duration
-	// moved is the engines that are to have another role than they show.
-	moved map[string]roles.Role
+	// counters holds each engine's work counters at the last observation, which was
+	// at observedAt on the lease's clock.
+	counters   map[string]workCounters
+	observedAt time.Duration
+	// pendingRoles holds the new roles of engines whose role is being changed.
+	pendingRoles map[string]roles.Role
 }
 
-// workCounters is an engine's cumulative work in one boot.
+// workCounters is the work, in tokens, that an engine has done since its process
+// started. boot identifies the process.
 type workCounters struct {
 	boot            uint64
 	prefill, decode uint64
 }
 
+// newRolePlan returns a plan without observations.
 func newRolePlan(cfg *settings.Steward) *rolePlan {
 	return &rolePlan{
 		speed: cfg.Engine, interval: cfg.RoleInterval.D(),
-		counters: map[string]workCounters{}, moved: map[string]roles.Role{},
+		counters: map[string]workCounters{}, pendingRoles: map[string]roles.Role{},
 	}
 }
 
-// roleOf returns the role that an engine is to have.
-func (p *rolePlan) roleOf(t gossip.TargetView) roles.Role {
-	if r, ok := p.moved[t.Name]; ok {
+// desiredRole returns the role that an engine is to have: its pending one, or else the
+// one that it has.
+func (p *rolePlan) desiredRole(t gossip.TargetView) roles.Role {
+	if r, ok := p.pendingRoles[t.Name]; ok {
 		return r
 	}
 	if r := roles.Role(t.Status.GetRole()); r != "" {
@@ -55,45 +61,48 @@
 	return roles.RoleBoth
 }
 
-// planRoles observes the mix and, once in each interval, decides on the split.
-// One change is begun at a time; the next is decided when it is done.
+// planRoles observes the mix of work once in each interval and decides how many engines
+// each role is to have. It starts one role change at a time; the next decision waits
+// until that change is done.
 func (c *controller) planRoles(row table.Row, targets []gossip.TargetView) {
 	now := c.clock()
-	if now-c.plan.lastAt < c.plan.interval {
+	if now-c.plan.observedAt < c.plan.interval {
 		return
 	}
 	serving := servingEngines(targets, row.Model)
-	current := c.plan.split(serving)
+	current := c.plan.currentSplit(serving)
 	if c.plan.engines != len(serving) {
-		c.plan.reset(row, current, len(serving))
+		c.plan.resetPlanner(row, current, len(serving))
 	}
-	mix, complete := c.plan.observe(serving, now)
-	if !complete || !current.Usable() {
+	mix, valid := c.plan.observe(serving, now)
+	if !valid || !current.Usable() {
 		return
 	}
-	c.plan.settle(serving)
-	if len(c.plan.moved) > 0 {
+	c.plan.clearCompleted(serving)
+	if len(c.plan.pendingRoles) > 0 {
 		return
 	}
 	d := c.plan.planner.Decide(current)
 	if d.Target == current {
 		return
 	}
-	c.begin(row, serving, current, d, mix)
+	c.beginRoleChange(row, serving, current, d, mix)
 }
 
-// servingEngines are those whose roles count in the split.
+// servingEngines returns the engines that count when engines are divided among roles:
+// those that are reachable, not leaving and serve the model.
 func servingEngines(targets []gossip.TargetView, model string) []gossip.TargetView {
 	var out []gossip.TargetView
 	for _, t := range targets {
-		if t.Status.GetReachable() && !t.Leaving() && serves(t, model) {
+		if t.Status.GetReachable() && !t.Leaving() && servesModel(t, model) {
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-func (p *rolePlan) split(serving []gossip.TargetView) roles.Split {
+// currentSplit returns how many of the engines have each role.
+func (p *rolePlan) currentSplit(serving []gossip.TargetView) roles.Split {
 	var s roles.Split
 	for _, t := range serving {
 		switch roles.Role(t.Status.GetRole()) {
@@ -108,22 +117,23 @@
 	return s
 }
 
-// reset starts the planner anew for another number of engines.
-func (p *rolePlan) reset(row table.Row, current roles.Split, engines int) {
+// resetPlanner replaces the planner by one for another number of engines, and drops the
+// pending role changes.
+func (p *rolePlan) resetPlanner(row table.Row, current roles.Split, engines int) {
 	p.engines = engines
-	p.moved = map[string]roles.Role{}
+	p.pendingRoles = map[string]roles.Role{}
 	p.planner = roles.NewPlanner(roles.Config{
 		Engines: engines, Mixed: p.speed.Mixed, Away: p.speed.Away.D().Seconds(), ChangeCost: row.ChangeCost,
 	}, current)
 }
 
-// observe turns the engines' counters into the mix since the last observation
-// and gives it to the planner. complete is false when there was no earlier
-// observation to compare with.
-func (p *rolePlan) observe(serving []gossip.TargetView, now time.Duration) (mix roles.Mix, complete bool) {
-	seconds := (now - p.lastAt).Seconds()
-	complete = p.lastAt > 0
-	p.lastAt = now
+// observe computes the mix of work since the last observation, in busy engines for
+// prefill and for decode, and passes it to the planner. Queued requests count as work.
+// valid is false for the first observation, which has no earlier one to compare with.
+func (p *rolePlan) observe(serving []gossip.TargetView, now time.Duration) (mix roles.Mix, valid bool) {
+	seconds := (now - p.observedAt).Seconds()
+	valid = p.observedAt > 0
+	p.observedAt = now
 	for _, t := range serving {
 		s := t.Status
 		next := workCounters{boot: t.Boot, prefill: s.GetPrefillTokens(), decode: s.GetDecodeTokens()}
@@ -134,58 +144,60 @@
 		}
 		mix.Prefill += float64(next.prefill-last.prefill) / p.speed.PrefillTokensPerS / seconds
 		mix.Decode += float64(next.decode-last.decode) / p.speed.DecodeTokensPerS / seconds
-		mix.Prefill += float64(s.GetQueuedTokens()) / p.speed.PrefillTokensPerS / queueHorizon.Seconds()
+		mix.Prefill += float64(s.GetQueuedTokens()) / p.speed.PrefillTokensPerS / queueDrainTime.Seconds()
 		if s.GetSlots() > 0 {
 			mix.Decode += float64(s.GetWaiting()) / float64(s.GetSlots())
 		}
 	}
-	if complete {
+	if valid {
 		p.planner.Observe(mix, seconds)
 	}
-	return mix, complete
+	return mix, valid
 }
 
-// settle forgets the moves that the engines have made.
-func (p *rolePlan) settle(serving []gossip.TargetView) {
+// clearCompleted removes the pending roles that the engines have taken.
+func (p *rolePlan) clearCompleted(serving []gossip.TargetView) {
 	for _, t := range serving {
-		if r, ok := p.moved[t.Name]; ok && roles.Role(t.Status.GetRole()) == r {
-			delete(p.moved, t.Name)
+		if r, ok := p.pendingRoles[t.Name]; ok && roles.Role(t.Status.GetRole()) == r {
+			delete(p.pendingRoles, t.Name)
 		}
 	}
 }
 
-// begin takes the first step of a decision: the least busy engine of the role
-// that has too many.
-func (c *controller) begin(row table.Row, serving []gossip.TargetView, current roles.Split, d roles.Decision, mix roles.Mix) {
-	take, give, ok := roles.Step(current, d.Target)
+// beginRoleChange starts the first role change of a decision: it chooses the engine
+// with the fewest running requests among those of the role that has too many. The
+// decision is recorded and logged.
+func (c *controller) beginRoleChange(row table.Row, serving []gossip.TargetView, current roles.Split, d roles.Decision, mix roles.Mix) {
+	from, to, ok := roles.Step(current, d.Target)
 	if !ok {
 		return
 	}
 	engine := ""
-	least := uint32(0)
+	leastRunning := uint32(0)
 	for _, t := range serving {
-		if roles.Role(t.Status.GetRole()) != take || t.Status.GetChanging() {
+		if roles.Role(t.Status.GetRole()) != from || t.Status.GetChanging() {
 			continue
 		}
-		if engine == "" || t.Status.GetRunning() < least {
-			engine, least = t.Name, t.Status.GetRunning()
+		if engine == "" || t.Status.GetRunning() < leastRunning {
+			engine, leastRunning = t.Name, t.Status.GetRunning()
 		}
 	}
 	if engine == "" {
 		return
 	}
-	c.plan.moved[engine] = give
-	id := c.records.record(roleRecord(row, current, d, mix, engine, take, give))
+	c.plan.pendingRoles[engine] = to
+	id := c.decisions.record(roleChangeDecision(row, current, d, mix, engine, from, to))
 	c.log.Info(telemetry.EventRoleDecision, telemetry.F("decision", id), telemetry.F("service", row.Service),
-		telemetry.F("target", engine), telemetry.F("from", take), telemetry.F("to", give),
+		telemetry.F("target", engine), telemetry.F("from", from), telemetry.F("to", to),
 		telemetry.F("regret", d.Regret), telemetry.F("cost", d.Cost))
 }
 
-func roleRecord(row table.Row, current roles.Split, d roles.Decision, mix roles.Mix, engine string, take, give roles.Role) *api.Decision {
+// roleChangeDecision returns the decision record of one role change.
+func roleChangeDecision(row table.Row, current roles.Split, d roles.Decision, mix roles.Mix, engine string, from, to roles.Role) *api.Decision {
 	r := &api.Decision{
 		Service: row.Service, What: "role_change",
-		Choice: fmt.Sprintf("%s from %s to %s", engine, take, give),
-		Cause:  fmt.Sprintf("the split %s has lost %.3g engine-seconds more than %s, a change costs %.3g", splitName(current), d.Regret, splitName(d.Target), d.Cost),
+		Choice: fmt.Sprintf("%s from %s to %s", engine, from, to),
+		Cause:  fmt.Sprintf("the split %s has lost %.3g engine-seconds more than %s, a change costs %.3g", formatSplit(current), d.Regret, formatSplit(d.Target), d.Cost),
 		Inputs: []*api.Input{
 			{Name: "prefill_engines_busy", Value: formatFloat(mix.Prefill)},
 			{Name: "decode_engines_busy", Value: formatFloat(mix.Decode)},
@@ -193,12 +205,13 @@
 		},
 	}
 	for _, o := range d.Options {
-		r.Options = append(r.Options, &api.Option{Name: splitName(o.Split), Price: o.Price})
+		r.Options = append(r.Options, &api.Option{Name: formatSplit(o.Split), Price: o.Price})
 	}
 	return r
 }
 
-func splitName(s roles.Split) string {
+// formatSplit formats a split as the numbers of engines for prefill, decode and both.
+func formatSplit(s roles.Split) string {
 	return fmt.Sprintf("%dp+%dd+%db", s.Prefill, s.Decode, s.Both)
 }
 
--- a/internal/steward/server.go
+++ b/internal/steward/server.go
@@ -24,39 +24,41 @@
 )
 
 const (
-	// feedInterval is the least time between two batches to an entry.
-	feedInterval = 100 * time.Millisecond
-	// feedKeepAlive is the most time between two batches; an empty one shows
-	// that the steward is alive.
-	feedKeepAlive = time.Second
+	// minBatchInterval is the least time between two batches sent to an entry.
+	minBatchInterval = 100 * time.Millisecond
+	// maxBatchInterval is the most time between two batches sent to an entry. An
+	// empty batch serves as a keep-alive.
+	maxBatchInterval = time.Second
 )
 
-// server is the steward's gRPC service.
+// server is the steward's gRPC server for entries, other stewards and garnetctl.
 type server struct {
 	api.UnimplementedStewardServer
 
-	listen    string
-	store     *gossip.Store
-	gossip    *member.Gossip
-	sync      *tableSync
-	tables    *table.Store
-	authority *authority
-	records   *decisionBook
-	burns     *burnBook
-	grants    *grantBooks
-	dialer    *dialer
-	traffic   *traffic
-	log       *telemetry.Logger
+	listen          string
+	store           *gossip.Store
+	gossip          *member.Gossip
+	tableSync       *tableSync
+	tables          *table.Store
+	leases          *leaseManager
+	decisions       *decisionHistory
+	burn            *burnTracker
+	grantAllocators *grantAllocators
+	dialer          *dialer
+	traffic         *traffic
+	log             *telemetry.Logger
 
-	grpc   *grpc.Server
-	served sync.WaitGroup
-	// stopping is closed by Stop. It exists before Start, as readiness is
-	// asked for as soon as the admin endpoint is up.
+	grpc *grpc.Server
+	// serving is done when the gRPC server has stopped.
+	serving sync.WaitGroup
+	// stopping is closed by Stop. It is made before Start, because readiness is
+	// checked as soon as the admin endpoint is up.
 	stopping chan struct{}
-	entries  atomic.Int64
+	// connectedEntries is the number of entries with an open Watch stream.
+	connectedEntries atomic.Int64
 }
 
-// Start listens for entries, peers and garnetctl.
+// Start starts listening for entries, other stewards and garnetctl.
 func (s *server) Start(context.Context) error {
 	l, err := net.Listen("tcp", s.listen)
 	if err != nil {
@@ -64,7 +66,7 @@
 	}
 	s.grpc = grpc.NewServer(grpc.StatsHandler(s.traffic))
 	api.RegisterStewardServer(s.grpc, s)
-	s.served.Go(func() {
+	s.serving.Go(func() {
 		if err := s.grpc.Serve(l); err != nil {
 			s.log.Warn(telemetry.EventStopped, telemetry.F("cause", err))
 		}
@@ -72,17 +74,17 @@
 	return nil
 }
 
-// Stop ends the feeds, which sends entries to another steward, and waits for
-// the calls in hand.
+// Stop ends the streams to entries, which then connect to another steward, and waits
+// for the calls in progress.
 func (s *server) Stop(context.Context) error {
 	close(s.stopping)
 	s.grpc.GracefulStop()
-	s.served.Wait()
+	s.serving.Wait()
 	return nil
 }
 
-// ready says why the steward is of no use to entries yet, or "".
-func (s *server) ready() string {
+// notReadyReason returns why the steward cannot serve entries, or "" if it can.
+func (s *server) notReadyReason() string {
 	select {
 	case <-s.stopping:
 		return "stopping"
@@ -99,46 +101,50 @@
 	return s.gossip.Serve(req), nil
 }
 
-// Watch implements api.StewardServer.
+// Watch implements api.StewardServer. It sends an entry the store's changes, and
+// receives the entry's reports, until either side ends the stream.
 func (s *server) Watch(stream api.Steward_WatchServer) error {
-	s.entries.Add(1)
-	defer s.entries.Add(-1)
+	s.connectedEntries.Add(1)
+	defer s.connectedEntries.Add(-1)
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
 	var reports sync.WaitGroup
-	// The stream's context ends when this method returns, which ends Recv.
+	// The stream's context ends when Watch returns, which makes Recv return.
 	reports.Go(func() {
 		defer cancel()
-		s.takeReports(stream)
+		s.receiveReports(stream)
 	})
-	return s.feed(ctx, stream)
+	return s.sendBatches(ctx, stream)
 }
 
-func (s *server) takeReports(stream api.Steward_WatchServer) {
+// receiveReports stores an entry's usage and decision records until the stream ends.
+func (s *server) receiveReports(stream api.Steward_WatchServer) {
 	for {
 		r, err := stream.Recv()
 		if err != nil {
 			return
 		}
-		s.burns.add(r)
-		s.records.add(r.GetDecisions()...)
+		s.burn.add(r)
+		s.decisions.add(r.GetDecisions()...)
 	}
 }
 
-// feed sends the entry what it lacks, at once after a change.
-func (s *server) feed(ctx context.Context, stream api.Steward_WatchServer) error {
+// sendBatches sends an entry the items that changed since the last batch, as soon as
+// minBatchInterval allows, and an empty batch after maxBatchInterval without changes.
+// It returns nil when ctx ends or the server stops.
+func (s *server) sendBatches(ctx context.Context, stream api.Steward_WatchServer) error {
 	index := uint64(0)
 	for {
 		changed := s.store.Changed()
-		items, reached := s.store.Since(index, gossip.Scope{})
+		items, next := s.store.Since(index, gossip.Scope{})
 		if err := stream.Send(&api.Batch{Items: items}); err != nil {
 			return err
 		}
-		index = reached
-		if !s.pause(ctx, feedInterval) {
+		index = next
+		if !s.wait(ctx, minBatchInterval) {
 			return nil
 		}
-		timer := time.NewTimer(feedKeepAlive)
+		timer := time.NewTimer(maxBatchInterval)
 		select {
 		case <-ctx.Done():
 		case <-s.stopping:
@@ -149,8 +155,9 @@
 	}
 }
 
-// pause waits; false means that the feed is to end.
-func (s *server) pause(ctx context.Context, d time.Duration) bool {
+// wait waits for d and returns true. It returns false at once if ctx ends or the
+// server stops.
+func (s *server) wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -163,7 +170,7 @@
 	}
 }
 
-// TableGet implements api.StewardServer.
+// TableGet implements api.StewardServer. It returns the table in force as JSON.
 func (s *server) TableGet(context.Context, *api.TableGetRequest) (*api.TableGetResponse, error) {
 	data, err := json.Marshal(s.store.View().Table)
 	if err != nil {
@@ -172,17 +179,18 @@
 	return &api.TableGetResponse{TableJson: data}, nil
 }
 
-// TableApply implements api.StewardServer.
+// TableApply implements api.StewardServer. A refused edit is reported in the response's
+// Kind and Message.
 func (s *server) TableApply(ctx context.Context, req *api.TableApplyRequest) (*api.TableApplyResponse, error) {
-	version, err := s.sync.apply(ctx, req)
+	version, err := s.tableSync.applyEdit(ctx, req)
 	if err == nil {
 		return &api.TableApplyResponse{Version: version}, nil
 	}
-	return &api.TableApplyResponse{Kind: string(applyKind(err)), Message: err.Error()}, nil
+	return &api.TableApplyResponse{Kind: string(applyErrorKind(err)), Message: err.Error()}, nil
 }
 
-// applyKind sorts the errors of table.Store.Apply.
-func applyKind(err error) errkind.Kind {
+// applyErrorKind returns the error kind for an error of tableSync.applyEdit.
+func applyErrorKind(err error) errkind.Kind {
 	var conflict *table.Conflict
 	var invalid table.Invalid
 	switch {
@@ -223,7 +231,7 @@
 	self := s.gossip.Self()
 	resp := &api.StatusResponse{
 		Vm: self.VM, DataCentre: self.DataCentre, TableVersion: v.Table.Version,
-		PlatformUp: s.sync.up.Load(), Leases: s.authority.holders(), Entries: uint32(s.entries.Load()),
+		PlatformUp: s.tableSync.platformUp.Load(), Leases: s.leases.holders(), Entries: uint32(s.connectedEntries.Load()),
 	}
 	for vm, it := range v.Peers {
 		p := it.GetPeer()
@@ -242,6 +250,7 @@
 	return resp, nil
 }
 
+// peerStateName returns the name of a peer's state in the status response.
 func peerStateName(s api.PeerState) string {
 	switch s {
 	case api.PeerState_PEER_ALIVE:
@@ -257,10 +266,10 @@
 	if _, ok := s.store.View().Table.Row(req.GetService()); !ok {
 		return nil, status.Errorf(codes.NotFound, "there is no service called %q", req.GetService())
 	}
-	return &api.ExplainResponse{Decisions: s.records.latest(req.GetService(), int(req.GetLimit()))}, nil
+	return &api.ExplainResponse{Decisions: s.decisions.latest(req.GetService(), int(req.GetLimit()))}, nil
 }
 
 // Burn implements api.StewardServer.
 func (s *server) Burn(context.Context, *api.BurnRequest) (*api.BurnResponse, error) {
-	return &api.BurnResponse{Lines: s.burns.lines(s.store.View().Table)}, nil
+	return &api.BurnResponse{Lines: s.burn.lines(s.store.View().Table)}, nil
 }
--- a/internal/steward/tablesync.go
+++ b/internal/steward/tablesync.go
@@ -17,12 +17,12 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// platformPollers is how many stewards of a data centre ask the platform for
-// news; the others hear of it from them.
+// platformPollers is how many stewards of a data centre poll the platform. The others
+// get changes from them by gossip.
 const platformPollers = 2
 
-// tableSync brings the operators' table and the VM list from the platform into
-// the store.
+// tableSync copies the operators' table and the VM list from the platform into the
+// store.
 type tableSync struct {
 	store    *gossip.Store
 	gossip   *member.Gossip
@@ -31,18 +31,20 @@
 	interval time.Duration
 	log      *telemetry.Logger
 
-	up atomic.Bool
+	// platformUp tells whether the last call of the platform succeeded.
+	platformUp atomic.Bool
 	kernel.Background
 }
 
-// Start begins to ask the platform.
+// Start starts polling the platform.
 func (t *tableSync) Start(context.Context) error {
-	t.up.Store(true)
+	t.platformUp.Store(true)
 	t.Run(func(ctx context.Context) { kernel.Every(ctx, t.interval, t.poll) })
 	return nil
 }
 
-// poll asks the platform if this steward is among those that do.
+// poll reads the table and the VM list from the platform, if this steward is one of the
+// data centre's platformPollers or has no table yet.
 func (t *tableSync) poll(ctx context.Context) {
 	if t.gossip.Rank("platform") >= platformPollers && t.store.TableVersion() > 0 {
 		return
@@ -51,25 +53,26 @@
 	if err == nil {
 		err = t.pollVMs(ctx)
 	}
-	t.note(err)
+	t.notePlatformState(err)
 }
 
-// note logs when the platform goes away and comes back.
-func (t *tableSync) note(err error) {
-	was := t.up.Swap(err == nil)
+// notePlatformState updates platformUp by the error of the last call, and logs a change
+// of it.
+func (t *tableSync) notePlatformState(err error) {
+	wasUp := t.platformUp.Swap(err == nil)
 	switch {
-	case err != nil && was:
+	case err != nil && wasUp:
 		t.log.Warn(telemetry.EventPlatformDown, telemetry.F("cause", err))
-	case err == nil && !was:
+	case err == nil && !wasUp:
 		t.log.Info(telemetry.EventPlatformUp)
 	}
 }
 
-// pollTable reads one small record; the rows are read only when its version
-// has moved.
+// pollTable reads the table's version, which is one small record, and reads the rows
+// only if the version is newer than the store's.
 func (t *tableSync) pollTable(ctx context.Context) error {
-	head, err := t.tables.Version(ctx)
-	if err != nil || head <= t.store.TableVersion() {
+	latest, err := t.tables.Version(ctx)
+	if err != nil || latest <= t.store.TableVersion() {
 		return err
 	}
 	known := t.store.View().Table
@@ -77,32 +80,35 @@
 	if err != nil {
 		return err
 	}
-	return t.adopt(known, next)
+	return t.mergeTable(known, next)
 }
 
-// adopt puts the rows of next that are news into the store.
-func (t *tableSync) adopt(known, next table.Table) error {
-	var gone []string
+// mergeTable puts the rows of next that changed since the version of known into the
+// store, and marks those that are only in known as removed.
+func (t *tableSync) mergeTable(known, next table.Table) error {
+	var removed []string
 	for _, r := range known.Rows {
 		if _, ok := next.Row(r.Service); !ok {
-			gone = append(gone, r.Service)
+			removed = append(removed, r.Service)
 		}
 	}
-	items, err := gossip.TableItems(next, known.Version, gone)
+	items, err := gossip.TableItems(next, known.Version, removed)
 	if err != nil {
 		return err
 	}
-	t.take(items)
+	t.merge(items)
 	t.log.Info(telemetry.EventTableVersion, telemetry.F("version", next.Version))
 	return nil
 }
 
-func (t *tableSync) take(items []*api.Item) {
+// merge puts items into the store and, if any is new, spreads them by gossip at once.
+func (t *tableSync) merge(items []*api.Item) {
 	if len(t.store.Merge(items, "")) > 0 {
 		t.gossip.Spread()
 	}
 }
 
+// pollVMs reads the VM list from the platform and puts a newer one into the store.
 func (t *tableSync) pollVMs(ctx context.Context) error {
 	known := t.store.ListRevision()
 	l, err := t.vms.VMs(ctx, known)
@@ -110,13 +116,14 @@
 		return errors.Wrap(err, "read VM list")
 	}
 	if l.Revision > known {
-		t.take(t.store.VMItems(l))
+		t.merge(t.store.VMItems(l))
 	}
 	return nil
 }
 
-// apply commits an operator's edit and puts it in force here at once.
-func (t *tableSync) apply(ctx context.Context, req *api.TableApplyRequest) (uint64, error) {
+// applyEdit commits an operator's edit of the table to the platform, puts it into the
+// store and returns the table's new version.
+func (t *tableSync) applyEdit(ctx context.Context, req *api.TableApplyRequest) (uint64, error) {
 	var next table.Table
 	if err := json.Unmarshal(req.GetTableJson(), &next); err != nil {
 		return 0, errors.Wrap(err, "decode table")
@@ -127,7 +134,8 @@
 	if err != nil {
 		return 0, err
 	}
-	// The edit is accepted; a failure to read it back now only delays it.
-	t.note(t.pollTable(ctx))
+	// The edit is committed. A failure to read it back only delays it until the next
+	// poll.
+	t.notePlatformState(t.pollTable(ctx))
 	return version, nil
 }
