--- a/internal/live/play.go
+++ b/internal/live/play.go
@@ -26,7 +26,7 @@
 
 // play sends the day's requests when they are due and waits for their ends.
 func (w *world) play(ctx context.Context) *Report {
-	requests := model.Draw(w.cfg.Site, w.cfg.Day, w.cfg.Seed)
+	requests := model.GenerateRequests(w.cfg.Site, w.cfg.Day, w.cfg.Seed)
 	report := newReport(w.cfg.Site)
 	began := time.Now()
 	var asked sync.WaitGroup
--- a/internal/live/world.go
+++ b/internal/live/world.go
@@ -106,7 +106,7 @@
 	for _, dc := range s.DataCentres {
 		for k := range dc.Engines {
 			stage := fleet.Decode
-			if k < s.Prefillers(dc) {
+			if k < s.PrefillEngines(dc) {
 				stage = fleet.Prefill
 			}
 			n := len(w.engines)
--- a/internal/model/arrivals.go
+++ b/internal/model/arrivals.go
@@ -9,126 +9,134 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// Request is one request of a caller, with its later attempts.
+// Request is one request of a caller. It stays the same over all of its attempts.
 type Request struct {
+	// Class indexes Site.Classes, and DataCentre indexes Site.DataCentres.
 	Class int
-	// At is when the caller sends it first.
+	// At is when the caller sends the first attempt.
 	At         time.Duration
 	DataCentre int
-	Caller     int
-	Prompt     *place.Prompt
-	// Output is the tokens that its answer has.
+	// Caller is the index of the caller within the data centre.
+	Caller int
+	Prompt *place.Prompt
+	// Output is the number of tokens in its answer.
 	Output int
-	// Worth is what an answer in time earns, and LateWorth a late one.
+	// Worth is what an answer in time earns, and LateWorth what a late one earns.
 	Worth     float64
 	LateWorth float64
-	// size is what the worth is measured by.
+	// size is the prompt tokens plus the weighted output tokens. It scales the worth and
+	// determines band, the size band within the class.
 	size float64
 	band int
-	// refusedIn is how soon its first attempt was refused.
-	refusedIn time.Duration
+	// refusalDelay is the time from sending the first attempt to its refusal.
+	refusalDelay time.Duration
 }
 
 const (
-	// outputSize is the weight of an output token in a request's size.
-	outputSize = 10
-	// fixedWorth is the part of a request's worth that its size does not change,
-	// and maxWorth bounds the worth, in worths of the class.
-	fixedWorth = 0.3
-	maxWorth   = 4
-	// rootSkew is the skew of a chain's first parts where the file has none, from
-	// the prompts of played days.
-	rootSkew = 1.8
+	// outputTokenWeight is the weight of an output token in a request's size; a prompt token
+	// has weight 1.
+	outputTokenWeight = 10
+	// fixedWorthPart is the part of a request's worth that does not depend on its size, and
+	// maxWorthFactor limits the worth, in multiples of the class's worth.
+	fixedWorthPart = 0.3
+	maxWorthFactor = 4
+	// defaultSkew is the Zipf exponent of prefix levels that the file gives no skew for. It
+	// was estimated from the prompts of days played.
+	defaultSkew = 1.8
 )
 
-// drawing draws a day's requests.
-type drawing struct {
+// requestGenerator generates the requests of a day.
+type requestGenerator struct {
 	site   *Site
 	day    *Day
 	random *rand.Rand
-	parts  [][][]place.Part
-	tables [][]*zipf
-	hash   uint64
+	// sharedParts holds the shared prompt parts by class and prefix level, and popularity the
+	// distribution over the parts of each level.
+	sharedParts [][][]place.Part
+	popularity  [][]*zipf
+	// lastHash is the last hash that was assigned to a part.
+	lastHash uint64
 }
 
-// Draw returns a day's requests in the order of their arrival.
-func Draw(s *Site, d *Day, seed uint64) []*Request {
-	g := &drawing{site: s, day: d, random: rand.New(rand.NewPCG(seed, d.Seed))}
+// GenerateRequests returns the requests of a day in order of arrival.
+func GenerateRequests(s *Site, d *Day, seed uint64) []*Request {
+	g := &requestGenerator{site: s, day: d, random: rand.New(rand.NewPCG(seed, d.Seed))}
 	for i := range s.Classes {
-		g.things(&s.Classes[i])
+		g.addClass(&s.Classes[i])
 	}
 	var out []*Request
 	for dc := range s.DataCentres {
 		for c := range s.Classes {
-			out = append(out, g.class(dc, c)...)
+			out = append(out, g.classRequests(dc, c)...)
 		}
 	}
 	sort.SliceStable(out, func(i, j int) bool { return out[i].At < out[j].At })
-	price(s, out)
-	band(s, out)
+	assignWorth(s, out)
+	assignBands(s, out)
 	return out
 }
 
-// things draws the shared parts of a class.
-func (g *drawing) things(c *Class) {
+// addClass generates the shared prompt parts of a class.
+func (g *requestGenerator) addClass(c *Class) {
 	var parts [][]place.Part
-	var tables []*zipf
-	for _, chain := range c.Chain {
-		level := make([]place.Part, chain.Things)
-		for i := range level {
-			level[i] = place.Part{Hash: g.nextHash(), Tokens: max(int(g.amount(chain.Tokens)), 1)}
+	var popularity []*zipf
+	for _, level := range c.Chain {
+		levelParts := make([]place.Part, level.Things)
+		for i := range levelParts {
+			levelParts[i] = place.Part{Hash: g.nextHash(), Tokens: max(int(g.sample(level.Tokens)), 1)}
 		}
-		parts = append(parts, level)
-		skew := chain.Skew
+		parts = append(parts, levelParts)
+		skew := level.Skew
 		if skew == 0 {
-			skew = rootSkew
+			skew = defaultSkew
 		}
-		tables = append(tables, newZipf(chain.Things, skew))
+		popularity = append(popularity, newZipf(level.Things, skew))
 	}
-	g.parts = append(g.parts, parts)
-	g.tables = append(g.tables, tables)
+	g.sharedParts = append(g.sharedParts, parts)
+	g.popularity = append(g.popularity, popularity)
 }
 
-func (g *drawing) nextHash() uint64 { g.hash++; return g.hash }
+// nextHash returns a hash that no other part has.
+func (g *requestGenerator) nextHash() uint64 { g.lastHash++; return g.lastHash }
 
-// class draws the requests of one class and data centre: a Poisson process,
-// thinned to its rate at each moment.
-func (g *drawing) class(dc, c int) []*Request {
-	most := 0.0
-	for t := 0.0; t < g.day.LengthS; t += rateGrid {
-		most = max(most, g.site.rate(g.day, dc, c, t))
+// classRequests generates the requests that one class sends from one data centre: a Poisson
+// process at the maximum rate, thinned to the current rate.
+func (g *requestGenerator) classRequests(dc, c int) []*Request {
+	maxRate := 0.0
+	for t := 0.0; t < g.day.LengthS; t += rateStepS {
+		maxRate = max(maxRate, g.site.rate(g.day, dc, c, t))
 	}
-	most *= rateMargin
+	maxRate *= rateMargin
 	var out []*Request
-	if most == 0 {
+	if maxRate == 0 {
 		return nil
 	}
-	for t := g.random.ExpFloat64() / most; t < g.day.LengthS; t += g.random.ExpFloat64() / most {
-		if g.random.Float64()*most < g.site.rate(g.day, dc, c, t) {
-			out = append(out, g.request(dc, c, seconds(t)))
+	for t := g.random.ExpFloat64() / maxRate; t < g.day.LengthS; t += g.random.ExpFloat64() / maxRate {
+		if g.random.Float64()*maxRate < g.site.rate(g.day, dc, c, t) {
+			out = append(out, g.newRequest(dc, c, seconds(t)))
 		}
 	}
 	return out
 }
 
 const (
-	// rateGrid is the grid in seconds on which the largest rate is looked for, and
-	// rateMargin covers what lies between its points.
-	rateGrid   = 0.1
+	// rateStepS is the step in seconds at which the rate is sampled to find its maximum, and
+	// rateMargin accounts for higher values between the samples.
+	rateStepS  = 0.1
 	rateMargin = 1.05
 )
 
-// rate is the requests a second of a class from a data centre at t seconds.
-func (s *Site) rate(d *Day, dc, c int, t float64) float64 {
+// rate returns the requests per second of class c from data centre dc, t seconds into the day.
+func (s *Site) rate(day *Day, dc, c int, t float64) float64 {
 	total := 0.0
 	for i := range s.Classes {
 		total += s.Classes[i].Weight
 	}
-	rate := d.PerS[dc] * s.Classes[c].Weight / total
-	if d.Swing > 0 {
-		rate *= 1 + d.Swing*math.Sin(2*math.Pi*(t/d.PeriodS+s.DataCentres[dc].Phase))
+	rate := day.PerS[dc] * s.Classes[c].Weight / total
+	if day.Swing > 0 {
+		rate *= 1 + day.Swing*math.Sin(2*math.Pi*(t/day.PeriodS+s.DataCentres[dc].Phase))
 	}
-	for _, b := range d.Bursts {
+	for _, b := range day.Bursts {
 		if b.Class == s.Classes[c].Name && t >= b.AtS && t < b.AtS+b.ForS {
 			rate *= b.X
 		}
@@ -136,45 +144,47 @@
 	return rate
 }
 
-func (g *drawing) request(dc, c int, at time.Duration) *Request {
+// newRequest generates a request of class c from data centre dc.
+func (g *requestGenerator) newRequest(dc, c int, at time.Duration) *Request {
 	class := &g.site.Classes[c]
 	r := &Request{Class: c, At: at, DataCentre: dc, Caller: g.random.IntN(g.site.DataCentres[dc].Callers), Prompt: &place.Prompt{}}
 	if class.Plain {
 		return r
 	}
 	p := r.Prompt
-	for level, table := range g.tables[c] {
-		part := g.parts[c][level][table.draw(g.random)]
+	for level, popularity := range g.popularity[c] {
+		part := g.sharedParts[c][level][popularity.sample(g.random)]
 		p.Parts = append(p.Parts, part)
 		p.Tokens += part.Tokens
 	}
-	own := place.Part{Hash: g.nextHash(), Tokens: max(int(g.amount(class.Own)), 1)}
+	own := place.Part{Hash: g.nextHash(), Tokens: max(int(g.sample(class.Own)), 1)}
 	p.Parts = append(p.Parts, own)
 	p.Tokens += own.Tokens
-	events := max(int(math.Round(g.amount(class.Events))), 1)
+	events := max(int(math.Round(g.sample(class.Events))), 1)
 	r.Output = events * g.site.Engine.EventTokens
 	p.MaxOutput = int(class.Events.Max) * g.site.Engine.EventTokens
 	hint := float64(r.Output) * math.Exp(class.HintSpread*g.random.NormFloat64())
 	p.Output = min(max(int(hint), 1), p.MaxOutput)
 	p.BodyBytes = int(class.BytesPerToken * float64(p.Tokens))
-	r.size = float64(p.Tokens + outputSize*r.Output)
+	r.size = float64(p.Tokens + outputTokenWeight*r.Output)
 	return r
 }
 
-func (g *drawing) amount(a Amount) float64 {
-	if a.Spread == 0 {
-		return a.Mean
+// sample returns a random value from the distribution d.
+func (g *requestGenerator) sample(d Distribution) float64 {
+	if d.Spread == 0 {
+		return d.Mean
 	}
-	variance := math.Log(1 + a.Spread*a.Spread)
-	v := a.Mean * math.Exp(math.Sqrt(variance)*g.random.NormFloat64()-variance/2)
-	if a.Max > 0 {
-		v = min(v, a.Max)
+	variance := math.Log(1 + d.Spread*d.Spread)
+	v := d.Mean * math.Exp(math.Sqrt(variance)*g.random.NormFloat64()-variance/2)
+	if d.Max > 0 {
+		v = min(v, d.Max)
 	}
 	return v
 }
 
-// price sets the requests' worths by their size against the mean of their class.
-func price(s *Site, rs []*Request) {
+// assignWorth sets each request's worth from its size relative to the mean size of its class.
+func assignWorth(s *Site, rs []*Request) {
 	sums := make([]float64, len(s.Classes))
 	counts := make([]float64, len(s.Classes))
 	for _, r := range rs {
@@ -184,27 +194,29 @@
 	for _, r := range rs {
 		factor := 1.0
 		if c := &s.Classes[r.Class]; !c.Plain {
-			factor = min(fixedWorth+(1-fixedWorth)*r.size*counts[r.Class]/sums[r.Class], maxWorth)
+			factor = min(fixedWorthPart+(1-fixedWorthPart)*r.size*counts[r.Class]/sums[r.Class], maxWorthFactor)
 		}
 		r.Worth = factor * s.Classes[r.Class].Worth
 		r.LateWorth = factor * s.Classes[r.Class].LateWorth
 	}
 }
 
-// zipf draws ranks whose weights fall with their power.
-type zipf struct{ sums []float64 }
+// zipf samples ranks from 0 with a probability proportional to (rank+1)^-skew.
+type zipf struct{ cumulative []float64 }
 
+// newZipf returns a distribution over n ranks.
 func newZipf(n int, skew float64) *zipf {
-	z := &zipf{sums: make([]float64, n)}
+	z := &zipf{cumulative: make([]float64, n)}
 	sum := 0.0
-	for i := range z.sums {
+	for i := range z.cumulative {
 		sum += math.Pow(float64(i+1), -skew)
-		z.sums[i] = sum
+		z.cumulative[i] = sum
 	}
 	return z
 }
 
-func (z *zipf) draw(random *rand.Rand) int {
-	x := random.Float64() * z.sums[len(z.sums)-1]
-	return min(sort.SearchFloat64s(z.sums, x), len(z.sums)-1)
+// sample returns a random rank.
+func (z *zipf) sample(random *rand.Rand) int {
+	x := random.Float64() * z.cumulative[len(z.cumulative)-1]
+	return min(sort.SearchFloat64s(z.cumulative, x), len(z.cumulative)-1)
 }
--- a/internal/model/bound.go
+++ b/internal/model/bound.go
@@ -5,112 +5,114 @@
 	"sort"
 )
 
-// Bound is what no policy can earn more than on a day, with what it rests on.
+// Bound is an upper bound on the worth that policies can earn on a day, with the figures that
+// it is based on.
 type Bound struct {
-	Owed  float64
-	Worth float64
-	// Power is the engine seconds that there are in a second.
-	Power float64
-	// Seconds is the engine time asked for and the engine time there is, by the
-	// second of the first attempt.
-	Seconds []Capacity
+	// OfferedWorth is the worth of all requests if served in time, and Worth the bound.
+	OfferedWorth float64
+	Worth        float64
+	// Capacity is the engine time of the fleet, in engine seconds per second.
+	Capacity float64
+	// Seconds is the engine time that the requests need, by the second of their first
+	// attempt.
+	Seconds []Demand
 }
 
-// Share is the bound as a part of what is owed.
+// Share returns the bound as a part of the offered worth.
 func (b Bound) Share() float64 {
-	if b.Owed == 0 {
+	if b.OfferedWorth == 0 {
 		return 0
 	}
-	return b.Worth / b.Owed
+	return b.Worth / b.OfferedWorth
 }
 
-// Capacity is one second's engine time in engine seconds.
-type Capacity struct {
-	// Asked is with as many parts held as the bound supposes, Cold with none.
-	Asked, Cold float64
+// Demand is the engine time that the requests of one second need, in engine seconds.
+type Demand struct {
+	// Min assumes the cache hits that the bound assumes, and Cold assumes none.
+	Min, Cold float64
 }
 
-// Supposed narrows a bound to some policies.
-type Supposed struct {
-	// FixedStages says that each engine keeps its stage.
+// Assumptions restrict a bound to policies with certain properties.
+type Assumptions struct {
+	// FixedStages says that engines do not change their stages.
 	FixedStages bool
-	// Missed is the share of the shared tokens that are read; where it is negative
-	// they are read once on the whole day.
-	Missed float64
+	// MissRate is the share of the shared tokens that are prefilled. If it is negative, each
+	// shared part is prefilled once in the whole day.
+	MissRate float64
 }
 
-// AnyPolicy is the bound on whatever a policy does.
-func AnyPolicy() Supposed { return Supposed{Missed: -1} }
+// AnyPolicy returns the assumptions that hold for every policy.
+func AnyPolicy() Assumptions { return Assumptions{MissRate: -1} }
 
-// task is the least engine time that a request takes, in the window in which
-// it must be taken.
+// task is the minimum engine time that a request needs, and the window in which it must be
+// spent.
 type task struct {
+	// begin and end are in seconds of the day, and need is in engine seconds.
 	begin, end float64
 	need       float64
-	// density is the worth for an engine second.
+	// density is the worth earned per engine second.
 	density float64
 }
 
-// Tasks are told apart by levels of density, and taken to have the highest of
-// theirs: a level holds one part in levels of the tasks at most, and densities
-// that lie within levelWidth of the highest.
+// Tasks are grouped into levels by density, and each task is counted with the highest density
+// of its level. A level holds at most one part in minLevels of the tasks, with densities within
+// the fraction levelWidth of the highest.
 const (
-	levels     = 200
+	minLevels  = 200
 	levelWidth = 0.02
 )
 
-// NewBound returns the most worth that any policy could earn for the requests.
+// NewBound returns an upper bound on the worth that the requests can earn under any policy to
+// which the assumptions apply.
 //
-// Every request takes at least the reading of its own tokens, and of a shared
-// part where it is the first of all to ask for it: no engine can hold what
-// none has read. An answer takes a slot of an engine that decodes, which reads
-// at half the speed: of each second at least a half divided by the slots is
-// lost to reading. The engines are taken for one that does as much as all of
-// them at once, divides its time at will, knows all that comes, changes stages
-// at no cost and moves memory in no time. Of a request served in part, that
-// part of its worth counts. Each of these only adds to what can be earned.
+// Every request needs at least the prefill of its own tokens, and of each shared part that it is
+// the first to use: no engine can have cached what none has prefilled. An answer occupies a slot
+// of a decode engine, which prefills at half speed: each second in the slot costs at least a
+// half divided by the number of slots in seconds of prefill. The engines are replaced by a
+// single one with the capacity of all, which divides its time arbitrarily, knows all future
+// requests, changes stages at no cost and transfers KV caches in no time. A request served in
+// part earns that part of its worth. Each of these simplifications can only raise the bound.
 //
-// A request in time earns its late worth and, if its reading is done within
-// the aim, the rest. The most of either is reckoned by itself.
+// A request earns its late worth if served by its deadline and, if its prefill completes within
+// its latency objective, the rest of its worth. The maximum of either is computed separately.
 //
-// With fixed stages, decode engines read at half the speed all the time, and
-// slots cost nothing more.
-func NewBound(s *Site, d *Day, requests []*Request, suppose Supposed) Bound {
-	b := Bound{Seconds: make([]Capacity, int(d.LengthS)+1), Power: s.enginePower(suppose)}
+// With fixed stages, decode engines always prefill at half speed, so slots cost nothing more.
+func NewBound(s *Site, d *Day, requests []*Request, assume Assumptions) Bound {
+	b := Bound{Seconds: make([]Demand, int(d.LengthS)+1), Capacity: s.engineCapacity(assume)}
 	seen := make(map[uint64]bool)
 	var late, inTime []task
 	for _, r := range requests {
 		c := &s.Classes[r.Class]
-		b.Owed += r.Worth
+		b.OfferedWorth += r.Worth
 		if c.Plain {
 			b.Worth += r.Worth
 			continue
 		}
-		need, cold := s.least(r, seen, suppose)
+		need, cold := s.minEngineTime(r, seen, assume)
 		second := &b.Seconds[int(r.At.Seconds())]
-		second.Asked += need
+		second.Min += need
 		second.Cold += cold
 		begin := r.At.Seconds()
-		reach := 2 * (s.Network.CallerMS + s.Network.WithinMS) / thousand
-		long := begin + (c.DeadlineMS / thousand) - reach
-		late = append(late, task{begin: begin, end: long, need: need, density: r.LateWorth / need})
-		soon := long
-		if c.Events.Mean <= longEvents {
-			soon = begin + c.AimMS/thousand - reach
+		networkS := 2 * (s.Network.CallerMS + s.Network.WithinMS) / thousand
+		lateEnd := begin + (c.DeadlineMS / thousand) - networkS
+		late = append(late, task{begin: begin, end: lateEnd, need: need, density: r.LateWorth / need})
+		inTimeEnd := lateEnd
+		if c.Events.Mean <= longAnswerEvents {
+			inTimeEnd = begin + c.AimMS/thousand - networkS
 		}
-		if s.lateAtBest(d, r) {
+		if s.cannotBeInTime(d, r) {
 			continue
 		}
-		inTime = append(inTime, task{begin: begin, end: soon, need: need, density: (r.Worth - r.LateWorth) / need})
+		inTime = append(inTime, task{begin: begin, end: inTimeEnd, need: need, density: (r.Worth - r.LateWorth) / need})
 	}
-	b.Worth += mostWorth(late, b.Power) + mostWorth(inTime, b.Power)
-	b.Worth = min(b.Worth, b.Owed)
+	b.Worth += maxTotalWorth(late, b.Capacity) + maxTotalWorth(inTime, b.Capacity)
+	b.Worth = min(b.Worth, b.OfferedWorth)
 	return b
 }
 
-// lateAtBest says that a request cannot be in time: it comes while all VMs are
-// stopped, or its stream would still run when they stop.
-func (s *Site) lateAtBest(d *Day, r *Request) bool {
+// cannotBeInTime reports whether a request cannot be served in time under any policy, because it
+// arrives while all VMs are stopped or its stream would still run when they stop.
+func (s *Site) cannotBeInTime(d *Day, r *Request) bool {
 	steps := r.Output - s.Engine.EventTokens
 	end := r.At + millis(float64(steps)*s.Engine.StepMS)
 	for _, stop := range d.Stops {
@@ -127,18 +129,18 @@
 	return false
 }
 
-// longEvents is the mean number of events above which answers are long: the
-// work of one in time may lie anywhere up to its time limit.
-const longEvents = 10
+// longAnswerEvents is the mean number of events above which a class has long answers. The work of
+// a long answer in time may extend to its deadline; that of others must end within the objective.
+const longAnswerEvents = 10
 
-// enginePower is the engine seconds that the fleet has in a second.
-func (s *Site) enginePower(suppose Supposed) float64 {
+// engineCapacity returns the capacity of the fleet in engine seconds per second.
+func (s *Site) engineCapacity(assume Assumptions) float64 {
 	sum, n := 0.0, 0
 	for _, dc := range s.DataCentres {
 		for k := range dc.Engines {
 			part := 1 / s.TimeFactor(n)
-			if suppose.FixedStages && k >= s.Prefillers(dc) {
-				part /= inPlaceSlowdown
+			if assume.FixedStages && k >= s.PrefillEngines(dc) {
+				part /= decodePrefillSlowdown
 			}
 			sum += part
 			n++
@@ -147,81 +149,80 @@
 	return sum
 }
 
-// least is the least engine seconds that a request takes, and what it takes
-// where nothing is held. seen holds the parts that were read before.
-func (s *Site) least(r *Request, seen map[uint64]bool, suppose Supposed) (need, cold float64) {
+// minEngineTime returns the minimum engine seconds that a request needs, and those that it needs
+// if nothing is cached. seen holds the shared parts that were prefilled before and is updated.
+func (s *Site) minEngineTime(r *Request, seen map[uint64]bool, assume Assumptions) (need, cold float64) {
 	e := &s.Engine
 	parts := r.Prompt.Parts
-	missing := parts[len(parts)-1].Tokens
+	toPrefill := parts[len(parts)-1].Tokens
 	for _, p := range parts[:len(parts)-1] {
-		if suppose.Missed >= 0 {
-			missing += int(suppose.Missed * float64(p.Tokens))
+		if assume.MissRate >= 0 {
+			toPrefill += int(assume.MissRate * float64(p.Tokens))
 			continue
 		}
 		if !seen[p.Hash] {
 			seen[p.Hash] = true
-			missing += p.Tokens
+			toPrefill += p.Tokens
 		}
 	}
-	slot := float64(r.Output-e.EventTokens) * e.StepMS / float64(e.Slots) * (1 - 1.0/inPlaceSlowdown)
-	if suppose.FixedStages {
+	slot := float64(r.Output-e.EventTokens) * e.StepMS / float64(e.Slots) * (1 - 1.0/decodePrefillSlowdown)
+	if assume.FixedStages {
 		slot = 0
 	}
-	return (s.reading(missing) + slot) / thousand, (s.reading(r.Prompt.Tokens) + slot) / thousand
+	return (s.minPrefillMS(toPrefill) + slot) / thousand, (s.minPrefillMS(r.Prompt.Tokens) + slot) / thousand
 }
 
-// reading is the least milliseconds for reading so many tokens: those of a
-// full chunk, and of pairs only among themselves.
-func (s *Site) reading(tokens int) float64 {
+// minPrefillMS returns the minimum milliseconds for the prefill of a number of tokens: in full
+// chunks, with attention pairs only among themselves.
+func (s *Site) minPrefillMS(tokens int) float64 {
 	e, n := &s.Engine, float64(tokens)
 	return n/e.PrefillPerMS + n/float64(e.Chunk)*e.StepMS + e.PairsMS*n*n/2/million
 }
 
-// mostWorth is the most worth of tasks that one engine of that power can do
-// within their windows, each in part if need be.
+// maxTotalWorth returns the maximum worth of the tasks that one engine of the given capacity, in
+// engine seconds per second, can complete within their windows. Tasks may be done in part.
 //
-// For tasks of one density it is the most time that can be used, which serving
-// by the earliest deadline gives. The worth of all is the sum over the levels
-// of density of the time used by tasks at or above each, times the step to the
-// next lower one.
-func mostWorth(tasks []task, power float64) float64 {
+// For tasks of one density this is the maximum time that they can use, which serving by the
+// earliest deadline achieves. The total is the sum over the levels of density of the time used
+// by tasks at or above the level, times the difference to the density of the next lower level.
+func maxTotalWorth(tasks []task, capacity float64) float64 {
 	sort.SliceStable(tasks, func(i, j int) bool { return tasks[i].begin < tasks[j].begin })
 	densities := make([]float64, len(tasks))
 	for i, t := range tasks {
 		densities[i] = t.density
 	}
 	sort.Sort(sort.Reverse(sort.Float64Slice(densities)))
-	most := (len(densities) + levels - 1) / levels
+	maxPerLevel := (len(densities) + minLevels - 1) / minLevels
 	sum := 0.0
 	for from, to := 0, 0; from < len(densities); from = to {
-		// The tasks of a level are all taken to have its highest density.
+		// All tasks of a level are counted with its highest density.
 		top := densities[from]
-		for to < len(densities) && to-from < most && densities[to] >= top*(1-levelWidth) {
+		for to < len(densities) && to-from < maxPerLevel && densities[to] >= top*(1-levelWidth) {
 			to++
 		}
 		next := 0.0
 		if to < len(densities) {
 			next = densities[to]
 		}
-		sum += (top - next) * usedTime(tasks, power, densities[to-1])
+		sum += (top - next) * maxUsedTime(tasks, capacity, densities[to-1])
 	}
 	return sum
 }
 
-// usedTime is the most engine time that the tasks of a density at least can use.
-func usedTime(tasks []task, power, least float64) float64 {
+// maxUsedTime returns the maximum engine seconds that the tasks of at least minDensity can use.
+func maxUsedTime(tasks []task, capacity, minDensity float64) float64 {
 	used, now := 0.0, 0.0
-	var open deadlines
+	var open deadlineHeap
 	next := 0
 	for {
 		for next < len(tasks) && (tasks[next].begin <= now || len(open) == 0) {
 			t := tasks[next]
 			next++
-			if t.density < least {
+			if t.density < minDensity {
 				continue
 			}
 			now = max(now, t.begin)
-			heap.Push(&open, pending{end: t.end, need: t.need})
+			heap.Push(&open, openTask{end: t.end, need: t.need})
 		}
 		if len(open) == 0 {
 			return used
@@ -231,33 +232,33 @@
 			heap.Pop(&open)
 			continue
 		}
-		until := min(now+p.need/power, p.end)
+		until := min(now+p.need/capacity, p.end)
 		if next < len(tasks) {
 			until = min(until, tasks[next].begin)
 		}
-		done := (until - now) * power
+		done := (until - now) * capacity
 		used += done
 		p.need -= done
 		now = until
-		if p.need <= leastNeed {
+		if p.need <= needEpsilon {
 			heap.Pop(&open)
 		}
 	}
 }
 
-// leastNeed is the engine seconds below which a task counts as done.
-const leastNeed = 1e-12
+// needEpsilon is the need in engine seconds below which a task counts as done.
+const needEpsilon = 1e-12
 
-// pending is a task that is open, and deadlines a heap of them by their end.
-type pending struct{ end, need float64 }
+// openTask is a task that may run now, and deadlineHeap a heap of open tasks by their end.
+type openTask struct{ end, need float64 }
 
-type deadlines []pending
+type deadlineHeap []openTask
 
-func (h deadlines) Len() int           { return len(h) }
-func (h deadlines) Less(i, j int) bool { return h[i].end < h[j].end }
-func (h deadlines) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *deadlines) Push(x any)        { *h = append(*h, x.(pending)) }
-func (h *deadlines) Pop() any {
+func (h deadlineHeap) Len() int           { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool { return h[i].end < h[j].end }
+func (h deadlineHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *deadlineHeap) Push(x any)        { *h = append(*h, x.(openTask)) }
+func (h *deadlineHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
--- a/internal/model/cache.go
+++ b/internal/model/cache.go
@@ -2,79 +2,82 @@
 
 import "container/list"
 
-// memory is an engine's KV cache: parts that runs hold stay, the others yield
-// in the order of their last use.
-type memory struct {
-	size int
-	// parts is the tokens of all parts kept, and working those of runs that are
-	// not a part yet: prompts being read and answers.
-	parts   int
-	working int
-	byHash  map[uint64]*part
-	// idle holds the parts that nobody holds, least recently used first.
-	idle *list.List
+// kvCache is the KV cache of an engine. Parts pinned by sequences stay; the others are evicted
+// in least-recently-used order.
+type kvCache struct {
+	// capacity, partTokens and reservedTokens are in tokens.
+	capacity int
+	// partTokens counts the tokens of all cached parts, and reservedTokens those of sequences
+	// that are not cached as parts: prompts during prefill, and answers.
+	partTokens     int
+	reservedTokens int
+	byHash         map[uint64]*cachedPart
+	// lru holds the unpinned parts, least recently used first.
+	lru *list.List
 }
 
-type part struct {
+// cachedPart is a prompt part in the cache.
+type cachedPart struct {
 	hash   uint64
 	tokens int
-	holds  int
-	entry  *list.Element
+	pins   int
+	// lruEntry is the part's entry in lru while it is not pinned.
+	lruEntry *list.Element
 }
 
-func newMemory(size int) *memory {
-	return &memory{size: size, byHash: make(map[uint64]*part), idle: list.New()}
+func newKVCache(size int) *kvCache {
+	return &kvCache{capacity: size, byHash: make(map[uint64]*cachedPart), lru: list.New()}
 }
 
-// hold keeps the part from yielding, and reports whether it is there.
-func (m *memory) hold(hash uint64) bool {
+// pin protects a part from eviction and reports whether it is cached.
+func (m *kvCache) pin(hash uint64) bool {
 	p := m.byHash[hash]
 	if p == nil {
 		return false
 	}
-	if p.holds == 0 {
-		m.idle.Remove(p.entry)
+	if p.pins == 0 {
+		m.lru.Remove(p.lruEntry)
 	}
-	p.holds++
+	p.pins++
 	return true
 }
 
-// release undoes a hold, which was the part's last use.
-func (m *memory) release(hash uint64) {
+// unpin removes one pin. The last unpin marks the part as most recently used.
+func (m *kvCache) unpin(hash uint64) {
 	p := m.byHash[hash]
-	p.holds--
-	if p.holds == 0 {
-		p.entry = m.idle.PushBack(p)
+	p.pins--
+	if p.pins == 0 {
+		p.lruEntry = m.lru.PushBack(p)
 	}
 }
 
-// add keeps a part that was read, held once.
-func (m *memory) add(hash uint64, tokens int) {
-	if m.hold(hash) {
+// insert caches a part after its prefill, pinned once.
+func (m *kvCache) insert(hash uint64, tokens int) {
+	if m.pin(hash) {
 		return
 	}
-	m.byHash[hash] = &part{hash: hash, tokens: tokens, holds: 1}
-	m.parts += tokens
+	m.byHash[hash] = &cachedPart{hash: hash, tokens: tokens, pins: 1}
+	m.partTokens += tokens
 }
 
-// take reserves working tokens. Parts yield for them; it returns false where
-// that is not enough.
-func (m *memory) take(tokens int) bool {
-	for m.parts+m.working+tokens > m.size {
-		oldest := m.idle.Front()
+// reserve reserves space for tokens, evicting unpinned parts as needed. It returns false if
+// that does not free enough space.
+func (m *kvCache) reserve(tokens int) bool {
+	for m.partTokens+m.reservedTokens+tokens > m.capacity {
+		oldest := m.lru.Front()
 		if oldest == nil {
 			return false
 		}
-		p := m.idle.Remove(oldest).(*part)
+		p := m.lru.Remove(oldest).(*cachedPart)
 		delete(m.byHash, p.hash)
-		m.parts -= p.tokens
+		m.partTokens -= p.tokens
 	}
-	m.working += tokens
+	m.reservedTokens += tokens
 	return true
 }
 
-// give returns working tokens.
-func (m *memory) give(tokens int) { m.working -= tokens }
+// release returns reserved tokens.
+func (m *kvCache) release(tokens int) { m.reservedTokens -= tokens }
 
-// clear empties the memory.
-func (m *memory) clear() { *m = *newMemory(m.size) }
+// clear empties the cache.
+func (m *kvCache) clear() { *m = *newKVCache(m.capacity) }
--- a/internal/model/clock.go
+++ b/internal/model/clock.go
@@ -5,49 +5,52 @@
 	"time"
 )
 
-// clock runs what is due, in the order of time and then of its entry.
+// clock is a discrete-event scheduler in virtual time. It runs timers in order of their time,
+// and of their scheduling where the times are equal.
 type clock struct {
-	now   time.Duration
-	queue events
-	count uint64
+	now     time.Duration
+	queue   timerQueue
+	lastSeq uint64
 }
 
-type event struct {
-	at    time.Duration
-	order uint64
-	run   func()
+// timer is a function scheduled for a virtual time. seq orders timers of the same time.
+type timer struct {
+	at  time.Duration
+	seq uint64
+	f   func()
 }
 
-type events []event
+// timerQueue is a heap of timers.
+type timerQueue []timer
 
-func (q events) Len() int { return len(q) }
-func (q events) Less(i, j int) bool {
-	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].order < q[j].order)
+func (q timerQueue) Len() int { return len(q) }
+func (q timerQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].seq < q[j].seq)
 }
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *events) Pop() any {
+func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *timerQueue) Push(x any)   { *q = append(*q, x.(timer)) }
+func (q *timerQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
-	old[len(old)-1] = event{}
+	old[len(old)-1] = timer{}
 	*q = old[:len(old)-1]
 	return last
 }
 
-// after runs f when d has passed.
+// after schedules f to run in d.
 func (c *clock) after(d time.Duration, f func()) { c.at(c.now+d, f) }
 
-// at runs f at a moment that has not passed.
+// at schedules f to run at t, or now if t has passed.
 func (c *clock) at(t time.Duration, f func()) {
-	c.count++
-	heap.Push(&c.queue, event{at: max(t, c.now), order: c.count, run: f})
+	c.lastSeq++
+	heap.Push(&c.queue, timer{at: max(t, c.now), seq: c.lastSeq, f: f})
 }
 
-// run goes on until nothing is due up to the end.
-func (c *clock) run(end time.Duration) {
+// runUntil runs all timers that are due up to end, including those scheduled meanwhile.
+func (c *clock) runUntil(end time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= end {
-		e := heap.Pop(&c.queue).(event)
-		c.now = e.at
-		e.run()
+		t := heap.Pop(&c.queue).(timer)
+		c.now = t.at
+		t.f()
 	}
 }
--- a/internal/model/day.go
+++ b/internal/model/day.go
@@ -1,6 +1,7 @@
-// Package model simulates a fixed fleet of model engines in virtual time: days
-// of requests are drawn from a seed and served under a placement policy. It has
-// no clock and no network, and the same seed gives the same figures.
+// Package model simulates a fleet of model engines as discrete events in virtual time. It
+// generates the requests of a day from a seed and serves them under a placement policy. The
+// simulation reads no clock and uses no network, so the same seed gives the same figures.
+// Live is the exception: it runs the same engines on the wall clock.
 package model
 
 import (
@@ -13,7 +14,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// Site is an installation and its days, as its file holds it.
+// Site describes an installation and the days that can be played on it, as decoded from its
+// file.
 type Site struct {
 	Name        string       `json:"name"`
 	Engine      Engine       `json:"engine"`
@@ -23,44 +25,48 @@
 	Days        []Day        `json:"days"`
 }
 
-// Engine is the figures of one model engine. Times are in milliseconds.
+// Engine holds the performance figures of a model engine. Fields named MS are in milliseconds.
 type Engine struct {
-	// Slots is how many requests run at once, and Queue how many wait besides.
+	// Slots is the number of requests that run at once, and Queue the number that may wait
+	// in addition.
 	Slots int `json:"slots"`
 	Queue int `json:"queue"`
-	// StepMS is the least time of a step; each running request adds
-	// StepPerRunMS, and each thousand tokens of their contexts StepPerKTokenMS.
+	// StepMS is the minimum time of a step. Each running request adds StepPerRunMS, and each
+	// thousand tokens of the running requests' contexts add StepPerKTokenMS.
 	StepMS          float64 `json:"step_ms"`
 	StepPerRunMS    float64 `json:"step_per_run_ms"`
 	StepPerKTokenMS float64 `json:"step_per_k_token_ms"`
-	// PrefillPerMS is the prompt tokens that a prefill engine reads in a
-	// millisecond; a decode engine reads at half of it.
+	// PrefillPerMS is the prompt tokens that a prefill engine processes per millisecond. A
+	// decode engine prefills at half of this rate.
 	PrefillPerMS float64 `json:"prefill_per_ms"`
-	// PairsMS is what a million pairs of tokens that attend to each other add.
+	// PairsMS is the prefill time added per million pairs of tokens that attend to each other.
 	PairsMS float64 `json:"pairs_ms"`
-	// FirstMS passes between the end of a prompt's reading and its first token.
+	// FirstMS is the time from the end of a prompt's prefill to its first output token.
 	FirstMS float64 `json:"first_ms"`
-	// Chunk is the prompt tokens read in one step of a prefill engine.
+	// Chunk is the prompt tokens that a prefill engine processes in one step.
 	Chunk int `json:"chunk"`
-	// EventTokens is the tokens of one event of a stream.
+	// EventTokens is the output tokens of one stream event.
 	EventTokens int `json:"event_tokens"`
-	KVTokens    int `json:"kv_tokens"`
-	// KVTokenBytes is moved for each token, over a link of LinkMbps, after
-	// SetupMS.
+	// KVTokens is the size of the KV cache in tokens.
+	KVTokens int `json:"kv_tokens"`
+	// KVTokenBytes is the size of one token's KV cache entry. A transfer of cache entries
+	// between engines takes SetupMS and then the time of their bytes on a link of LinkMbps.
 	KVTokenBytes float64 `json:"kv_token_bytes"`
 	LinkMbps     float64 `json:"link_mbps"`
 	SetupMS      float64 `json:"setup_ms"`
-	// TimeFactors is how much longer the engines take; they are dealt in turn.
+	// TimeFactors multiply the times of the engines: engine n uses entry n modulo the length.
 	TimeFactors []float64 `json:"time_factors"`
-	// PrefillShare is the share of each data centre's engines that prefill.
+	// PrefillShare is the share of each data centre's engines that prefill initially.
 	PrefillShare float64 `json:"prefill_share"`
-	// NewPrefillShare is the share of engines that prefill as they come.
+	// NewPrefillShare is the share of prefill engines among those that replace drained ones.
 	NewPrefillShare float64 `json:"new_prefill_share"`
-	// SwitchS is how many seconds an engine is away when it changes its stage.
+	// SwitchS is the time in seconds for which an engine is unavailable while it changes its
+	// stage.
 	SwitchS float64 `json:"switch_s"`
 }
 
-// Network is the one-way times in milliseconds and the speed of a VM's link.
+// Network holds the one-way delays within a data centre, between two, and between a caller and
+// its VM, in milliseconds, and the link speed of a VM in Mbit/s.
 type Network struct {
 	WithinMS  float64 `json:"within_ms"`
 	BetweenMS float64 `json:"between_ms"`
@@ -69,6 +75,7 @@
 }
 
 // DataCentre is one data centre with its VMs, engines and callers.
+// Phase shifts its traffic wave, as a fraction of the wave's period.
 type DataCentre struct {
 	Name    string  `json:"name"`
 	VMs     int     `json:"vms"`
@@ -77,56 +84,64 @@
 	Phase   float64 `json:"phase"`
 }
 
-// Amount is a distribution of positive numbers: log-normal by its mean and its
-// coefficient of variation, cut off at Max.
-type Amount struct {
+// Distribution is a log-normal distribution of positive values, given by its mean and its
+// coefficient of variation (Spread) and truncated at Max. Spread 0 always gives the mean, and
+// Max 0 sets no limit.
+type Distribution struct {
 	Mean   float64 `json:"mean"`
 	Spread float64 `json:"spread"`
 	Max    float64 `json:"max"`
 }
 
-// Chain is one shared part of a prompt: one of Things, drawn with weights that
-// fall with their rank to the power of Skew.
-type Chain struct {
-	Tokens Amount  `json:"tokens"`
-	Things int     `json:"things"`
-	Skew   float64 `json:"skew"`
+// PrefixLevel is one level of the prefix that prompts share. Each prompt takes one of Things
+// parts, drawn from a Zipf distribution with the exponent Skew; Skew 0 selects defaultSkew.
+// Tokens is the distribution of the parts' lengths.
+type PrefixLevel struct {
+	Tokens Distribution `json:"tokens"`
+	Things int          `json:"things"`
+	Skew   float64      `json:"skew"`
 }
 
-// Class is one kind of request.
+// Class describes one class of requests.
 type Class struct {
 	Name string `json:"name"`
-	// Weight is its part in the traffic of each data centre.
-	Weight     float64 `json:"weight"`
+	// Weight is the relative share of the class in the traffic of each data centre.
+	Weight float64 `json:"weight"`
+	// AimMS is the objective for the time to the first event, GapMS the longest pause
+	// allowed between two events, and DeadlineMS the time limit of the whole answer.
 	AimMS      float64 `json:"aim_ms"`
 	GapMS      float64 `json:"gap_ms"`
 	DeadlineMS float64 `json:"deadline_ms"`
-	Worth      float64 `json:"worth"`
-	LateWorth  float64 `json:"late_worth"`
-	Priority   int     `json:"priority"`
-	// Resumable answers may go on at another engine.
+	// Worth is what an answer within the objectives earns, and LateWorth what a complete but
+	// late one earns, for a request of the mean size of the class.
+	Worth     float64 `json:"worth"`
+	LateWorth float64 `json:"late_worth"`
+	Priority  int     `json:"priority"`
+	// Resumable answers may continue on another engine after a failure.
 	Resumable bool `json:"resumable,omitempty"`
-	// Plain calls go to other services and are taken as served in time.
+	// Plain requests go to other services; they count as served in time without simulation.
 	Plain bool `json:"plain,omitempty"`
-	// Own is the prompt's own tokens, Chain its shared parts, Events the events
-	// of its answer.
-	Own    Amount  `json:"own"`
-	Chain  []Chain `json:"chain"`
-	Events Amount  `json:"events"`
-	// HintSpread is how far off the caller's estimate of the answer is.
+	// Own is the distribution of the prompt tokens that are not shared, Chain lists the
+	// levels of the shared prefix, and Events is the distribution of the answer's events.
+	Own    Distribution  `json:"own"`
+	Chain  []PrefixLevel `json:"chain"`
+	Events Distribution  `json:"events"`
+	// HintSpread is the standard deviation of the logarithm of the caller's length hint
+	// relative to the answer's actual length.
 	HintSpread float64 `json:"hint_spread"`
-	// BytesPerToken is the body's bytes for a prompt token.
+	// BytesPerToken is the size of the request body in bytes per prompt token.
 	BytesPerToken float64 `json:"bytes_per_token"`
 }
 
-// Day is the traffic and the faults of one day.
+// Day describes the traffic and the faults of one day.
 type Day struct {
 	Name    string  `json:"name"`
 	Seed    uint64  `json:"seed"`
 	LengthS float64 `json:"length_s"`
-	// PerS is the requests a second of each data centre.
+	// PerS is the mean requests per second of each data centre.
 	PerS []float64 `json:"per_s"`
-	// Swing and PeriodS are those of the traffic's wave.
+	// Swing is the relative amplitude of the traffic's sine wave, and PeriodS its period in
+	// seconds.
 	Swing   float64  `json:"swing"`
 	PeriodS float64  `json:"period_s"`
 	Bursts  []Burst  `json:"bursts"`
@@ -135,13 +150,13 @@
 	Stops   []Stop   `json:"stops,omitempty"`
 }
 
-// Stop has all VMs stopped for a while.
+// Stop stops all VMs at AtS for ForS seconds.
 type Stop struct {
 	AtS  float64 `json:"at_s"`
 	ForS float64 `json:"for_s"`
 }
 
-// Burst multiplies the traffic of a class for a while.
+// Burst multiplies the traffic of a class by X, starting at AtS, for ForS seconds.
 type Burst struct {
 	Class string  `json:"class"`
 	AtS   float64 `json:"at_s"`
@@ -149,8 +164,9 @@
 	X     float64 `json:"x"`
 }
 
-// Outage takes engines away: for ForS, or for good where it is 0. Engines that
-// drain end their work first.
+// Outage takes Count engines out of service at AtS, for ForS seconds or permanently if ForS is
+// 0. Draining engines keep serving for drainTime first. Silent engines do not answer at all,
+// instead of refusing connections.
 type Outage struct {
 	AtS    float64 `json:"at_s"`
 	ForS   float64 `json:"for_s"`
@@ -159,14 +175,14 @@
 	Silent bool    `json:"silent"`
 }
 
-// Cut parts a data centre from the others.
+// Cut separates a data centre from the others at AtS for ForS seconds.
 type Cut struct {
 	DataCentre string  `json:"data_centre"`
 	AtS        float64 `json:"at_s"`
 	ForS       float64 `json:"for_s"`
 }
 
-// Load reads a site's file: JSON with comments, unknown fields refused.
+// Load reads a site file, which is JSON with comments. Unknown fields are errors.
 func Load(path string) (*Site, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -175,7 +191,7 @@
 	return Decode(data)
 }
 
-// Decode decodes a site's file.
+// Decode decodes and validates the contents of a site file.
 func Decode(data []byte) (*Site, error) {
 	data, err := hujson.Standardize(data)
 	if err != nil {
@@ -187,42 +203,43 @@
 	if err := d.Decode(s); err != nil {
 		return nil, errors.Wrap(err, "decode day file")
 	}
-	return s, s.check()
+	return s, s.validate()
 }
 
-func (s *Site) check() error {
+// validate returns an error if a figure of the site is missing or out of range.
+func (s *Site) validate() error {
 	e := s.Engine
-	if e.Slots <= 0 || e.StepMS <= 0 || e.PrefillPerMS <= 0 || e.Chunk < inPlaceParts || e.EventTokens <= 0 || e.KVTokens <= 0 || e.LinkMbps <= 0 {
-		return errors.New("engine: slots, steps, reading, chunk, events, memory and link must be positive")
+	if e.Slots <= 0 || e.StepMS <= 0 || e.PrefillPerMS <= 0 || e.Chunk < decodeChunkDivisor || e.EventTokens <= 0 || e.KVTokens <= 0 || e.LinkMbps <= 0 {
+		return errors.New("engine: slots, step_ms, prefill_per_ms, event_tokens, kv_tokens and link_mbps must be positive, and chunk at least 4")
 	}
 	if len(s.DataCentres) == 0 || len(s.Classes) == 0 {
-		return errors.New("no data centres or no classes")
+		return errors.New("site: at least one data centre and one class are required")
 	}
 	for _, d := range s.DataCentres {
 		if d.VMs <= 0 || d.Engines < 2 || d.Callers <= 0 {
-			return errors.Errorf("data centre %s: needs VMs, callers and two engines", d.Name)
+			return errors.Errorf("data centre %s: at least one VM, one caller and two engines are required", d.Name)
 		}
 	}
 	for _, c := range s.Classes {
 		if c.DeadlineMS <= 0 || c.AimMS <= 0 || c.Weight < 0 {
-			return errors.Errorf("class %s: needs an aim, a deadline and a weight", c.Name)
+			return errors.Errorf("class %s: aim_ms and deadline_ms must be positive, and weight must not be negative", c.Name)
 		}
 	}
 	for _, d := range s.Days {
 		if len(d.PerS) != len(s.DataCentres) || d.LengthS <= 0 || (d.Swing != 0 && d.PeriodS <= 0) {
-			return errors.Errorf("day %s: needs a length, a period and a rate for each data centre", d.Name)
+			return errors.Errorf("day %s: length_s, one rate in per_s for each data centre, and period_s if swing is set are required", d.Name)
 		}
 		for _, b := range d.Bursts {
-			if s.class(b.Class) < 0 {
-				return errors.Errorf("day %s: no class %q", d.Name, b.Class)
+			if s.classIndex(b.Class) < 0 {
+				return errors.Errorf("day %s: burst refers to unknown class %q", d.Name, b.Class)
 			}
 		}
 	}
 	return nil
 }
 
-// class returns the index of the class of that name, or -1.
-func (s *Site) class(name string) int {
+// classIndex returns the index of the class with the given name, or -1.
+func (s *Site) classIndex(name string) int {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
 			return i
@@ -231,22 +248,23 @@
 	return -1
 }
 
-// Day returns the day of that name.
+// Day returns the day with the given name, or an error if there is none.
 func (s *Site) Day(name string) (*Day, error) {
 	for i := range s.Days {
 		if s.Days[i].Name == name {
 			return &s.Days[i], nil
 		}
 	}
-	return nil, errors.Errorf("no day %q", name)
+	return nil, errors.Errorf("day %q does not exist", name)
 }
 
-// Prefillers is how many engines of a data centre prefill at first.
-func (s *Site) Prefillers(dc DataCentre) int {
+// PrefillEngines returns how many engines of a data centre prefill initially. At least one
+// engine prefills and at least one decodes.
+func (s *Site) PrefillEngines(dc DataCentre) int {
 	return min(max(int(s.Engine.PrefillShare*float64(dc.Engines)), 1), dc.Engines-1)
 }
 
-// TimeFactor is how much longer the n-th engine takes.
+// TimeFactor returns the factor by which the n-th engine is slower than its figures.
 func (s *Site) TimeFactor(n int) float64 {
 	if f := s.Engine.TimeFactors; len(f) > 0 {
 		return f[n%len(f)]
@@ -254,6 +272,8 @@
 	return 1
 }
 
+// millis converts milliseconds to a Duration.
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
+// seconds converts seconds to a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -10,390 +10,407 @@
 )
 
 const (
-	// inPlaceParts is how many times smaller the chunks of a decode engine are, and
-	// inPlaceSlowdown how many times slower it reads them (users' sheets).
-	inPlaceParts    = 4
-	inPlaceSlowdown = 2
-	million         = 1e6
-	thousand        = 1e3
+	// A decode engine prefills in chunks decodeChunkDivisor times smaller and
+	// decodePrefillSlowdown times slower than a prefill engine, per the users' specification.
+	decodeChunkDivisor    = 4
+	decodePrefillSlowdown = 2
+	million               = 1e6
+	thousand              = 1e3
 )
 
-// run is one request at one engine.
-type run struct {
+// sequence is the processing of one request by one engine.
+type sequence struct {
 	prompt   *place.Prompt
 	priority int
-	// only says that the prompt is read and kept for another engine, and fetched
-	// that another engine has read it.
-	only    bool
-	fetched bool
-	// output is the tokens to make, and made those made so far.
-	output int
-	made   int
-	// expires is when the engine gives the run up.
-	expires time.Duration
-	// ready is when the memory that is fetched for it is there.
-	ready time.Duration
-	// on is told what becomes of the run.
-	on outcome
+	// prefillOnly says that the prompt is prefilled and kept for another engine, and fetched
+	// that another engine has prefilled it.
+	prefillOnly bool
+	fetched     bool
+	// output is the number of answer tokens to produce, and produced those produced so far.
+	output   int
+	produced int
+	// expiresAt is when the engine drops the sequence.
+	expiresAt time.Duration
+	// readyAt is when the KV cache fetched for the sequence has arrived.
+	readyAt time.Duration
+	// observer is notified of the progress of the sequence.
+	observer sequenceObserver
 
-	order   uint64
-	life    int
-	missing int
-	done    int
-	held    []uint64
-	working int
-	active  bool
-	going   bool
-	over    bool
+	// seqNo orders the sequences by their submission, and incarnation is that of the engine
+	// at the submission.
+	seqNo       uint64
+	incarnation int
+	// toPrefill counts the prompt tokens still to be prefilled, and contextTokens those that
+	// are cached or already prefilled.
+	toPrefill     int
+	contextTokens int
+	// pinned lists the hashes of the pinned prompt parts, and reserved counts the cache
+	// tokens reserved in addition.
+	pinned   []uint64
+	reserved int
+	// admitted says that the sequence has had a slot, decoding that it is producing tokens,
+	// and finished that it has ended and holds no cache memory.
+	admitted bool
+	decoding bool
+	finished bool
 }
 
-// outcome is told what becomes of a run.
-type outcome interface {
-	// read says that the prompt is read: a handle is there. cached is the
-	// prompt's tokens that were held.
-	read(cached int)
-	// event says that the n-th event of the stream is made.
-	event(n int, last bool)
-	// dropped says that the run ended early; started, that it had begun.
+// sequenceObserver is notified of the progress of a sequence.
+type sequenceObserver interface {
+	// prefilled reports that the prompt is in cache and can be fetched from there. cached
+	// is the number of prompt tokens that were cached before.
+	prefilled(cached int)
+	// eventProduced reports that event n of the stream, counted from 1, is produced.
+	eventProduced(n int, last bool)
+	// dropped reports that the sequence ended early. started says whether it had been
+	// admitted.
 	dropped(started bool)
 }
 
-// engine is one model engine.
+// engine simulates one model engine with continuous batching.
 type engine struct {
-	target  *fleet.Target
-	figures *Engine
-	factor  float64
-	clock   *clock
-	memory  *memory
+	target *fleet.Target
+	spec   *Engine
+	// timeFactor multiplies the duration of each step.
+	timeFactor float64
+	clock      *clock
+	cache      *kvCache
 
-	waiting []*run
-	reading []*run
-	// starting runs are read and wait for their first token.
-	starting []*run
-	running  []*run
-	// linkFree is when the engine's link has moved what it was given.
-	linkFree time.Duration
-	stepping bool
-	// down says that the engine is away, silent that it does not even refuse, gone
-	// that it is not listed any more.
-	down   bool
-	silent bool
-	gone   bool
-	// changing says that the engine is ordered to its next stage.
-	changing bool
-	next     fleet.Stage
-	life     int
-	orders   uint64
-	total    *Reads
+	waiting []*sequence
+	// prefilling sequences have a slot, and their prompts are not fully prefilled.
+	prefilling []*sequence
+	// starting sequences are prefilled and wait for their first token.
+	starting []*sequence
+	running  []*sequence
+	// linkFreeAt is when the engine's link has completed the transfers assigned to it.
+	linkFreeAt time.Duration
+	// stepScheduled says that a step is running or scheduled.
+	stepScheduled bool
+	// down says that the engine is out of service, silent that it does not even refuse
+	// connections, and delisted that it is no longer in the listing.
+	down     bool
+	silent   bool
+	delisted bool
+	// changing says that the engine has been ordered to change to nextStage.
+	changing  bool
+	nextStage fleet.Stage
+	// incarnation counts the crashes, and lastSeqNo the submitted sequences.
+	incarnation int
+	lastSeqNo   uint64
+	// tokens sums up the prompt tokens of all engines.
+	tokens *TokenCounts
 }
 
-// Reads counts prompt tokens.
-type Reads struct {
-	// Read is the tokens that were read, Held those found in memory, Shared
-	// the shared tokens of all prompts read and SharedHeld those found.
-	Read, Held, Shared, SharedHeld int
-	// Moved is the tokens moved between engines.
+// TokenCounts counts prompt tokens over all engines.
+type TokenCounts struct {
+	// Prefilled counts the tokens that were prefilled and Cached those found in cache. Shared
+	// counts the tokens of the prompts' shared parts, and SharedCached those found in cache.
+	Prefilled, Cached, Shared, SharedCached int
+	// Moved counts the tokens whose KV cache was transferred between engines.
 	Moved int
 }
 
-// heldShare is the part of the shared tokens that was found in memory.
-func (r Reads) heldShare() float64 { return share(float64(r.SharedHeld), float64(r.Shared)) }
+// hitRate returns the share of the shared tokens that was found in cache.
+func (c TokenCounts) hitRate() float64 { return ratio(float64(c.SharedCached), float64(c.Shared)) }
 
-func (e *engine) prefills() bool { return e.target.Stage == fleet.Prefill }
+// isPrefill reports whether the engine's stage is prefill.
+func (e *engine) isPrefill() bool { return e.target.Stage == fleet.Prefill }
 
-// busy is how many requests hold a slot.
-func (e *engine) busy() int { return len(e.reading) + len(e.running) + len(e.starting) }
+// busySlots returns how many sequences hold a slot.
+func (e *engine) busySlots() int { return len(e.prefilling) + len(e.running) + len(e.starting) }
 
-// submit queues a run; it returns false where the engine is full or away.
-func (e *engine) submit(r *run) bool {
-	if e.down || len(e.waiting) >= e.figures.Queue {
+// submit queues a sequence by its priority, lower values first. It returns false if the queue
+// is full or the engine is down.
+func (e *engine) submit(s *sequence) bool {
+	if e.down || len(e.waiting) >= e.spec.Queue {
 		return false
 	}
-	e.orders++
-	r.order, r.life = e.orders, e.life
-	at := sort.Search(len(e.waiting), func(i int) bool { return e.waiting[i].priority > r.priority })
+	e.lastSeqNo++
+	s.seqNo, s.incarnation = e.lastSeqNo, e.incarnation
+	at := sort.Search(len(e.waiting), func(i int) bool { return e.waiting[i].priority > s.priority })
 	e.waiting = append(e.waiting, nil)
 	copy(e.waiting[at+1:], e.waiting[at:])
-	e.waiting[at] = r
+	e.waiting[at] = s
 	e.wake()
 	return true
 }
 
+// wake schedules a step, unless one is scheduled or the engine is down.
 func (e *engine) wake() {
-	if !e.stepping && !e.down {
-		e.stepping = true
+	if !e.stepScheduled && !e.down {
+		e.stepScheduled = true
 		e.clock.after(0, e.step)
 	}
 }
 
-// step admits what fits, reads one chunk and makes one token of each running
-// request.
+// step admits waiting sequences, prefills one chunk and produces one token of each running
+// sequence.
 func (e *engine) step() {
 	if e.down {
-		e.stepping = false
+		e.stepScheduled = false
 		return
 	}
-	e.expire()
+	e.dropExpired()
 	e.admit()
-	if len(e.reading)+len(e.running) == 0 {
-		e.stepping = false
+	if len(e.prefilling)+len(e.running) == 0 {
+		e.stepScheduled = false
 		return
 	}
-	ms, read := e.readChunk()
+	ms, prefilled := e.prefillChunk()
 	context := 0
-	for _, r := range e.running {
-		context += r.prompt.Tokens + r.made
+	for _, s := range e.running {
+		context += s.prompt.Tokens + s.produced
 	}
-	ms += e.figures.StepMS + e.figures.StepPerRunMS*float64(len(e.running)) + e.figures.StepPerKTokenMS*float64(context)/thousand
-	life, running := e.life, append([]*run(nil), e.running...)
-	e.clock.after(millis(ms*e.factor), func() {
-		if e.life != life {
+	ms += e.spec.StepMS + e.spec.StepPerRunMS*float64(len(e.running)) + e.spec.StepPerKTokenMS*float64(context)/thousand
+	incarnation, running := e.incarnation, append([]*sequence(nil), e.running...)
+	e.clock.after(millis(ms*e.timeFactor), func() {
+		if e.incarnation != incarnation {
 			return
 		}
-		e.produce(running)
-		for _, r := range read {
-			e.finishRead(r)
+		e.decodeTokens(running)
+		for _, s := range prefilled {
+			e.finishPrefill(s)
 		}
 		e.step()
 	})
 }
 
-// expire drops what is out of time.
-func (e *engine) expire() {
-	for _, list := range []*[]*run{&e.waiting, &e.reading, &e.running} {
+// dropExpired drops the sequences whose time has expired.
+func (e *engine) dropExpired() {
+	for _, list := range []*[]*sequence{&e.waiting, &e.prefilling, &e.running} {
 		kept := (*list)[:0]
-		for _, r := range *list {
-			if r.expires > e.clock.now {
-				kept = append(kept, r)
+		for _, s := range *list {
+			if s.expiresAt > e.clock.now {
+				kept = append(kept, s)
 				continue
 			}
-			e.drop(r)
+			e.drop(s)
 		}
 		*list = kept
 	}
 }
 
-// drop ends a run that is on no list any more.
-func (e *engine) drop(r *run) {
-	e.leave(r)
-	r.on.dropped(r.active)
+// drop ends a sequence that the caller has removed from the engine's lists.
+func (e *engine) drop(s *sequence) {
+	e.releaseMemory(s)
+	s.observer.dropped(s.admitted)
 }
 
-// leave gives the run's memory back.
-func (e *engine) leave(r *run) {
-	if r.over {
+// releaseMemory releases the cache memory of a sequence and marks it as finished.
+func (e *engine) releaseMemory(s *sequence) {
+	if s.finished {
 		return
 	}
-	r.over, r.going = true, false
-	for _, h := range r.held {
-		e.memory.release(h)
+	s.finished, s.decoding = true, false
+	for _, h := range s.pinned {
+		e.cache.unpin(h)
 	}
-	r.held = nil
-	e.memory.give(r.working)
-	r.working = 0
+	s.pinned = nil
+	e.cache.release(s.reserved)
+	s.reserved = 0
 }
 
-// admit starts waiting runs, in their order, while slots and memory last.
+// admit starts waiting sequences in order while slots and cache memory are available.
 func (e *engine) admit() {
-	for len(e.waiting) > 0 && e.busy() < e.figures.Slots {
-		r := e.waiting[0]
-		held := 0
-		for _, p := range r.prompt.Parts {
-			if !e.memory.hold(p.Hash) {
+	for len(e.waiting) > 0 && e.busySlots() < e.spec.Slots {
+		s := e.waiting[0]
+		cached := 0
+		for _, p := range s.prompt.Parts {
+			if !e.cache.pin(p.Hash) {
 				break
 			}
-			r.held = append(r.held, p.Hash)
-			held += p.Tokens
+			s.pinned = append(s.pinned, p.Hash)
+			cached += p.Tokens
 		}
-		need := r.prompt.Tokens - held + r.made
-		if !e.memory.take(need) {
-			for _, h := range r.held {
-				e.memory.release(h)
+		need := s.prompt.Tokens - cached + s.produced
+		if !e.cache.reserve(need) {
+			for _, h := range s.pinned {
+				e.cache.unpin(h)
 			}
-			r.held = nil
+			s.pinned = nil
 			return
 		}
-		r.working, r.done, r.missing, r.active = need, held, need, true
-		if r.fetched {
-			r.missing = 0
+		s.reserved, s.contextTokens, s.toPrefill, s.admitted = need, cached, need, true
+		if s.fetched {
+			s.toPrefill = 0
 		} else {
-			e.count(r.prompt, held)
+			e.countPrompt(s.prompt, cached)
 		}
 		e.waiting = e.waiting[1:]
-		e.reading = append(e.reading, r)
+		e.prefilling = append(e.prefilling, s)
 	}
 }
 
-func (e *engine) count(q *place.Prompt, held int) {
-	shared := q.Tokens - q.Parts[len(q.Parts)-1].Tokens
-	e.total.Read += q.Tokens - held
-	e.total.Held += held
-	e.total.Shared += shared
-	e.total.SharedHeld += min(held, shared)
+// countPrompt counts the tokens of an admitted prompt, of which cached were found in cache.
+func (e *engine) countPrompt(prompt *place.Prompt, cached int) {
+	shared := prompt.Tokens - prompt.Parts[len(prompt.Parts)-1].Tokens
+	e.tokens.Prefilled += prompt.Tokens - cached
+	e.tokens.Cached += cached
+	e.tokens.Shared += shared
+	e.tokens.SharedCached += min(cached, shared)
 }
 
-// readChunk reads the next tokens of the prompts, in their order. It returns
-// the time that it takes and the runs whose prompts are read by it.
-func (e *engine) readChunk() (ms float64, read []*run) {
-	budget, rate := e.figures.Chunk, e.figures.PrefillPerMS
-	if !e.prefills() {
-		budget, rate = budget/inPlaceParts, rate/inPlaceSlowdown
+// prefillChunk prefills the next chunk of the prompts, in order of admission. It returns the
+// time in milliseconds that this takes, and the sequences whose prompts it completes.
+func (e *engine) prefillChunk() (ms float64, prefilled []*sequence) {
+	budget, rate := e.spec.Chunk, e.spec.PrefillPerMS
+	if !e.isPrefill() {
+		budget, rate = budget/decodeChunkDivisor, rate/decodePrefillSlowdown
 	}
-	for len(e.reading) > 0 {
-		r := e.reading[0]
-		if r.missing > 0 && budget == 0 {
+	for len(e.prefilling) > 0 {
+		s := e.prefilling[0]
+		if s.toPrefill > 0 && budget == 0 {
 			break
 		}
-		n := min(budget, r.missing)
-		pairs := float64(n) * (float64(r.done) + float64(n)/2)
-		ms += float64(n)/rate + e.figures.PairsMS*pairs/million
+		n := min(budget, s.toPrefill)
+		pairs := float64(n) * (float64(s.contextTokens) + float64(n)/2)
+		ms += float64(n)/rate + e.spec.PairsMS*pairs/million
 		budget -= n
-		r.missing -= n
-		r.done += n
-		if r.missing > 0 {
+		s.toPrefill -= n
+		s.contextTokens += n
+		if s.toPrefill > 0 {
 			break
 		}
-		read = append(read, r)
-		e.reading = e.reading[1:]
-		e.starting = append(e.starting, r)
+		prefilled = append(prefilled, s)
+		e.prefilling = e.prefilling[1:]
+		e.starting = append(e.starting, s)
 	}
-	return ms, read
+	return ms, prefilled
 }
 
-// finishRead keeps the prompt's parts; the run goes on when its first token is
-// due.
-func (e *engine) finishRead(r *run) {
+// finishPrefill adds a completed prompt's parts to the cache and schedules the first token.
+func (e *engine) finishPrefill(s *sequence) {
 	cached := 0
-	for i, p := range r.prompt.Parts {
-		if i < len(r.held) {
+	for i, p := range s.prompt.Parts {
+		if i < len(s.pinned) {
 			cached += p.Tokens
 			continue
 		}
-		e.memory.add(p.Hash, p.Tokens)
-		r.held = append(r.held, p.Hash)
+		e.cache.insert(p.Hash, p.Tokens)
+		s.pinned = append(s.pinned, p.Hash)
 	}
-	e.memory.give(r.working)
-	r.working = 0
-	if r.made > 0 && !e.memory.take(r.made) {
-		e.starting = without(e.starting, r)
-		e.drop(r)
+	e.cache.release(s.reserved)
+	s.reserved = 0
+	if s.produced > 0 && !e.cache.reserve(s.produced) {
+		e.starting = without(e.starting, s)
+		e.drop(s)
 		return
 	}
-	r.working = r.made
-	wait := millis(e.figures.FirstMS)
-	if r.fetched {
+	s.reserved = s.produced
+	wait := millis(e.spec.FirstMS)
+	if s.fetched {
 		wait = 0
 	}
-	life := e.life
+	incarnation := e.incarnation
 	e.clock.after(wait, func() {
-		if e.life != life {
+		if e.incarnation != incarnation {
 			return
 		}
-		e.starting = without(e.starting, r)
-		if r.only {
-			// The parts stay held until the handle is taken or freed.
-			r.on.read(cached)
+		e.starting = without(e.starting, s)
+		if s.prefillOnly {
+			// The parts stay pinned until the handle is fetched or freed.
+			s.observer.prefilled(cached)
 			e.wake()
 			return
 		}
-		e.begin(r, cached)
+		e.startDecoding(s, cached)
 	})
 }
 
-// begin makes the run's first token.
-func (e *engine) begin(r *run, cached int) {
-	r.on.read(cached)
-	e.running = append(e.running, r)
-	r.going = true
-	if r.made == 0 {
-		e.produce([]*run{r})
+// startDecoding produces the first token of a sequence.
+func (e *engine) startDecoding(s *sequence, cached int) {
+	s.observer.prefilled(cached)
+	e.running = append(e.running, s)
+	s.decoding = true
+	if s.produced == 0 {
+		e.decodeTokens([]*sequence{s})
 	}
 	e.wake()
 }
 
-// produce makes one token of each run that is still running.
-func (e *engine) produce(runs []*run) {
-	for _, r := range runs {
-		if !r.going || !e.room(r) {
+// decodeTokens produces one token of each given sequence that is still decoding.
+func (e *engine) decodeTokens(sequences []*sequence) {
+	for _, s := range sequences {
+		if !s.decoding || !e.reserveToken(s) {
 			continue
 		}
-		r.working++
-		r.made++
-		every := e.figures.EventTokens
-		if (r.made-1)%every != 0 {
+		s.reserved++
+		s.produced++
+		eventTokens := e.spec.EventTokens
+		if (s.produced-1)%eventTokens != 0 {
 			continue
 		}
-		last := r.made >= r.output
+		last := s.produced >= s.output
 		if last {
-			e.remove(r)
-			e.leave(r)
+			e.removeRunning(s)
+			e.releaseMemory(s)
 		}
-		r.on.event((r.made-1)/every+1, last)
+		s.observer.eventProduced((s.produced-1)/eventTokens+1, last)
 	}
 }
 
-// room takes memory for one more token of a run; where there is none, the
-// newest of the least urgent runs yields.
-func (e *engine) room(r *run) bool {
-	for !e.memory.take(1) {
+// reserveToken reserves memory for one more token of a sequence. If there is none, it preempts
+// the most recently submitted of the least urgent sequences. It returns false if that is s.
+func (e *engine) reserveToken(s *sequence) bool {
+	for !e.cache.reserve(1) {
 		victim := e.running[0]
 		for _, o := range e.running {
-			if o.priority > victim.priority || (o.priority == victim.priority && o.order > victim.order) {
+			if o.priority > victim.priority || (o.priority == victim.priority && o.seqNo > victim.seqNo) {
 				victim = o
 			}
 		}
 		e.preempt(victim)
-		if victim == r {
+		if victim == s {
 			return false
 		}
 	}
 	return true
 }
 
-// preempt puts a run back to wait; it is read again.
-func (e *engine) preempt(r *run) {
-	e.remove(r)
-	e.leave(r)
-	r.over, r.fetched = false, false
-	e.waiting = append([]*run{r}, e.waiting...)
+// preempt puts a running sequence back at the head of the queue, to be prefilled again.
+func (e *engine) preempt(s *sequence) {
+	e.removeRunning(s)
+	e.releaseMemory(s)
+	s.finished, s.fetched = false, false
+	e.waiting = append([]*sequence{s}, e.waiting...)
 }
 
-// remove takes a run off those running.
-func (e *engine) remove(r *run) {
-	r.going = false
-	e.running = without(e.running, r)
+// removeRunning takes a sequence out of the running ones.
+func (e *engine) removeRunning(s *sequence) {
+	s.decoding = false
+	e.running = without(e.running, s)
 }
 
-// without returns a list that lacks r; the old one stays as it is.
-func without(list []*run, r *run) []*run {
+// without returns list without s. It does not modify list.
+func without(list []*sequence, s *sequence) []*sequence {
 	for i, o := range list {
-		if o == r {
+		if o == s {
 			return append(list[:i:i], list[i+1:]...)
 		}
 	}
 	return list
 }
 
-// free gives up the memory that a handle keeps, unless it went with the engine.
-func (e *engine) free(r *run) {
-	if e.keeps(r) {
-		e.leave(r)
+// freeHandle releases the memory kept for a prefilled prompt, unless a crash has cleared it.
+func (e *engine) freeHandle(s *sequence) {
+	if e.hasHandle(s) {
+		e.releaseMemory(s)
 		e.wake()
 	}
 }
 
-// keeps says that the engine has not crashed since it was given the run.
-func (e *engine) keeps(r *run) bool { return r.life == e.life }
+// hasHandle reports whether the engine has not crashed since the sequence was submitted.
+func (e *engine) hasHandle(s *sequence) bool { return s.incarnation == e.incarnation }
 
-// fail takes the engine away with all that it has in hand.
-func (e *engine) fail() {
-	e.down, e.stepping = true, false
-	e.life++
-	lost := slices.Concat(e.waiting, e.reading, e.starting, e.running)
-	e.waiting, e.reading, e.starting, e.running = nil, nil, nil, nil
-	e.memory.clear()
-	for _, r := range lost {
-		r.over, r.going, r.held, r.working = true, false, nil, 0
-		r.on.dropped(r.active)
+// crash takes the engine out of service and drops all of its sequences and its cache.
+func (e *engine) crash() {
+	e.down, e.stepScheduled = true, false
+	e.incarnation++
+	lost := slices.Concat(e.waiting, e.prefilling, e.starting, e.running)
+	e.waiting, e.prefilling, e.starting, e.running = nil, nil, nil, nil
+	e.cache.clear()
+	for _, s := range lost {
+		s.finished, s.decoding, s.pinned, s.reserved = true, false, nil, 0
+		s.observer.dropped(s.admitted)
 	}
 }
--- a/internal/model/faults.go
+++ b/internal/model/faults.go
@@ -7,119 +7,119 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// schedule enters the day's outages.
-func (w *world) schedule() {
-	for _, o := range w.day.Outages {
-		w.at(seconds(o.AtS), func() { w.outage(o) })
+// scheduleFaults schedules the day's outages and VM stops.
+func (sim *simulation) scheduleFaults() {
+	for _, o := range sim.day.Outages {
+		sim.at(seconds(o.AtS), func() { sim.startOutage(o) })
 	}
-	for _, s := range w.day.Stops {
-		w.at(seconds(s.AtS), w.stop)
+	for _, s := range sim.day.Stops {
+		sim.at(seconds(s.AtS), sim.stopVMs)
 	}
 }
 
-// outage takes engines away, drawn from those that are there.
-func (w *world) outage(o Outage) {
-	var there []*engine
-	for _, e := range w.engines {
-		if !e.down && !e.gone && !e.target.Leaving {
-			there = append(there, e)
+// startOutage takes randomly chosen available engines out of service.
+func (sim *simulation) startOutage(o Outage) {
+	var candidates []*engine
+	for _, e := range sim.engines {
+		if !e.down && !e.delisted && !e.target.Leaving {
+			candidates = append(candidates, e)
 		}
 	}
-	for _, i := range w.random.Perm(len(there))[:min(o.Count, len(there))] {
+	for _, i := range sim.random.Perm(len(candidates))[:min(o.Count, len(candidates))] {
 		if o.Drain {
-			w.drain(there[i], o)
+			sim.drain(candidates[i], o)
 		} else {
-			w.crash(there[i], o)
+			sim.crash(candidates[i], o)
 		}
 	}
 }
 
-// drain has an engine leave: it is listed as leaving, goes on for a while and
-// is gone. Where the outage has an end, another comes in its place at once.
-func (w *world) drain(e *engine, o Outage) {
-	w.after(listLag, func() {
+// drain takes an engine out of service gradually: it is listed as leaving, keeps serving for
+// drainTime and is then removed. If the outage is temporary, a replacement starts at once.
+func (sim *simulation) drain(e *engine, o Outage) {
+	sim.after(listingDelay, func() {
 		t := *e.target
 		t.Leaving = true
 		e.target = &t
-		w.list()
+		sim.refreshListing()
 	})
 	if o.ForS > 0 {
-		w.addEngine(e.target.DataCentre, w.newStage(), e.factor)
-		w.after(listLag, w.list)
+		sim.addEngine(e.target.DataCentre, sim.replacementStage(), e.timeFactor)
+		sim.after(listingDelay, sim.refreshListing)
 	}
-	w.after(listLag+drainTime, func() {
-		e.fail()
-		e.gone = true
-		w.list()
+	sim.after(listingDelay+drainTime, func() {
+		e.crash()
+		e.delisted = true
+		sim.refreshListing()
 	})
 }
 
-// newStage is the stage of the next engine that comes in another's place.
-func (w *world) newStage() fleet.Stage {
-	k, share := float64(w.newcomers), w.site.Engine.NewPrefillShare
-	w.newcomers++
+// replacementStage returns the stage of the next engine that replaces a drained one.
+func (sim *simulation) replacementStage() fleet.Stage {
+	k, share := float64(sim.replacements), sim.site.Engine.NewPrefillShare
+	sim.replacements++
 	if math.Floor(k*share) != math.Floor((k-1)*share) {
 		return fleet.Prefill
 	}
 	return fleet.Decode
 }
 
-// crash takes an engine away with its work. Another life of it comes later.
-func (w *world) crash(e *engine, o Outage) {
+// crash takes an engine out of service together with its work. If the outage is temporary, the
+// engine restarts after it under a new id, with its former stage.
+func (sim *simulation) crash(e *engine, o Outage) {
 	e.silent = o.Silent
-	e.fail()
-	w.after(min(lostLag, seconds(o.ForS)), func() {
-		e.gone = true
-		w.list()
+	e.crash()
+	sim.after(min(crashListingDelay, seconds(o.ForS)), func() {
+		e.delisted = true
+		sim.refreshListing()
 	})
 	if o.ForS > 0 {
-		w.after(seconds(o.ForS), func() {
-			w.addEngine(e.target.DataCentre, e.target.Stage, e.factor)
-			w.after(listLag, w.list)
+		sim.after(seconds(o.ForS), func() {
+			sim.addEngine(e.target.DataCentre, e.target.Stage, e.timeFactor)
+			sim.after(listingDelay, sim.refreshListing)
 		})
 	}
 }
 
-// returnSpread is the time over which callers come back to VMs that are there
-// again.
-const returnSpread = time.Second
+// reconnectSpread is the interval over which callers return once stopped VMs run again.
+const reconnectSpread = time.Second
 
-// stopped says whether all VMs are stopped, and until when.
-func (w *world) stopped() (until time.Duration, yes bool) {
-	for _, s := range w.day.Stops {
-		if w.now >= seconds(s.AtS) && w.now < seconds(s.AtS+s.ForS) {
+// vmsStopped reports whether all VMs are stopped at present, and until when.
+func (sim *simulation) vmsStopped() (until time.Duration, yes bool) {
+	for _, s := range sim.day.Stops {
+		if sim.now >= seconds(s.AtS) && sim.now < seconds(s.AtS+s.ForS) {
 			return seconds(s.AtS + s.ForS), true
 		}
 	}
 	return 0, false
 }
 
-// stop loses the VMs' attempts. Callers that have an event of their stream do
-// not come back; the others do.
-func (w *world) stop() {
-	back, _ := w.stopped()
-	lost := w.inHand
-	w.inHand = nil
+// stopVMs ends all attempts in progress at the VMs. Callers that have received an event of
+// their stream do not retry; the others do.
+func (sim *simulation) stopVMs() {
+	back, _ := sim.vmsStopped()
+	lost := sim.attempts
+	sim.attempts = nil
 	for _, a := range lost {
 		if a.ended {
 			continue
 		}
-		if a.first != 0 {
-			w.fail(a)
+		if a.firstEventAt != 0 {
+			sim.failAttempt(a)
 			continue
 		}
-		w.end(a)
-		w.comeLater(a.Request, a.Retry, back)
+		sim.endAttempt(a)
+		sim.retryAfterStop(a.Request, a.Retry, back)
 	}
 }
 
-// comeLater has a caller attempt once more after the VMs are back, while it has
-// time.
-func (w *world) comeLater(r *Request, n int, back time.Duration) {
-	at := back + time.Duration(w.random.Float64()*float64(returnSpread))
-	if deadline := r.At + millis(w.site.Classes[r.Class].DeadlineMS); at >= deadline {
-		w.result.lost(r)
+// retryAfterStop schedules an attempt for after the VMs run again, or records the request as
+// failed if its deadline has passed by then.
+func (sim *simulation) retryAfterStop(r *Request, n int, back time.Duration) {
+	at := back + time.Duration(sim.random.Float64()*float64(reconnectSpread))
+	if deadline := r.At + millis(sim.site.Classes[r.Class].DeadlineMS); at >= deadline {
+		sim.result.recordLost(r)
 		return
 	}
-	w.at(at, func() { w.attempt(r, n) })
+	sim.at(at, func() { sim.attempt(r, n) })
 }
--- a/internal/model/held.go
+++ b/internal/model/held.go
@@ -6,43 +6,43 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// hotShares are the shares of the sessions that are tried as those worth
-// keeping, by how often they are asked for, and coldEngines how many engines
-// are tried for the others.
+// hotShareCandidates are the shares of the sessions that are tried as hot sessions, by number
+// of requests, and coldEngineCandidates the numbers of engines that are tried for the
+// remaining, cold sessions.
 var (
-	hotShares   = []float64{1, 0.8, 0.6, 0.5, 0.4, 0.3, 0.2}
-	coldEngines = []int{1, 2, 3}
+	hotShareCandidates   = []float64{1, 0.8, 0.6, 0.5, 0.4, 0.3, 0.2}
+	coldEngineCandidates = []int{1, 2, 3}
 )
 
-// BestHeld is the largest share of the shared tokens found in memory by the
-// best way tried to deal sessions to engines: each has one engine of its own,
-// and those that are seldom asked for share a few. All requests are served, in
-// the order of their arrival, and an engine's whole memory keeps parts, of which
-// the least recently used yield; requests' own parts pass through it too.
-func BestHeld(s *Site, requests []*Request) float64 {
+// BestHitRate returns the highest share of shared prompt tokens that is found in cache under
+// any of the tried assignments of sessions to engines. Each hot session is assigned to one
+// engine, and the cold sessions share a few engines. All requests are served in order of
+// arrival. An engine's whole cache holds prompt parts, evicted in least-recently-used order;
+// the requests' own parts pass through it as well.
+func BestHitRate(s *Site, requests []*Request) float64 {
 	engines := 0
 	for _, dc := range s.DataCentres {
 		engines += dc.Engines
 	}
 	rank := sessionRanks(requests)
 	best := 0.0
-	for _, hot := range hotShares {
-		for _, cold := range coldEngines {
+	for _, hot := range hotShareCandidates {
+		for _, cold := range coldEngineCandidates {
 			if hot == 1 {
 				cold = 0
 			}
 			if cold < engines {
-				best = max(best, dealt(s, requests, rank, int(hot*float64(len(rank))), engines-cold, cold))
+				best = max(best, assignedHitRate(s, requests, rank, int(hot*float64(len(rank))), engines-cold, cold))
 			}
 		}
 	}
 	return best
 }
 
-// session returns the last shared part of a prompt.
+// session returns the hash of a prompt's last shared part, which identifies its session.
 func session(q *place.Prompt) uint64 { return q.Parts[max(len(q.Parts)-2, 0)].Hash }
 
-// sessionRanks orders the sessions by how often they are asked for.
+// sessionRanks ranks the sessions by number of requests, the most requested first.
 func sessionRanks(requests []*Request) map[uint64]int {
 	counts := make(map[uint64]int)
 	var all []uint64
@@ -64,55 +64,56 @@
 	return rank
 }
 
-// dealt is the share of shared tokens that is held where the first hot sessions
-// are dealt to the first engines and the others to the cold ones.
-func dealt(s *Site, requests []*Request, rank map[uint64]int, hot, first, cold int) float64 {
-	memories := make([]*memory, first+cold)
-	for i := range memories {
-		memories[i] = newMemory(s.Engine.KVTokens)
+// assignedHitRate returns the share of shared prompt tokens that is found in cache when the
+// first hotSessions sessions by rank are assigned to hotEngines engines and the others to
+// coldEngines more. With no cold engines all sessions share the hot ones.
+func assignedHitRate(s *Site, requests []*Request, rank map[uint64]int, hotSessions, hotEngines, coldEngines int) float64 {
+	caches := make([]*kvCache, hotEngines+coldEngines)
+	for i := range caches {
+		caches[i] = newKVCache(s.Engine.KVTokens)
 	}
-	shared, held := 0, 0
+	shared, cached := 0, 0
 	for _, r := range requests {
 		parts := r.Prompt.Parts
 		if len(parts) == 0 {
 			continue
 		}
-		at := rank[session(r.Prompt)]
-		if at < hot || cold == 0 {
-			at %= first
+		index := rank[session(r.Prompt)]
+		if index < hotSessions || coldEngines == 0 {
+			index %= hotEngines
 		} else {
-			at = first + at%cold
+			index = hotEngines + index%coldEngines
 		}
-		n := memories[at].pass(parts)
+		n := caches[index].prefillOnce(parts)
 		own := parts[len(parts)-1].Tokens
 		shared += r.Prompt.Tokens - own
-		held += min(n, r.Prompt.Tokens-own)
+		cached += min(n, r.Prompt.Tokens-own)
 	}
-	return share(float64(held), float64(shared))
+	return ratio(float64(cached), float64(shared))
 }
 
-// pass has a prompt read and done with at once, and returns the tokens at its
-// beginning that were held.
-func (m *memory) pass(parts []place.Part) int {
-	held, known := 0, 0
+// prefillOnce processes a prompt and releases it at once. It returns the number of tokens at
+// the start of the prompt that were cached.
+func (m *kvCache) prefillOnce(parts []place.Part) int {
+	cached, known := 0, 0
 	for _, p := range parts {
-		if !m.hold(p.Hash) {
+		if !m.pin(p.Hash) {
 			break
 		}
 		known++
-		held += p.Tokens
+		cached += p.Tokens
 	}
 	for _, p := range parts[known:] {
-		if m.take(p.Tokens) {
-			m.give(p.Tokens)
-			m.add(p.Hash, p.Tokens)
+		if m.reserve(p.Tokens) {
+			m.release(p.Tokens)
+			m.insert(p.Hash, p.Tokens)
 			known++
 		} else {
 			break
 		}
 	}
 	for _, p := range parts[:known] {
-		m.release(p.Hash)
+		m.unpin(p.Hash)
 	}
-	return held
+	return cached
 }
--- a/internal/model/jobs.go
+++ b/internal/model/jobs.go
@@ -6,172 +6,175 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// prefilling is an attempt whose prompt is read at a prefill engine.
-type prefilling struct {
-	w *world
-	a *Attempt
-	d Decision
-	r *run
+// prefillPhase prefills an attempt's prompt on a prefill engine.
+type prefillPhase struct {
+	sim      *simulation
+	attempt  *Attempt
+	decision Decision
+	seq      *sequence
 }
 
-func (p *prefilling) make() *run {
-	p.r = &run{prompt: p.a.Prompt, priority: p.d.Priority, only: true, expires: p.a.Deadline, on: p}
-	return p.r
+// newSequence implements phase.
+func (p *prefillPhase) newSequence() *sequence {
+	p.seq = &sequence{prompt: p.attempt.Prompt, priority: p.decision.Priority, prefillOnly: true, expiresAt: p.attempt.Deadline, observer: p}
+	return p.seq
 }
 
-// read implements outcome: the VM chooses where to go on.
-func (p *prefilling) read(int) {
-	w, e := p.w, p.w.byID[p.d.Target.ID]
-	w.after(w.hop(p.a.dc, e), func() {
-		if p.a.ended {
-			e.free(p.r)
+// prefilled implements sequenceObserver: the VM chooses the engine that decodes.
+func (p *prefillPhase) prefilled(int) {
+	sim, e := p.sim, p.sim.byID[p.decision.Target.ID]
+	sim.after(sim.hopDelay(p.attempt.dataCentre, e), func() {
+		if p.attempt.ended {
+			e.freeHandle(p.seq)
 			return
 		}
-		p.d.Ticket.End(place.Good, epoch.Add(w.now))
-		next := w.policy.Decode(p.a, p.d.Target, w.now)
+		p.decision.Ticket.End(place.Good, epoch.Add(sim.now))
+		next := sim.policy.Decode(p.attempt, p.decision.Target, sim.now)
 		if next.Target == nil {
-			e.free(p.r)
-			w.refuse(p.a, time.Second)
+			e.freeHandle(p.seq)
+			sim.refuse(p.attempt, time.Second)
 			return
 		}
-		p.a.Sends++
-		w.submit(p.a, next, &decoding{w: w, a: p.a, d: next, from: e, handle: p.r})
+		p.attempt.Sends++
+		sim.dispatch(p.attempt, next, &decodePhase{sim: sim, attempt: p.attempt, decision: next, from: e, handle: p.seq})
 	})
 }
 
-// event implements outcome.
-func (*prefilling) event(int, bool) {}
+// eventProduced implements sequenceObserver.
+func (*prefillPhase) eventProduced(int, bool) {}
 
-// dropped implements outcome.
-func (p *prefilling) dropped(bool) {
-	w, e := p.w, p.w.byID[p.d.Target.ID]
-	if w.now >= p.a.Deadline || p.r.expires <= w.now {
-		p.d.Ticket.End(place.Neutral, epoch.Add(w.now))
-		w.fail(p.a)
+// dropped implements sequenceObserver.
+func (p *prefillPhase) dropped(bool) {
+	sim, e := p.sim, p.sim.byID[p.decision.Target.ID]
+	if sim.now >= p.attempt.Deadline || p.seq.expiresAt <= sim.now {
+		p.decision.Ticket.End(place.Neutral, epoch.Add(sim.now))
+		sim.failAttempt(p.attempt)
 		return
 	}
 	if e.silent {
-		w.at(p.a.Deadline, func() { w.fail(p.a) })
+		sim.at(p.attempt.Deadline, func() { sim.failAttempt(p.attempt) })
 		return
 	}
-	w.after(w.hop(p.a.dc, e), func() {
-		p.d.Ticket.End(place.Bad, epoch.Add(w.now))
-		w.again(p.a, p.d.Target.ID)
+	sim.after(sim.hopDelay(p.attempt.dataCentre, e), func() {
+		p.decision.Ticket.End(place.Bad, epoch.Add(sim.now))
+		sim.placeElsewhere(p.attempt, p.decision.Target.ID)
 	})
 }
 
-// decoding is an attempt whose answer is made at a decode engine.
-type decoding struct {
-	w *world
-	a *Attempt
-	d Decision
-	// from keeps the prompt as handle, if another engine has read it.
+// decodePhase produces an attempt's answer on a decode engine.
+type decodePhase struct {
+	sim      *simulation
+	attempt  *Attempt
+	decision Decision
+	// from is the engine that prefilled the prompt and keeps its KV cache under handle; it is
+	// nil if the prompt is prefilled in place.
 	from   *engine
-	handle *run
-	r      *run
-	// firstAt is when the VM had the first event.
-	firstAt time.Duration
+	handle *sequence
+	seq    *sequence
+	// firstEventAt is when the VM received the first event.
+	firstEventAt time.Duration
 }
 
-func (x *decoding) make() *run {
-	events := x.a.Request.Output / x.w.site.Engine.EventTokens
-	x.r = &run{
-		prompt: x.a.Prompt, priority: x.d.Priority, expires: x.a.Deadline, on: x,
+// newSequence implements phase.
+func (p *decodePhase) newSequence() *sequence {
+	events := p.attempt.Request.Output / p.sim.site.Engine.EventTokens
+	p.seq = &sequence{
+		prompt: p.attempt.Prompt, priority: p.decision.Priority, expiresAt: p.attempt.Deadline, observer: p,
 		// The first token is an event of its own.
-		output: 1 + (events-1)*x.w.site.Engine.EventTokens,
+		output: 1 + (events-1)*p.sim.site.Engine.EventTokens,
 	}
-	if x.from != nil {
-		x.r.fetched = true
-		x.fetch()
+	if p.from != nil {
+		p.seq.fetched = true
+		p.fetchKV()
 	}
-	return x.r
+	return p.seq
 }
 
-// fetch moves the prompt's memory: the run cannot begin before it is there.
-func (x *decoding) fetch() {
-	w, to := x.w, x.w.byID[x.d.Target.ID]
-	begin := max(w.now, x.from.linkFree, to.linkFree)
-	if !x.from.keeps(x.handle) || begin-w.now > maxTransferWait {
-		// It is read again.
-		x.r.fetched = false
+// fetchKV transfers the prompt's KV cache; the sequence cannot start before it has arrived.
+func (p *decodePhase) fetchKV() {
+	sim, to := p.sim, p.sim.byID[p.decision.Target.ID]
+	begin := max(sim.now, p.from.linkFreeAt, to.linkFreeAt)
+	if !p.from.hasHandle(p.handle) || begin-sim.now > maxTransferWait {
+		// The prompt is prefilled again.
+		p.seq.fetched = false
 		return
 	}
-	f := &w.site.Engine
-	ms := f.SetupMS + float64(x.a.Prompt.Tokens)*f.KVTokenBytes*8/(f.LinkMbps*thousand)
-	if x.from.target.DataCentre != to.target.DataCentre {
-		ms *= farTransfer
+	f := &sim.site.Engine
+	ms := f.SetupMS + float64(p.attempt.Prompt.Tokens)*f.KVTokenBytes*8/(f.LinkMbps*thousand)
+	if p.from.target.DataCentre != to.target.DataCentre {
+		ms *= remoteTransferFactor
 	}
 	end := begin + millis(ms)
-	x.from.linkFree, to.linkFree = end, end
-	x.r.ready = end
-	w.result.Reads.Moved += x.a.Prompt.Tokens
-	w.at(end, func() { x.from.free(x.handle) })
+	p.from.linkFreeAt, to.linkFreeAt = end, end
+	p.seq.readyAt = end
+	sim.result.Tokens.Moved += p.attempt.Prompt.Tokens
+	sim.at(end, func() { p.from.freeHandle(p.handle) })
 }
 
-// read implements outcome.
-func (*decoding) read(int) {}
+// prefilled implements sequenceObserver.
+func (*decodePhase) prefilled(int) {}
 
-// event implements outcome.
-func (x *decoding) event(n int, last bool) {
-	w, e := x.w, x.w.byID[x.d.Target.ID]
-	if !w.reaches(x.a.dc, e) {
-		w.at(x.a.Deadline, func() { w.fail(x.a) })
+// eventProduced implements sequenceObserver.
+func (p *decodePhase) eventProduced(n int, last bool) {
+	sim, e := p.sim, p.sim.byID[p.decision.Target.ID]
+	if !sim.reachable(p.attempt.dataCentre, e) {
+		sim.at(p.attempt.Deadline, func() { sim.failAttempt(p.attempt) })
 		return
 	}
-	w.after(w.hop(x.a.dc, e), func() {
+	sim.after(sim.hopDelay(p.attempt.dataCentre, e), func() {
 		if n == 1 {
-			x.firstAt = w.now
-			x.d.Ticket.First(epoch.Add(w.now))
+			p.firstEventAt = sim.now
+			p.decision.Ticket.First(epoch.Add(sim.now))
 		}
-		x.d.Ticket.Events(1, epoch.Add(w.now))
+		p.decision.Ticket.Events(1, epoch.Add(sim.now))
 		if last {
-			x.d.Ticket.Length(n)
-			x.d.Ticket.Stream(n, w.now-x.firstAt)
-			x.d.Ticket.End(place.Good, epoch.Add(w.now))
+			p.decision.Ticket.Length(n)
+			p.decision.Ticket.Stream(n, sim.now-p.firstEventAt)
+			p.decision.Ticket.End(place.Good, epoch.Add(sim.now))
 		}
-		w.after(millis(w.site.Network.CallerMS), func() { w.deliver(x.a, last) })
+		sim.after(millis(sim.site.Network.CallerMS), func() { sim.deliver(p.attempt, last) })
 	})
 }
 
-// deliver notes that an event has reached the caller.
-func (w *world) deliver(a *Attempt, last bool) {
+// deliver records that an event has reached the caller.
+func (sim *simulation) deliver(a *Attempt, last bool) {
 	if a.ended {
 		return
 	}
-	if a.first == 0 {
-		a.first = w.now
-	} else if w.now-a.last > millis(a.Class.GapMS) {
-		a.paused = true
+	if a.firstEventAt == 0 {
+		a.firstEventAt = sim.now
+	} else if sim.now-a.lastEventAt > millis(a.Class.GapMS) {
+		a.gapExceeded = true
 	}
-	a.last = w.now
-	if w.now > a.Deadline {
-		w.fail(a)
+	a.lastEventAt = sim.now
+	if sim.now > a.Deadline {
+		sim.failAttempt(a)
 		return
 	}
 	if last {
-		w.end(a)
-		w.result.served(a)
+		sim.endAttempt(a)
+		sim.result.recordServed(a)
 	}
 }
 
-// dropped implements outcome.
-func (x *decoding) dropped(started bool) {
-	w, e := x.w, x.w.byID[x.d.Target.ID]
-	if w.now >= x.a.Deadline || x.r.expires <= w.now {
-		x.d.Ticket.End(place.Neutral, epoch.Add(w.now))
-		w.fail(x.a)
+// dropped implements sequenceObserver.
+func (p *decodePhase) dropped(started bool) {
+	sim, e := p.sim, p.sim.byID[p.decision.Target.ID]
+	if sim.now >= p.attempt.Deadline || p.seq.expiresAt <= sim.now {
+		p.decision.Ticket.End(place.Neutral, epoch.Add(sim.now))
+		sim.failAttempt(p.attempt)
 		return
 	}
 	if e.silent {
-		w.at(x.a.Deadline, func() { w.fail(x.a) })
+		sim.at(p.attempt.Deadline, func() { sim.failAttempt(p.attempt) })
 		return
 	}
-	w.after(w.hop(x.a.dc, e), func() {
-		x.d.Ticket.End(place.Bad, epoch.Add(w.now))
-		if started && x.a.first != 0 {
-			w.fail(x.a)
+	sim.after(sim.hopDelay(p.attempt.dataCentre, e), func() {
+		p.decision.Ticket.End(place.Bad, epoch.Add(sim.now))
+		if started && p.attempt.firstEventAt != 0 {
+			sim.failAttempt(p.attempt)
 			return
 		}
-		w.again(x.a, x.d.Target.ID)
+		sim.placeElsewhere(p.attempt, p.decision.Target.ID)
 	})
 }
--- a/internal/model/live.go
+++ b/internal/model/live.go
@@ -8,132 +8,135 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// Live runs engines on the wall clock, behind stand-ins that real processes speak to. All
-// engines share one clock of their own. It catches up with the host's after each delay, so
-// that a busy host makes events late and no engine slower than its figures.
+// Live runs simulated engines on the wall clock, for test servers that real processes connect to.
+// All engines share one clock, which catches up with the host's clock after each delay. A busy
+// host therefore delays events, but makes no engine slower than its figures.
 type Live struct {
-	figures Engine
-	began   time.Time
-	// changed wakes the goroutine that runs the clock.
-	changed chan struct{}
-	done    chan struct{}
-	stopped sync.WaitGroup
+	spec  Engine
+	start time.Time
+	// wakeup wakes the goroutine that runs the clock.
+	wakeup    chan struct{}
+	done      chan struct{}
+	clockDone sync.WaitGroup
 
+	// mu protects the fields below and the state of the engines and their sequences.
 	mu      sync.Mutex
 	clock   clock
 	engines map[string]*engine
-	reads   Reads
-	// lag is the most that the clock has been behind the host's.
-	lag time.Duration
+	tokens  TokenCounts
+	// maxLag is the longest time by which the clock has been behind the host's clock.
+	maxLag time.Duration
 }
 
-// Job is one request for a live engine.
+// Job is one request to a live engine.
 type Job struct {
 	Prompt   *place.Prompt
 	Priority int
-	// Output is the tokens of the whole answer, and Seen the events that its caller has.
+	// Output is the number of tokens of the whole answer, and Seen the number of its events
+	// that the caller has received already.
 	Output int
 	Seen   int
-	// Limit is how long the engine may work on it.
+	// Limit is how long the engine may work on the job.
 	Limit time.Duration
-	// PrefillOnly says that the prompt is read and kept for another engine.
+	// PrefillOnly says that the prompt is prefilled and kept for another engine.
 	PrefillOnly bool
-	// From is the prompt that another engine has read and keeps, or nil.
+	// From is the prompt that another engine has prefilled and kept, or nil.
 	From *LiveRun
 }
 
-// Progress is one step of a live run: one of its fields is set.
+// Progress is one step in the progress of a LiveRun. Either Prefilled, Event or Dropped is set.
 type Progress struct {
-	// Read says that the prompt is read: other engines may go on from it.
-	Read bool
-	// Event is the number of the event that was made, from 1; Last says that it is the last.
+	// Prefilled says that the prompt is prefilled; another engine can fetch it now.
+	Prefilled bool
+	// Event is the number of the produced event, from 1, and Last says that it is the last.
 	Event int
 	Last  bool
-	// Dropped says that the engine gave the run up.
+	// Dropped says that the engine has dropped the job.
 	Dropped bool
 }
 
-// LiveRun is a job at an engine.
+// LiveRun is a job submitted to an engine.
 type LiveRun struct {
-	// Progress tells what becomes of it. It is never closed.
+	// Progress receives the progress of the job. It is never closed.
 	Progress chan Progress
 
 	live   *Live
 	engine *engine
-	run    *run
-	// kept says that a prompt is read and kept for another engine.
-	kept bool
+	seq    *sequence
+	// hasHandle says that a prompt is prefilled and kept for another engine.
+	hasHandle bool
 }
 
-// NewLive returns running engines' clock, with no engines yet.
+// NewLive returns a Live without engines and starts its clock.
 func NewLive(figures Engine) *Live {
-	l := &Live{figures: figures, began: time.Now(), changed: make(chan struct{}, 1), done: make(chan struct{}), engines: make(map[string]*engine)}
-	l.stopped.Go(l.runClock)
+	l := &Live{spec: figures, start: time.Now(), wakeup: make(chan struct{}, 1), done: make(chan struct{}), engines: make(map[string]*engine)}
+	l.clockDone.Go(l.runClock)
 	return l
 }
 
-// Close stops the clock.
+// Close stops the clock and waits until it has stopped.
 func (l *Live) Close() {
 	close(l.done)
-	l.stopped.Wait()
+	l.clockDone.Wait()
 }
 
-// longWait is the wait for events where none is due.
-const longWait = time.Second
+// idleWait is how long the clock waits if no timer is pending.
+const idleWait = time.Second
 
-// runClock runs what is due, as the host's clock goes on.
+// runClock runs the timers as the host's clock advances, until Close.
 func (l *Live) runClock() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		l.mu.Lock()
 		l.catchUp()
-		wait := longWait
+		wait := idleWait
 		if len(l.clock.queue) > 0 {
-			wait = l.clock.queue[0].at - time.Since(l.began)
+			wait = l.clock.queue[0].at - time.Since(l.start)
 		}
 		l.mu.Unlock()
 		timer.Reset(max(wait, 0))
 		select {
 		case <-timer.C:
-		case <-l.changed:
+		case <-l.wakeup:
 		case <-l.done:
 			return
 		}
 	}
 }
 
-// catchUp runs what is due by now; the caller holds l.mu.
+// catchUp runs the timers that are due. The caller must hold l.mu.
 func (l *Live) catchUp() {
-	now := time.Since(l.began)
+	now := time.Since(l.start)
 	if len(l.clock.queue) > 0 {
-		l.lag = max(l.lag, now-l.clock.queue[0].at)
+		l.maxLag = max(l.maxLag, now-l.clock.queue[0].at)
 	}
-	l.clock.run(now)
+	l.clock.runUntil(now)
 	l.clock.now = max(l.clock.now, now)
 }
 
-// Lag is the most that events have been late as the host was busy.
+// Lag returns the longest delay of a timer so far, as caused by a busy host.
 func (l *Live) Lag() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lag
+	return l.maxLag
 }
 
+// wakeClock has the clock recompute its wait.
 func (l *Live) wakeClock() {
 	select {
-	case l.changed <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Add adds an engine whose work takes factor times as long as the figures say.
+// Add adds an engine whose work takes factor times as long as its figures say.
 func (l *Live) Add(t *fleet.Target, factor float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.engines[t.ID] = &engine{
-		target: t, figures: &l.figures, factor: factor, clock: &l.clock,
-		memory: newMemory(l.figures.KVTokens), total: &l.reads,
+		target: t, spec: &l.spec, timeFactor: factor, clock: &l.clock,
+		cache: newKVCache(l.spec.KVTokens), tokens: &l.tokens,
 	}
 }
 
@@ -145,33 +148,34 @@
 	return e.target.Stage, e.changing
 }
 
-// Order has an engine end its work and change its stage; then is called once it has.
+// Order has an engine complete its work and change its stage. It calls then in a goroutine of
+// its own once the stage has changed.
 func (l *Live) Order(id string, stage fleet.Stage, then func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.catchUp()
 	e := l.engines[id]
-	e.changing, e.next = true, stage
-	l.change(e, then)
+	e.changing, e.nextStage = true, stage
+	l.switchWhenIdle(e, then)
 	l.wakeClock()
 }
 
-// change goes on with an engine's change of stage; the caller holds l.mu.
-func (l *Live) change(e *engine, then func()) {
-	if e.busy()+len(e.waiting) > 0 {
-		l.clock.after(idlePoll, func() { l.change(e, then) })
+// switchWhenIdle waits until the engine is idle and changes its stage. The caller must hold l.mu.
+func (l *Live) switchWhenIdle(e *engine, then func()) {
+	if e.busySlots()+len(e.waiting) > 0 {
+		l.clock.after(idlePollInterval, func() { l.switchWhenIdle(e, then) })
 		return
 	}
-	l.clock.after(seconds(l.figures.SwitchS), func() {
+	l.clock.after(seconds(l.spec.SwitchS), func() {
 		t := *e.target
-		t.Stage = e.next
+		t.Stage = e.nextStage
 		e.target, e.changing = &t, false
 		go then()
 	})
 }
 
-// Submit gives a job to an engine. It returns nil where the engine is full or changes its
-// stage.
+// Submit submits a job to an engine. It returns nil if the engine's queue is full or the engine
+// is changing its stage. A job that waits for a transfer and then finds the queue full is dropped.
 func (l *Live) Submit(id string, j Job) *LiveRun {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,84 +184,88 @@
 	if e.changing {
 		return nil
 	}
-	events := j.Output / l.figures.EventTokens
-	out := &LiveRun{live: l, engine: e, Progress: make(chan Progress, events+spareProgress)}
-	out.run = &run{
-		prompt: j.Prompt, priority: j.Priority, only: j.PrefillOnly, on: out,
-		output: l.made(events), made: l.made(j.Seen), expires: l.clock.now + j.Limit,
+	events := j.Output / l.spec.EventTokens
+	run := &LiveRun{live: l, engine: e, Progress: make(chan Progress, events+extraProgress)}
+	run.seq = &sequence{
+		prompt: j.Prompt, priority: j.Priority, prefillOnly: j.PrefillOnly, observer: run,
+		output: l.tokensForEvents(events), produced: l.tokensForEvents(j.Seen), expiresAt: l.clock.now + j.Limit,
 	}
 	if j.From != nil {
-		l.fetch(out, j.From, j.Prompt.Tokens)
+		l.fetchKV(run, j.From, j.Prompt.Tokens)
 	}
-	if out.run.ready > l.clock.now {
-		l.clock.at(out.run.ready, func() { l.enter(out) })
-	} else if !e.submit(out.run) {
+	if run.seq.readyAt > l.clock.now {
+		l.clock.at(run.seq.readyAt, func() { l.enqueue(run) })
+	} else if !e.submit(run.seq) {
 		return nil
 	}
-	l.clock.at(out.run.expires, e.wake)
+	l.clock.at(run.seq.expiresAt, e.wake)
 	l.wakeClock()
-	return out
+	return run
 }
 
-// made is the tokens of events that an engine has made: the first one holds one token.
-func (l *Live) made(events int) int {
+// tokensForEvents returns the number of tokens in an answer's first events. The first event holds
+// one token.
+func (l *Live) tokensForEvents(events int) int {
 	if events == 0 {
 		return 0
 	}
-	return 1 + (events-1)*l.figures.EventTokens
+	return 1 + (events-1)*l.spec.EventTokens
 }
 
-// spareProgress is the progress of a run besides its events.
-const spareProgress = 4
+// extraProgress is the room in Progress for reports other than events.
+const extraProgress = 4
 
-// enter queues a run whose memory is there; the caller holds l.mu.
-func (l *Live) enter(r *LiveRun) {
-	if !r.engine.submit(r.run) {
+// enqueue queues a job whose KV cache has arrived. The caller must hold l.mu.
+func (l *Live) enqueue(r *LiveRun) {
+	if !r.engine.submit(r.seq) {
 		r.dropped(false)
 	}
 }
 
-// fetch moves the memory of a prompt that another engine has read; the caller holds l.mu.
-func (l *Live) fetch(to, from *LiveRun, tokens int) {
-	begin := max(l.clock.now, from.engine.linkFree, to.engine.linkFree)
-	ms := l.figures.SetupMS + float64(tokens)*l.figures.KVTokenBytes*8/(l.figures.LinkMbps*thousand)
+// fetchKV transfers the KV cache of a prompt from the engine that prefilled it. The caller must
+// hold l.mu.
+func (l *Live) fetchKV(to, from *LiveRun, tokens int) {
+	begin := max(l.clock.now, from.engine.linkFreeAt, to.engine.linkFreeAt)
+	ms := l.spec.SetupMS + float64(tokens)*l.spec.KVTokenBytes*8/(l.spec.LinkMbps*thousand)
 	if from.engine.target.DataCentre != to.engine.target.DataCentre {
-		ms *= farTransfer
+		ms *= remoteTransferFactor
 	}
 	end := begin + millis(ms)
-	from.engine.linkFree, to.engine.linkFree = end, end
-	to.run.fetched, to.run.ready = true, end
-	l.clock.at(end, func() { from.engine.free(from.run) })
+	from.engine.linkFreeAt, to.engine.linkFreeAt = end, end
+	to.seq.fetched, to.seq.readyAt = true, end
+	l.clock.at(end, func() { from.engine.freeHandle(from.seq) })
 }
 
-// Cancel gives the run up, and the memory that it keeps.
+// Cancel ends the job and frees the KV cache that it keeps for another engine.
 func (r *LiveRun) Cancel() {
 	l := r.live
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.catchUp()
-	if r.kept {
-		r.engine.free(r.run)
+	if r.hasHandle {
+		r.engine.freeHandle(r.seq)
 	}
-	r.run.expires = l.clock.now
+	r.seq.expiresAt = l.clock.now
 	r.engine.wake()
 	l.wakeClock()
 }
 
-func (r *LiveRun) tell(p Progress) {
+// notify reports progress without blocking.
+func (r *LiveRun) notify(p Progress) {
 	select {
 	case r.Progress <- p:
 	default:
-		// A preempted prompt is read more than once; its caller knows already.
+		// The prompt of a preempted sequence is prefilled more than once; the reader has been
+		// told already.
 	}
 }
 
-// read, event and dropped implement outcome.
-func (r *LiveRun) read(int) {
-	r.kept = r.run.only
-	r.tell(Progress{Read: true})
+// prefilled, eventProduced and dropped implement sequenceObserver.
+func (r *LiveRun) prefilled(int) {
+	r.hasHandle = r.seq.prefillOnly
+	r.notify(Progress{Prefilled: true})
 }
 
-func (r *LiveRun) event(n int, last bool) { r.tell(Progress{Event: n, Last: last}) }
+func (r *LiveRun) eventProduced(n int, last bool) { r.notify(Progress{Event: n, Last: last}) }
 
-func (r *LiveRun) dropped(bool) { r.tell(Progress{Dropped: true}) }
+func (r *LiveRun) dropped(bool) { r.notify(Progress{Dropped: true}) }
--- a/internal/model/live_test.go
+++ b/internal/model/live_test.go
@@ -10,11 +10,12 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// liveWithin bounds what a live engine takes for a few events on a busy host.
-const liveWithin = 10 * time.Second
+// liveTimeout limits how long a live engine may take for a few events on a busy host.
+const liveTimeout = 10 * time.Second
 
-// newLive returns a prefill and a decode engine that make an event of ten tokens in 20 ms.
-func newLive(t *testing.T) *Live {
+// newTestLive returns a Live with a prefill engine p and a decode engine d. They produce an event
+// of ten tokens every 20 ms.
+func newTestLive(t *testing.T) *Live {
 	t.Helper()
 	l := NewLive(Engine{
 		Slots: 2, Queue: 1, StepMS: 2, PrefillPerMS: 100, Chunk: 1000, EventTokens: 10, KVTokens: 100000,
@@ -26,15 +27,16 @@
 	return l
 }
 
+// liveJob returns a job with a prompt of 1000 tokens.
 func liveJob(events int) Job {
 	return Job{
 		Prompt: &place.Prompt{Tokens: 1000, Parts: []place.Part{{Hash: 1, Tokens: 400}, {Hash: 2, Tokens: 600}}},
-		Output: events * 10, Limit: liveWithin,
+		Output: events * 10, Limit: liveTimeout,
 	}
 }
 
-// last waits for a run's end, and returns the events that came.
-func last(t *testing.T, r *LiveRun) (events int, dropped bool) {
+// waitForEnd waits until a job ends and returns the number of events received.
+func waitForEnd(t *testing.T, r *LiveRun) (events int, dropped bool) {
 	t.Helper()
 	for {
 		select {
@@ -48,43 +50,43 @@
 					return events, false
 				}
 			}
-		case <-time.After(liveWithin):
-			t.Fatal("the run does not end")
+		case <-time.After(liveTimeout):
+			t.Fatal("the job does not end")
 		}
 	}
 }
 
-func TestLiveEngineMakesEventsAtItsPace(t *testing.T) {
+func TestLiveEngineProducesEventsAtItsSpeed(t *testing.T) {
 	is := is.New(t)
-	l := newLive(t)
+	l := newTestLive(t)
 	began := time.Now()
-	events, dropped := last(t, l.Submit("d", liveJob(11)))
+	events, dropped := waitForEnd(t, l.Submit("d", liveJob(11)))
 	is.Equal(events, 11)
 	is.True(!dropped)
-	is.True(time.Since(began) > 200*time.Millisecond) // ten pauses of 20 ms
+	is.True(time.Since(began) > 200*time.Millisecond) // ten intervals of 20 ms
 }
 
-// A prompt that one engine has read goes on at another, from the event that the caller has.
-func TestLiveEngineGoesOnFromAHandle(t *testing.T) {
+// An engine decodes a prompt that another engine has prefilled, from the caller's last event on.
+func TestLiveEngineDecodesFromHandle(t *testing.T) {
 	is := is.New(t)
-	l := newLive(t)
+	l := newTestLive(t)
 	read := liveJob(5)
 	read.PrefillOnly = true
 	handle := l.Submit("p", read)
-	is.True((<-handle.Progress).Read)
+	is.True((<-handle.Progress).Prefilled)
 	next := liveJob(5)
 	next.From, next.Seen = handle, 2
-	events, dropped := last(t, l.Submit("d", next))
+	events, dropped := waitForEnd(t, l.Submit("d", next))
 	is.Equal(events, 3)
 	is.True(!dropped)
 }
 
-func TestLiveEngineDropsWhatItsCallerLeaves(t *testing.T) {
+func TestLiveEngineDropsCancelledSequence(t *testing.T) {
 	is := is.New(t)
-	l := newLive(t)
+	l := newTestLive(t)
 	r := l.Submit("d", liveJob(1000))
 	r.Cancel()
-	_, dropped := last(t, r)
+	_, dropped := waitForEnd(t, r)
 	is.True(dropped)
 	full := 0
 	for range 4 {
@@ -92,12 +94,12 @@
 			full++
 		}
 	}
-	is.True(full > 0) // two run and one waits at the most
+	is.True(full > 0) // at most two run and one waits
 }
 
 func TestLiveEngineChangesItsStage(t *testing.T) {
 	is := is.New(t)
-	l := newLive(t)
+	l := newTestLive(t)
 	done := make(chan struct{})
 	l.Order("d", fleet.Prefill, func() { close(done) })
 	is.True(l.Submit("d", liveJob(5)) == nil)
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -9,73 +9,75 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// Decision is where an attempt goes, or that it is refused.
+// Decision says where to send an attempt, or that it is refused or deferred.
 type Decision struct {
-	// Target is nil where there is no engine to ask.
-	Target  *fleet.Target
+	// Target is the chosen engine, or nil if none is available.
+	Target *fleet.Target
+	// InPlace says that the engine that decodes also prefills the prompt.
 	InPlace bool
-	// Ticket is told how it went; it may be nil.
+	// Ticket records the work at the engine and is told its result; it may be nil.
 	Ticket *place.Ticket
-	// Refused says that the caller is to come back After, and Deferred that the VM looks
-	// at the engines again then.
+	// Refused says that the caller should retry after After, and Deferred that the VM decides
+	// again after After.
 	Refused  bool
 	Deferred bool
 	After    time.Duration
-	// Priority is sent to the engine.
+	// Priority is sent to the engine; lower values are served first.
 	Priority int
 }
 
-// Policy decides for the attempts that reach the VMs.
+// Policy places the attempts that reach the VMs.
 type Policy interface {
-	// Read chooses the engine that reads the prompt.
-	Read(a *Attempt, now time.Duration) Decision
-	// Decode chooses the engine that goes on with what another has read.
+	// Prefill chooses the engine that prefills the prompt.
+	Prefill(a *Attempt, now time.Duration) Decision
+	// Decode chooses the engine that continues after another engine's prefill.
 	Decode(a *Attempt, from *fleet.Target, now time.Duration) Decision
-	// Over says that an attempt is not in hand any more.
-	Over(a *Attempt)
-	// Exchange has the VMs tell each other what they have in hand.
-	Exchange(now time.Duration)
+	// Finish tells the policy that an attempt has ended.
+	Finish(a *Attempt)
+	// ExchangeReports has the VMs exchange reports of the work that they have outstanding.
+	ExchangeReports(now time.Duration)
 }
 
-// Fleet is what a policy can see of the engines.
+// Fleet is a policy's view of the engines.
 type Fleet interface {
-	// Targets is the listed engines.
+	// Targets returns the listed engines.
 	Targets() []*fleet.Target
-	// Load is the prompt tokens that wait at an engine and its requests in hand.
+	// Load returns the prompt tokens that wait at an engine and its unfinished requests.
 	Load(id string) (tokens, requests int)
-	// Changing says whether an engine changes its stage.
+	// Changing reports whether an engine is changing its stage.
 	Changing(id string) bool
 }
 
-// shortPrompt is the length in tokens below which these policies read a prompt where it
-// is decoded.
-const shortPrompt = 1024
+// shortPromptTokens is the prompt length below which a pickPolicy prefills a prompt in place.
+const shortPromptTokens = 1024
 
-// simple is a policy that takes one engine by a rule and refuses nothing. It
-// sees the engines as they are at that moment.
-type simple struct {
+// pickPolicy chooses one engine by a rule and refuses nothing. It sees the current state of the
+// engines without delay.
+type pickPolicy struct {
 	fleet Fleet
-	pick  func(a *Attempt, among []*fleet.Target) *fleet.Target
+	pick  func(a *Attempt, candidates []*fleet.Target) *fleet.Target
 }
 
-// Read implements Policy.
-func (p *simple) Read(a *Attempt, _ time.Duration) Decision {
-	t := p.among(a, a.Prompt.Tokens >= shortPrompt)
+// Prefill implements Policy.
+func (p *pickPolicy) Prefill(a *Attempt, _ time.Duration) Decision {
+	t := p.choose(a, a.Prompt.Tokens >= shortPromptTokens)
 	return Decision{Target: t, InPlace: t != nil && t.Stage != fleet.Prefill, Priority: a.Class.Priority}
 }
 
 // Decode implements Policy.
-func (p *simple) Decode(a *Attempt, _ *fleet.Target, _ time.Duration) Decision {
-	return Decision{Target: p.among(a, false), Priority: a.Class.Priority}
+func (p *pickPolicy) Decode(a *Attempt, _ *fleet.Target, _ time.Duration) Decision {
+	return Decision{Target: p.choose(a, false), Priority: a.Class.Priority}
 }
 
-// Over implements Policy.
-func (*simple) Over(*Attempt) {}
+// Finish implements Policy.
+func (*pickPolicy) Finish(*Attempt) {}
 
-// Exchange implements Policy.
-func (*simple) Exchange(time.Duration) {}
+// ExchangeReports implements Policy.
+func (*pickPolicy) ExchangeReports(time.Duration) {}
 
-func (p *simple) among(a *Attempt, prefill bool) *fleet.Target {
+// choose picks a usable engine, or returns nil if there is none. Prefill engines are candidates
+// only if prefill is set.
+func (p *pickPolicy) choose(a *Attempt, prefill bool) *fleet.Target {
 	var usable []*fleet.Target
 	for _, t := range p.fleet.Targets() {
 		if !t.Leaving && !p.fleet.Changing(t.ID) && !a.Tried[t.ID] && (prefill || t.Stage != fleet.Prefill) {
@@ -88,29 +90,29 @@
 	return p.pick(a, usable)
 }
 
-// NewRandom takes any engine.
+// NewRandom returns a policy that picks a random engine.
 func NewRandom(f Fleet, random *rand.Rand) Policy {
-	return &simple{fleet: f, pick: func(_ *Attempt, among []*fleet.Target) *fleet.Target {
-		return among[random.IntN(len(among))]
+	return &pickPolicy{fleet: f, pick: func(_ *Attempt, candidates []*fleet.Target) *fleet.Target {
+		return candidates[random.IntN(len(candidates))]
 	}}
 }
 
-// NewRoundRobin takes the engines in turn.
+// NewRoundRobin returns a policy that picks the engines in turn.
 func NewRoundRobin(f Fleet) Policy {
 	next := 0
-	return &simple{fleet: f, pick: func(_ *Attempt, among []*fleet.Target) *fleet.Target {
+	return &pickPolicy{fleet: f, pick: func(_ *Attempt, candidates []*fleet.Target) *fleet.Target {
 		next++
-		return among[next%len(among)]
+		return candidates[next%len(candidates)]
 	}}
 }
 
-// NewLeastLoad takes the engine with the fewest prompt tokens waiting, and of
-// these the one with the fewest requests.
+// NewLeastLoad returns a policy that picks the engine with the fewest waiting prompt tokens and,
+// among equals, the fewest requests.
 func NewLeastLoad(f Fleet) Policy {
-	return &simple{fleet: f, pick: func(_ *Attempt, among []*fleet.Target) *fleet.Target {
-		best := among[0]
+	return &pickPolicy{fleet: f, pick: func(_ *Attempt, candidates []*fleet.Target) *fleet.Target {
+		best := candidates[0]
 		tokens, requests := f.Load(best.ID)
-		for _, t := range among[1:] {
+		for _, t := range candidates[1:] {
 			if n, r := f.Load(t.ID); n < tokens || (n == tokens && r < requests) {
 				best, tokens, requests = t, n, r
 			}
@@ -119,14 +121,14 @@
 	}}
 }
 
-// NewPrefixHash takes the engine that the last shared part hashes to, whatever
-// its load.
+// NewPrefixHash returns a policy that picks an engine by rendezvous hashing of the prompt's last
+// shared part, regardless of load.
 func NewPrefixHash(f Fleet) Policy {
-	return &simple{fleet: f, pick: func(a *Attempt, among []*fleet.Target) *fleet.Target {
+	return &pickPolicy{fleet: f, pick: func(a *Attempt, candidates []*fleet.Target) *fleet.Target {
 		part := a.Prompt.Parts[max(len(a.Prompt.Parts)-2, 0)].Hash
-		best, most := among[0], uint64(0)
-		for _, t := range among {
-			if w := weight(t.ID, part); w >= most {
+		best, most := candidates[0], uint64(0)
+		for _, t := range candidates {
+			if w := rendezvousWeight(t.ID, part); w >= most {
 				best, most = t, w
 			}
 		}
@@ -134,14 +136,14 @@
 	}}
 }
 
-// weight is an engine's rank for a part, the highest of which is taken.
-func weight(id string, part uint64) uint64 {
+// rendezvousWeight returns an engine's weight for a prompt part. The highest weight wins.
+func rendezvousWeight(id string, part uint64) uint64 {
 	h := fnv.New64a()
 	var b [8]byte
 	for i := range b {
 		b[i] = byte(part >> (8 * i))
 	}
-	// A hash's Write returns no error.
+	// Write of a hash never returns an error.
 	_, _ = h.Write(b[:])
 	_, _ = h.Write([]byte(id))
 	x := h.Sum64()
--- a/internal/model/report.go
+++ b/internal/model/report.go
@@ -8,49 +8,49 @@
 	"github.com/pkg/errors"
 )
 
-// Run is a day as played under one policy.
-type Run struct {
+// PolicyRun is the result of a day under one policy.
+type PolicyRun struct {
 	Policy string
 	Result *Result
-	// Bound is with fixed stages and as many shared tokens held as in this run.
+	// Bound assumes fixed stages and the cache hit rate of this run.
 	Bound Bound
 }
 
-// Report is a day under several policies, beside the bound on its worth.
+// Report compares a day's results under several policies with the bounds on its worth.
 type Report struct {
 	Site *Site
 	Day  *Day
 	Seed uint64
-	// Bound is on any policy, and Fixed on those that leave the stages.
+	// Bound applies to any policy, and Fixed to policies that do not change stages.
 	Bound Bound
 	Fixed Bound
-	// Kept is with BestHeld of the shared tokens found in memory at any time. It is
-	// an estimate: a better way to deal sessions may exist.
+	// Kept is the bound at a hit rate of BestHitRate for the shared tokens. It is an estimate,
+	// since a better assignment of sessions to engines may exist.
 	Kept     Bound
 	BestHeld float64
-	Runs     []Run
+	Runs     []PolicyRun
 }
 
-// NewReport draws a day and plays it under each policy.
+// NewReport generates a day's requests and simulates the day under each named policy.
 func NewReport(s *Site, d *Day, seed uint64, policies []string) (*Report, error) {
-	requests := Draw(s, d, seed)
+	requests := GenerateRequests(s, d, seed)
 	r := &Report{Site: s, Day: d, Seed: seed, Bound: NewBound(s, d, requests, AnyPolicy())}
-	r.Fixed = NewBound(s, d, requests, Supposed{FixedStages: true, Missed: -1})
-	// What bounds any policy bounds these too.
+	r.Fixed = NewBound(s, d, requests, Assumptions{FixedStages: true, MissRate: -1})
+	// A bound on any policy also applies to those with fixed stages.
 	r.Fixed.Worth = min(r.Fixed.Worth, r.Bound.Worth)
-	r.BestHeld = BestHeld(s, requests)
-	r.Kept = NewBound(s, d, requests, Supposed{Missed: 1 - r.BestHeld})
+	r.BestHeld = BestHitRate(s, requests)
+	r.Kept = NewBound(s, d, requests, Assumptions{MissRate: 1 - r.BestHeld})
 	for _, name := range policies {
-		build, err := BuilderOf(name)
+		build, err := BuilderByName(name)
 		if err != nil {
 			return nil, err
 		}
 		for _, q := range requests {
-			q.refusedIn = 0
+			q.refusalDelay = 0
 		}
-		run := Run{Policy: name, Result: Play(s, d, requests, seed, build)}
-		missed := 1 - run.Result.Reads.heldShare()
-		run.Bound = NewBound(s, d, requests, Supposed{FixedStages: true, Missed: missed})
+		run := PolicyRun{Policy: name, Result: Play(s, d, requests, seed, build)}
+		missed := 1 - run.Result.Tokens.hitRate()
+		run.Bound = NewBound(s, d, requests, Assumptions{FixedStages: true, MissRate: missed})
 		r.Runs = append(r.Runs, run)
 	}
 	return r, nil
@@ -66,10 +66,10 @@
 	fmt.Fprintf(&b, "Worth counts from the first attempt, before prices; plain calls are taken as served in time.\n\n")
 	b.WriteString("| policy | worth | own bound | in time | late | refused | failed | turned away at first | shared tokens held | tokens read | GB moved |\n|---|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, run := range r.Runs {
-		t, reads := run.Result.Total(), run.Result.Reads
-		fmt.Fprintf(&b, "| %s | %.3f | %.3f | %d | %d | %d | %d | %d | %.3f | %.1f M | %.0f |\n", run.Policy, share(t.Worth, t.Owed), run.Bound.Share(),
-			t.InTime, t.Late, t.Refused, t.Failed, t.TurnedAway, reads.heldShare(),
-			float64(reads.Read)/million, float64(reads.Moved)*r.Site.Engine.KVTokenBytes/billion)
+		t, reads := run.Result.Total(), run.Result.Tokens
+		fmt.Fprintf(&b, "| %s | %.3f | %.3f | %d | %d | %d | %d | %d | %.3f | %.1f M | %.0f |\n", run.Policy, ratio(t.Worth, t.Owed), run.Bound.Share(),
+			t.InTime, t.Late, t.Refused, t.Failed, t.FirstRefused, reads.hitRate(),
+			float64(reads.Prefilled)/million, float64(reads.Moved)*r.Site.Engine.KVTokenBytes/billion)
 	}
 	for i, c := range r.Site.Classes {
 		if c.Plain {
@@ -85,7 +85,7 @@
 	}
 	b.WriteString("\n## Engine time asked for and there, by second\n\n| second | least | with nothing held | there | there with fixed stages |\n|---|---|---|---|---|\n")
 	for i, c := range r.Bound.Seconds {
-		fmt.Fprintf(&b, "| %d | %.1f | %.1f | %.1f | %.1f |\n", i, c.Asked, c.Cold, r.Bound.Power, r.Fixed.Power)
+		fmt.Fprintf(&b, "| %d | %.1f | %.1f | %.1f | %.1f |\n", i, c.Min, c.Cold, r.Bound.Capacity, r.Fixed.Capacity)
 	}
 	_, err := io.WriteString(out, b.String())
 	return errors.Wrap(err, "write report")
@@ -93,14 +93,16 @@
 
 const billion = 1e9
 
-var bandNames = [bands]string{"largest tenth", "next fifth", "rest"}
+var bandNames = [numBands]string{"largest tenth", "next fifth", "rest"}
 
+// writeCount writes one row of a class's table.
 func writeCount(b *strings.Builder, policy, size string, c Count) {
-	fmt.Fprintf(b, "| %s | %s | %d | %.3f | %d | %d | %d | %d | %d |\n", policy, size, c.Offered, share(c.Worth, c.Owed),
-		c.InTime, c.Late, c.Refused, c.Failed, c.TurnedAway)
+	fmt.Fprintf(b, "| %s | %s | %d | %.3f | %d | %d | %d | %d | %d |\n", policy, size, c.Offered, ratio(c.Worth, c.Owed),
+		c.InTime, c.Late, c.Refused, c.Failed, c.FirstRefused)
 }
 
-func share(part, whole float64) float64 {
+// ratio returns part/whole, or 0 if whole is 0.
+func ratio(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
 	}
--- a/internal/model/result.go
+++ b/internal/model/result.go
@@ -5,91 +5,103 @@
 	"time"
 )
 
-// The bands of a class by size: its largest tenth, the fifth below it, the rest.
+// Size bands of a class: the largest tenth of its requests, the fifth below it, and the rest.
 const (
 	Largest = iota
 	Large
 	Rest
-	bands
+	numBands
 )
 
 const (
-	largestShare = 0.1
-	largeShare   = 0.3
-	// soonShare is the part of the aim within which a refusal must come for the
-	// new attempt to be paid for the most part.
-	soonShare = 0.25
+	// largestEnd and largeEnd are the cumulative shares of a class's requests, the largest
+	// first, at which its first two size bands end.
+	largestEnd = 0.1
+	largeEnd   = 0.3
+	// earlyRefusalShare is the part of the latency objective within which the first attempt
+	// must be refused for an in-time retry to earn more than the late worth.
+	earlyRefusalShare = 0.25
 )
 
-// Count is what became of some requests.
+// Count counts a group of requests by outcome.
 type Count struct {
 	Offered, InTime, Late, Refused, Failed int
-	// TurnedAway is the first attempts that were refused; Refused is the requests
-	// that ended so, most of them refused again.
-	TurnedAway int
-	Owed       float64
-	Worth      float64
+	// FirstRefused counts first attempts that were refused. Refused counts requests whose
+	// final outcome is a refusal; most of them were refused twice.
+	FirstRefused int
+	// Owed is the worth of all requests if served in time, and Worth what they earned.
+	Owed  float64
+	Worth float64
 }
 
-// Settled is the requests whose end is known.
+// Settled returns the number of requests whose outcome is known.
 func (c Count) Settled() int { return c.InTime + c.Late + c.Refused + c.Failed }
 
-// Result is a day as it was played.
+// Result holds the results of a day under one policy.
 type Result struct {
+	// Classes counts the requests of each class.
 	Classes []Count
-	// Sizes is the same for each class by band.
-	Sizes [][bands]Count
-	// Seconds is the same by the second in which the request came first.
+	// Sizes counts the requests of each class by size band.
+	Sizes [][numBands]Count
+	// Seconds counts the requests by the second of their first attempt.
 	Seconds []Count
-	Reads   Reads
+	// Tokens counts the prompt tokens of all engines.
+	Tokens TokenCounts
 
 	site *Site
 	day  *Day
 }
 
+// newResult returns a Result with all counts 0.
 func newResult(s *Site, d *Day) *Result {
 	return &Result{
-		Classes: make([]Count, len(s.Classes)), Sizes: make([][bands]Count, len(s.Classes)),
+		Classes: make([]Count, len(s.Classes)), Sizes: make([][numBands]Count, len(s.Classes)),
 		Seconds: make([]Count, int(d.LengthS)+1), site: s, day: d,
 	}
 }
 
-// each applies f to every count that the request belongs to.
-func (r *Result) each(q *Request, f func(*Count)) {
+// update applies f to every count that includes the request.
+func (r *Result) update(q *Request, f func(*Count)) {
 	f(&r.Classes[q.Class])
 	f(&r.Sizes[q.Class][q.band])
 	f(&r.Seconds[int(q.At.Seconds())])
 }
 
-func (r *Result) offered(q *Request) {
-	r.each(q, func(c *Count) { c.Offered++; c.Owed += q.Worth })
+// recordOffered records a request at its first attempt.
+func (r *Result) recordOffered(q *Request) {
+	r.update(q, func(c *Count) { c.Offered++; c.Owed += q.Worth })
 }
 
-// plain notes a call that goes elsewhere.
-func (r *Result) plain(q *Request) {
-	r.offered(q)
-	r.each(q, func(c *Count) { c.InTime++; c.Worth += q.Worth })
+// recordPlain records a request to another service, which is not simulated.
+func (r *Result) recordPlain(q *Request) {
+	r.recordOffered(q)
+	r.update(q, func(c *Count) { c.InTime++; c.Worth += q.Worth })
 }
 
-func (r *Result) turnedAway(a *Attempt) { r.each(a.Request, func(c *Count) { c.TurnedAway++ }) }
-func (r *Result) refused(a *Attempt)    { r.each(a.Request, func(c *Count) { c.Refused++ }) }
-func (r *Result) failed(a *Attempt)     { r.lost(a.Request) }
-func (r *Result) lost(q *Request)       { r.each(q, func(c *Count) { c.Failed++ }) }
+// recordRetry records the refusal of a first attempt that will be retried.
+func (r *Result) recordRetry(a *Attempt) { r.update(a.Request, func(c *Count) { c.FirstRefused++ }) }
 
-// served notes an answer in full, and what it earns: counted from the first
-// attempt, but where that was refused at once, the mean.
-func (r *Result) served(a *Attempt) {
+// recordRefused and recordFailed record an attempt's outcome as final for its request, and
+// recordLost records a request that fails without an attempt in progress.
+func (r *Result) recordRefused(a *Attempt) { r.update(a.Request, func(c *Count) { c.Refused++ }) }
+func (r *Result) recordFailed(a *Attempt)  { r.recordLost(a.Request) }
+func (r *Result) recordLost(q *Request)    { r.update(q, func(c *Count) { c.Failed++ }) }
+
+// recordServed records a complete answer and the worth that it earns. The latency objective
+// counts from the first attempt. A retry within its own objective after an early refusal earns
+// the mean of worth and late worth.
+func (r *Result) recordServed(a *Attempt) {
 	q, aim := a.Request, millis(a.Class.AimMS)
-	whole := !a.paused
-	inTime := whole && a.first-q.At <= aim
+	whole := !a.gapExceeded
+	inTime := whole && a.firstEventAt-q.At <= aim
 	worth := q.LateWorth
 	switch {
 	case inTime:
 		worth = q.Worth
-	case whole && a.Retry > 0 && a.first-a.Sent <= aim && q.refusedIn <= time.Duration(soonShare*float64(aim)):
+	case whole && a.Retry > 0 && a.firstEventAt-a.Sent <= aim && q.refusalDelay <= time.Duration(earlyRefusalShare*float64(aim)):
 		worth = (q.Worth + q.LateWorth) / 2
 	}
-	r.each(q, func(c *Count) {
+	r.update(q, func(c *Count) {
 		c.Worth += worth
 		if inTime {
 			c.InTime++
@@ -99,7 +111,7 @@
 	})
 }
 
-// Total is the count over all classes.
+// Total returns the counts summed over all classes.
 func (r *Result) Total() Count {
 	var t Count
 	for _, c := range r.Classes {
@@ -108,28 +120,28 @@
 		t.Late += c.Late
 		t.Refused += c.Refused
 		t.Failed += c.Failed
-		t.TurnedAway += c.TurnedAway
+		t.FirstRefused += c.FirstRefused
 		t.Owed += c.Owed
 		t.Worth += c.Worth
 	}
 	return t
 }
 
-// band sorts the requests of each class into bands by size.
-func band(s *Site, rs []*Request) {
+// assignBands assigns the requests of each class to size bands.
+func assignBands(s *Site, rs []*Request) {
 	for class := range s.Classes {
-		var of []*Request
+		var members []*Request
 		for _, r := range rs {
 			if r.Class == class {
-				of = append(of, r)
+				members = append(members, r)
 			}
 		}
-		sort.SliceStable(of, func(i, j int) bool { return of[i].size > of[j].size })
-		for i, r := range of {
-			switch at := float64(i) / float64(len(of)); {
-			case at < largestShare:
+		sort.SliceStable(members, func(i, j int) bool { return members[i].size > members[j].size })
+		for i, r := range members {
+			switch at := float64(i) / float64(len(members)); {
+			case at < largestEnd:
 				r.band = Largest
-			case at < largeShare:
+			case at < largeEnd:
 				r.band = Large
 			default:
 				r.band = Rest
--- a/internal/model/scale.go
+++ b/internal/model/scale.go
@@ -1,8 +1,8 @@
 package model
 
-// Scale makes the site's engines read and write at a part of their speed, and gives its days
-// a part of their traffic. What does not depend on an engine's speed, the time that each
-// request beside adds to a step, stays.
+// Scale multiplies the speed of the site's engines by speed and the traffic of its days by
+// traffic. StepPerRunMS stays, since the time that each further request adds to a step does
+// not depend on an engine's speed.
 func (s *Site) Scale(speed, traffic float64) {
 	s.Engine.StepMS /= speed
 	s.Engine.PairsMS /= speed
@@ -14,7 +14,7 @@
 	}
 }
 
-// Until ends the day after so many seconds, where it lasts longer.
+// Until limits the day to a length in seconds, if seconds is positive.
 func (d *Day) Until(seconds float64) {
 	if seconds > 0 {
 		d.LengthS = min(d.LengthS, seconds)
--- a/internal/model/sizes_test.go
+++ b/internal/model/sizes_test.go
@@ -5,19 +5,20 @@
 	"testing"
 )
 
-// Operators ran the system before engines slower than those it had been measured with, and
-// the longest answers, and at times the longest prompts, were served less than half as often
-// as their kind. Engines at 0.6 of their speed show why: an answer of 214 events must make
-// one each 70 ms to end within its caller's 15 s. Alone an engine needs 53 ms (69 ms, where
-// it is one of the slower ones), each stream beside adds 0.4 ms, and each token a millisecond
-// that is read beside adds 1.1 ms. Answers were dealt to all engines alike, up to 0.6 of
-// their slots whatever that meant for the longest one, so that events came each 88 ms:
+// Guards against large requests of a class being served less than half as often as the class on
+// engines slower than those the system was tuned with. Two faults led to this.
+//
+// Decoding: an answer of 214 events must produce one every 70 ms to end within its caller's 15 s.
+// Alone an engine at 0.6 of its speed needs 53 ms (69 ms if it is one of the slower ones). Each
+// concurrent stream adds 0.4 ms, and each token per millisecond that is prefilled concurrently
+// adds 1.1 ms. Answers were spread over all engines alike, up to 0.6 of their slots regardless of
+// the longest one, so that events came every 88 ms:
 //
 //	event=request_failed kind=client_gone ms=15000 last_event=171 max_output=12198
 //
-// Prompts lost for another reason: of the longest tenth 402 of 650 tries were refused at
-// once, at queues at which shorter ones were sent, as a prompt's own reading was taken off
-// the wait that it was allowed.
+// Admission: of the tenth with the longest prompts, 402 of 650 attempts were refused at once, at
+// queues that shorter prompts were admitted to, since a prompt's own prefill time was deducted
+// from its allowed wait.
 func TestLargeRequestsAreServedBySlowEngines(t *testing.T) {
 	for _, c := range []struct {
 		site, day      string
@@ -36,8 +37,8 @@
 	}
 }
 
-// Long prompts were refused at waits at which shorter ones were sent, for as long as more came
-// than the engines read.
+// Guards against the refusal of long prompts at waits at which shorter ones are admitted, which
+// happened for as long as more prompts arrived than the engines could prefill.
 func TestLargeRequestsAreServedInOverload(t *testing.T) {
 	for _, site := range []string{"nairobi", "kochi"} {
 		for _, day := range []string{"quiet-1", "scale-1"} {
@@ -53,8 +54,8 @@
 	}
 }
 
-// checkSizes plays a day and fails where large requests of a class were served less than half
-// as often as all of it.
+// checkSizes simulates a day and fails if the large requests of a class are served less than half
+// as often as the class.
 func checkSizes(t *testing.T, site, day string, speed, traffic float64, seed uint64) {
 	t.Helper()
 	s, err := Load("../../examples/model/" + site + ".jsonc")
@@ -66,18 +67,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := Play(s, d, Draw(s, d, seed), seed, builders["today"])
+	r := Play(s, d, GenerateRequests(s, d, seed), seed, builders["today"])
 	for i, class := range s.Classes {
 		all := r.Classes[i].servedShare()
 		for band, name := range map[int]string{Largest: "largest tenth", Large: "next fifth"} {
 			if share := r.Sizes[i][band].servedShare(); 2*share < all {
-				t.Errorf("%s: of the %s %.2f were served, of all %.2f", class.Name, name, share, all)
+				t.Errorf("%s: served share of the %s is %.2f, of all %.2f", class.Name, name, share, all)
 			}
 		}
 	}
 }
 
-// servedShare is the part of the requests that were answered in full, in time or late.
+// servedShare returns the share of the requests that were answered completely, in time or late.
 func (c Count) servedShare() float64 {
 	return float64(c.InTime+c.Late) / float64(max(c.Offered, 1))
 }
--- a/internal/model/stage.go
+++ b/internal/model/stage.go
@@ -9,56 +9,56 @@
 )
 
 const (
-	// stageInterval is the time between looks at the stages.
+	// stageInterval is the time between two checks of the engines' stages.
 	stageInterval = time.Second
-	// stageLag is how long a change is wanted before it is ordered: the candidates'
-	// patience, the lease and the journal.
-	stageLag = 2 * time.Second
-	// idlePoll is the time between looks at an engine that ends its work.
-	idlePoll = 20 * time.Millisecond
+	// stageChangeDelay is how long a change must be wanted before it is ordered. It stands for
+	// the patience of the candidates for the lease, the lease itself and the journal.
+	stageChangeDelay = 2 * time.Second
+	// idlePollInterval is the time between two checks whether an engine has completed its work.
+	idlePollInterval = 20 * time.Millisecond
 )
 
 // Changing implements Fleet.
-func (w *world) Changing(id string) bool { return w.byID[id].changing }
+func (sim *simulation) Changing(id string) bool { return sim.byID[id].changing }
 
-// restage orders engines to the stages of the product's own plan.
-func (w *world) restage() {
+// adjustStages orders stage changes according to the product's own plan.
+func (sim *simulation) adjustStages() {
 	want := func() int {
 		n := 0
-		for _, t := range w.listed {
+		for _, t := range sim.listed {
 			if !t.Leaving {
 				n++
 			}
 		}
-		return int(math.Round(w.site.Engine.PrefillShare * float64(n)))
+		return int(math.Round(sim.site.Engine.PrefillShare * float64(n)))
 	}
-	load := func(id string) int { return len(w.byID[id].running) }
-	changes := stages.Plan(w.planned(), want(), load)
+	load := func(id string) int { return len(sim.byID[id].running) }
+	changes := stages.Plan(sim.plannedTargets(), want(), load)
 	if len(changes) == 0 {
-		w.wantedSince = 0
+		sim.changeWantedSince = 0
 		return
 	}
-	if w.wantedSince == 0 {
-		w.wantedSince = w.now
+	if sim.changeWantedSince == 0 {
+		sim.changeWantedSince = sim.now
 	}
-	if w.now-w.wantedSince < stageLag {
+	if sim.now-sim.changeWantedSince < stageChangeDelay {
 		return
 	}
 	for _, c := range changes {
-		if e := w.byID[c.Target.ID]; !e.changing {
-			e.changing, e.next = true, c.Stage
-			w.change(e)
+		if e := sim.byID[c.Target.ID]; !e.changing {
+			e.changing, e.nextStage = true, c.Stage
+			sim.switchWhenIdle(e)
 		}
 	}
 }
 
-// planned is the listed targets with the stages that they change to.
-func (w *world) planned() []*fleet.Target {
-	out := make([]*fleet.Target, 0, len(w.listed))
-	for _, t := range w.listed {
-		if e := w.byID[t.ID]; e.changing {
+// plannedTargets returns the listed targets, with the next stage for those that change stage.
+func (sim *simulation) plannedTargets() []*fleet.Target {
+	out := make([]*fleet.Target, 0, len(sim.listed))
+	for _, t := range sim.listed {
+		if e := sim.byID[t.ID]; e.changing {
 			c := *t
-			c.Stage = e.next
+			c.Stage = e.nextStage
 			t = &c
 		}
 		out = append(out, t)
@@ -66,19 +66,20 @@
 	return out
 }
 
-// change has an engine end its work, be away and come back with its new stage.
-func (w *world) change(e *engine) {
-	if e.down || e.gone {
+// switchWhenIdle waits until an engine has completed its work, takes it out of service for the
+// switch time and returns it with its next stage.
+func (sim *simulation) switchWhenIdle(e *engine) {
+	if e.down || e.delisted {
 		return
 	}
-	if e.busy()+len(e.waiting) > 0 {
-		w.after(idlePoll, func() { w.change(e) })
+	if e.busySlots()+len(e.waiting) > 0 {
+		sim.after(idlePollInterval, func() { sim.switchWhenIdle(e) })
 		return
 	}
-	w.after(seconds(w.site.Engine.SwitchS), func() {
+	sim.after(seconds(sim.site.Engine.SwitchS), func() {
 		t := *e.target
-		t.Stage = e.next
+		t.Stage = e.nextStage
 		e.target, e.changing = &t, false
-		w.list()
+		sim.refreshListing()
 	})
 }
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -10,311 +10,326 @@
 )
 
 const (
-	// listLag is how old the list of engines is, and lostLag how long an engine
-	// that crashes stays on it: three of its writes (users' sheets).
-	listLag = 800 * time.Millisecond
-	lostLag = 3600 * time.Millisecond
-	// dialTimeout is how long a VM waits for an engine that does not answer.
+	// listingDelay is the delay until a change appears in the listing of engines, and
+	// crashListingDelay the time for which a crashed engine stays listed: three of its
+	// regular writes to the listing, per the users' specification.
+	listingDelay      = 800 * time.Millisecond
+	crashListingDelay = 3600 * time.Millisecond
+	// dialTimeout is how long a VM waits to connect to an engine that does not answer.
 	dialTimeout = 250 * time.Millisecond
-	// drainTime is how long an engine that leaves goes on (users' sheets).
+	// drainTime is how long a leaving engine keeps serving, per the users' specification.
 	drainTime = 2 * time.Second
-	// patience is how long a caller waits for a stream's first event.
+	// patience is how long a caller waits for the first event of a stream.
 	patience = 2 * time.Second
-	// maxTransferWait is the wait for a link beyond which nothing is moved.
+	// maxTransferWait is the longest wait for a link. Beyond it the prompt is prefilled again
+	// instead of transferred.
 	maxTransferWait = 2 * time.Second
-	// farTransfer is how many times longer a move between data centres takes.
-	farTransfer = 2
-	// settleTime is how long after the last arrival the day is played on.
+	// remoteTransferFactor is how many times longer a transfer between data centres takes.
+	remoteTransferFactor = 2
+	// settleTime is how long the simulation continues after the end of the day's arrivals.
 	settleTime = 20 * time.Second
 )
 
-// Attempt is one attempt of a request at a VM.
+// Attempt is one attempt of a request, as sent to a VM.
 type Attempt struct {
 	Request *Request
 	Class   *Class
 	Prompt  *place.Prompt
-	// VM is the index of the VM that has it, over all data centres.
+	// VM is the index of the VM that serves the attempt, counted over all data centres.
 	VM int
-	// Retry counts the attempts before this one.
+	// Retry is the number of attempts before this one.
 	Retry int
-	// Sent is when the caller sent it, Arrived when it reached the VM, and
-	// Deadline when the caller's time is over.
+	// Sent is when the caller sent the attempt, Arrived when it reached the VM, and Deadline
+	// when the time limit of the request ends.
 	Sent     time.Duration
 	Arrived  time.Duration
 	Deadline time.Duration
-	// Tried holds the engines that are not asked again, Sends counts the sends.
+	// Tried holds the engines that are not to be asked again, and Sends counts how often the
+	// attempt was sent to an engine.
 	Tried place.Tried
 	Sends int
 
-	// queued counts it among those that its VM has deferred.
-	queued *place.Ticket
-	dc     int
-	first  time.Duration
-	last   time.Duration
-	paused bool
-	ended  bool
+	// deferral is the ticket that counts the attempt among those its VM defers; it is nil
+	// while the attempt is not deferred.
+	deferral *place.Ticket
+	// dataCentre is the index of the data centre of caller and VM.
+	dataCentre int
+	// firstEventAt and lastEventAt are when the caller received the first and the latest
+	// event; 0 means none. gapExceeded says that a pause between two events was longer than
+	// the class allows, and ended that the outcome of the attempt is decided.
+	firstEventAt time.Duration
+	lastEventAt  time.Duration
+	gapExceeded  bool
+	ended        bool
 }
 
-// world is one day being played.
-type world struct {
+// simulation is the state of one day being simulated.
+type simulation struct {
 	clock
-	site    *Site
-	day     *Day
+	site *Site
+	day  *Day
+	// engines holds all engines including delisted ones, and listed the targets in the
+	// listing that VMs see.
 	engines []*engine
 	byID    map[string]*engine
 	listed  []*fleet.Target
 	policy  Policy
 	random  *rand.Rand
-	callers [][]int
-	dcIndex map[string]int
-	result  *Result
-	// inHand holds the attempts not yet cleared, ended or not.
-	inHand []*Attempt
-	// wantedSince is when a change of stages was first wanted.
-	wantedSince time.Duration
-	// newcomers counts the engines that came in the place of those that left.
-	newcomers int
+	// callerVMs holds the VM index of each caller, by data centre.
+	callerVMs [][]int
+	dcIndex   map[string]int
+	result    *Result
+	// attempts holds the attempts made since VMs were last stopped, ended or not.
+	attempts []*Attempt
+	// changeWantedSince is when the current need for stage changes arose; 0 means no need.
+	changeWantedSince time.Duration
+	// replacements counts the engines that replaced drained ones.
+	replacements int
 }
 
-// Play plays a day's requests under the policy that build makes.
+// Play simulates a day's requests under the policy that build returns.
 func Play(s *Site, d *Day, requests []*Request, seed uint64, build Builder) *Result {
-	w := &world{
+	sim := &simulation{
 		site: s, day: d, byID: map[string]*engine{}, dcIndex: map[string]int{},
-		random: rand.New(rand.NewPCG(seed, worldStream)), result: newResult(s, d),
+		random: rand.New(rand.NewPCG(seed, simulationStream)), result: newResult(s, d),
 	}
-	w.deal()
-	w.policy = build(s, w, rand.New(rand.NewPCG(seed, policyStream)))
+	sim.setUp()
+	sim.policy = build(s, sim, rand.New(rand.NewPCG(seed, policyStream)))
 	for _, r := range requests {
-		w.at(r.At, func() { w.send(r, 0) })
+		sim.at(r.At, func() { sim.send(r, 0) })
 	}
 	end := seconds(d.LengthS) + settleTime
 	for t := time.Duration(0); t < end; t += reportInterval {
-		w.at(t, func() { w.policy.Exchange(w.now) })
+		sim.at(t, func() { sim.policy.ExchangeReports(sim.now) })
 	}
 	for t := stageInterval; t < end; t += stageInterval {
-		w.at(t, w.restage)
+		sim.at(t, sim.adjustStages)
 	}
-	w.schedule()
-	w.run(end)
-	return w.result
+	sim.scheduleFaults()
+	sim.runUntil(end)
+	return sim.result
 }
 
-// Builder makes a policy for a fleet.
+// Builder makes a policy for a fleet of engines.
 type Builder func(s *Site, f Fleet, random *rand.Rand) Policy
 
-// The random streams of a day, besides that of its requests.
+// Streams of the random generator, separate from that of the day's requests.
 const (
-	worldStream  = 1
-	policyStream = 2
+	simulationStream = 1
+	policyStream     = 2
 )
 
-// deal sets up engines and callers.
-func (w *world) deal() {
+// setUp creates the engines and assigns each caller to a VM.
+func (sim *simulation) setUp() {
 	vm := 0
-	for i, dc := range w.site.DataCentres {
-		w.dcIndex[dc.Name] = i
-		prefill := w.site.Prefillers(dc)
+	for i, dc := range sim.site.DataCentres {
+		sim.dcIndex[dc.Name] = i
+		prefill := sim.site.PrefillEngines(dc)
 		for k := range dc.Engines {
 			stage := fleet.Decode
 			if k < prefill {
 				stage = fleet.Prefill
 			}
-			w.addEngine(dc.Name, stage, w.site.TimeFactor(len(w.engines)))
+			sim.addEngine(dc.Name, stage, sim.site.TimeFactor(len(sim.engines)))
 		}
 		var callers []int
 		for range dc.Callers {
-			callers = append(callers, vm+w.random.IntN(dc.VMs))
+			callers = append(callers, vm+sim.random.IntN(dc.VMs))
 		}
-		w.callers = append(w.callers, callers)
+		sim.callerVMs = append(sim.callerVMs, callers)
 		vm += dc.VMs
 	}
-	w.list()
+	sim.refreshListing()
 }
 
-func (w *world) addEngine(dc string, stage fleet.Stage, factor float64) {
-	n := len(w.engines)
-	t := &fleet.Target{ID: fmt.Sprintf("e%d", n), DataCentre: dc, Slots: w.site.Engine.Slots, Stage: stage}
+// addEngine adds an engine with an empty cache. It does not update the listing.
+func (sim *simulation) addEngine(dc string, stage fleet.Stage, factor float64) {
+	n := len(sim.engines)
+	t := &fleet.Target{ID: fmt.Sprintf("e%d", n), DataCentre: dc, Slots: sim.site.Engine.Slots, Stage: stage}
 	e := &engine{
-		target: t, figures: &w.site.Engine, factor: factor, clock: &w.clock,
-		memory: newMemory(w.site.Engine.KVTokens), total: &w.result.Reads,
+		target: t, spec: &sim.site.Engine, timeFactor: factor, clock: &sim.clock,
+		cache: newKVCache(sim.site.Engine.KVTokens), tokens: &sim.result.Tokens,
 	}
-	w.engines = append(w.engines, e)
-	w.byID[t.ID] = e
+	sim.engines = append(sim.engines, e)
+	sim.byID[t.ID] = e
 }
 
-// list makes the list of engines anew; a target is never changed once listed.
-func (w *world) list() {
-	w.listed = nil
-	for _, e := range w.engines {
-		if !e.gone {
-			w.listed = append(w.listed, e.target)
+// refreshListing rebuilds the listing of engines. A listed target is never modified.
+func (sim *simulation) refreshListing() {
+	sim.listed = nil
+	for _, e := range sim.engines {
+		if !e.delisted {
+			sim.listed = append(sim.listed, e.target)
 		}
 	}
 }
 
 // Targets implements Fleet.
-func (w *world) Targets() []*fleet.Target { return w.listed }
+func (sim *simulation) Targets() []*fleet.Target { return sim.listed }
 
 // Load implements Fleet.
-func (w *world) Load(id string) (tokens, requests int) {
-	e := w.byID[id]
+func (sim *simulation) Load(id string) (tokens, requests int) {
+	e := sim.byID[id]
 	for _, r := range e.waiting {
 		tokens += r.prompt.Tokens
 	}
-	for _, r := range e.reading {
-		tokens += r.missing
+	for _, r := range e.prefilling {
+		tokens += r.toPrefill
 	}
-	return tokens, e.busy() + len(e.waiting)
+	return tokens, e.busySlots() + len(e.waiting)
 }
 
-// send has the caller send its request, for the n-th time from 0.
-func (w *world) send(r *Request, n int) {
-	c := &w.site.Classes[r.Class]
+// send sends a caller's request; n counts its earlier attempts.
+func (sim *simulation) send(r *Request, n int) {
+	c := &sim.site.Classes[r.Class]
 	if c.Plain {
-		w.result.plain(r)
+		sim.result.recordPlain(r)
 		return
 	}
 	if n == 0 {
-		w.result.offered(r)
+		sim.result.recordOffered(r)
 	}
-	w.attempt(r, n)
+	sim.attempt(r, n)
 }
 
-// attempt begins the n-th attempt, or does so when VMs are there again.
-func (w *world) attempt(r *Request, n int) {
-	c := &w.site.Classes[r.Class]
-	if back, stopped := w.stopped(); stopped {
-		w.comeLater(r, n, back)
+// attempt starts the n-th attempt, counted from 0, or postpones it while the VMs are stopped.
+func (sim *simulation) attempt(r *Request, n int) {
+	c := &sim.site.Classes[r.Class]
+	if back, stopped := sim.vmsStopped(); stopped {
+		sim.retryAfterStop(r, n, back)
 		return
 	}
 	prompt := *r.Prompt
 	a := &Attempt{
-		Request: r, Class: c, Prompt: &prompt, Retry: n, Sent: w.now, dc: r.DataCentre,
+		Request: r, Class: c, Prompt: &prompt, Retry: n, Sent: sim.now, dataCentre: r.DataCentre,
 		Deadline: r.At + millis(c.DeadlineMS), Tried: place.Tried{},
 	}
-	callers := w.callers[r.DataCentre]
+	callers := sim.callerVMs[r.DataCentre]
 	a.VM = callers[r.Caller]
 	if n > 0 {
 		// A retry opens a new connection, which may reach another VM.
-		a.VM = callers[w.random.IntN(len(callers))]
+		a.VM = callers[sim.random.IntN(len(callers))]
 	}
-	w.inHand = append(w.inHand, a)
-	w.after(millis(w.site.Network.CallerMS), func() {
-		a.Arrived = w.now
-		a.Prompt.Limit, a.Prompt.FullLimit = a.Deadline-w.now, millis(c.DeadlineMS)
-		w.place(a)
+	sim.attempts = append(sim.attempts, a)
+	sim.after(millis(sim.site.Network.CallerMS), func() {
+		a.Arrived = sim.now
+		a.Prompt.Limit, a.Prompt.FullLimit = a.Deadline-sim.now, millis(c.DeadlineMS)
+		sim.place(a)
 	})
 }
 
-// place decides for an attempt and sends it on.
-func (w *world) place(a *Attempt) {
+// place asks the policy for an engine and sends the attempt to it.
+func (sim *simulation) place(a *Attempt) {
 	if a.ended {
 		return
 	}
-	if w.now >= a.Deadline {
-		w.fail(a)
+	if sim.now >= a.Deadline {
+		sim.failAttempt(a)
 		return
 	}
-	d := w.policy.Read(a, w.now)
+	d := sim.policy.Prefill(a, sim.now)
 	if d.Refused {
-		w.refuse(a, d.After)
+		sim.refuse(a, d.After)
 		return
 	}
 	if d.Deferred {
-		w.after(d.After, func() { w.place(a) })
+		sim.after(d.After, func() { sim.place(a) })
 		return
 	}
 	if d.Target == nil {
-		w.refuse(a, time.Second)
+		sim.refuse(a, time.Second)
 		return
 	}
 	a.Sends++
 	if d.InPlace {
-		w.submit(a, d, &decoding{w: w, a: a, d: d})
+		sim.dispatch(a, d, &decodePhase{sim: sim, attempt: a, decision: d})
 		return
 	}
-	w.submit(a, d, &prefilling{w: w, a: a, d: d})
+	sim.dispatch(a, d, &prefillPhase{sim: sim, attempt: a, decision: d})
 }
 
-// job is a run at an engine with what the VM does next.
-type job interface {
-	outcome
-	make() *run
+// phase is one stage of serving an attempt on an engine. It creates the sequence for the
+// engine and reacts to its progress.
+type phase interface {
+	sequenceObserver
+	newSequence() *sequence
 }
 
-// submit sends an attempt to an engine.
-func (w *world) submit(a *Attempt, d Decision, j job) {
-	e := w.byID[d.Target.ID]
-	if !w.reaches(a.dc, e) || (e.down && e.silent) {
-		w.after(dialTimeout, func() { w.unreachable(a, d) })
+// dispatch sends an attempt to an engine.
+func (sim *simulation) dispatch(a *Attempt, d Decision, p phase) {
+	e := sim.byID[d.Target.ID]
+	if !sim.reachable(a.dataCentre, e) || (e.down && e.silent) {
+		sim.after(dialTimeout, func() { sim.handleUnreachable(a, d) })
 		return
 	}
-	hop := w.hop(a.dc, e)
+	hop := sim.hopDelay(a.dataCentre, e)
 	if e.down {
-		w.after(2*hop, func() { w.unreachable(a, d) })
+		sim.after(2*hop, func() { sim.handleUnreachable(a, d) })
 		return
 	}
-	w.after(hop, func() {
-		r := j.make()
-		w.at(r.ready, func() { w.enter(a, d, r) })
+	sim.after(hop, func() {
+		seq := p.newSequence()
+		sim.at(seq.readyAt, func() { sim.enqueue(a, d, seq) })
 	})
 }
 
-// enter queues a run at its engine, or has it placed again where that is full.
-func (w *world) enter(a *Attempt, d Decision, r *run) {
-	e := w.byID[d.Target.ID]
-	if e.submit(r) {
-		w.watch(a, e, r)
+// enqueue submits a sequence to its engine, or places the attempt elsewhere if that is full.
+func (sim *simulation) enqueue(a *Attempt, d Decision, seq *sequence) {
+	e := sim.byID[d.Target.ID]
+	if e.submit(seq) {
+		sim.scheduleExpiry(a, e, seq)
 		return
 	}
-	w.after(w.hop(a.dc, e), func() {
-		d.Ticket.End(place.Refused, epoch.Add(w.now))
-		w.again(a, d.Target.ID)
+	sim.after(sim.hopDelay(a.dataCentre, e), func() {
+		d.Ticket.End(place.Refused, epoch.Add(sim.now))
+		sim.placeElsewhere(a, d.Target.ID)
 	})
 }
 
-// watch ends a run whose caller leaves before the first event.
-func (w *world) watch(a *Attempt, e *engine, r *run) {
-	w.at(a.Sent+patience, func() {
-		if a.first == 0 && !r.over {
-			r.expires = w.now
+// scheduleExpiry ends a sequence at its deadline, or when its caller's patience ends without a
+// first event.
+func (sim *simulation) scheduleExpiry(a *Attempt, e *engine, seq *sequence) {
+	sim.at(a.Sent+patience, func() {
+		if a.firstEventAt == 0 && !seq.finished {
+			seq.expiresAt = sim.now
 			e.wake()
 		}
 	})
-	w.at(r.expires, e.wake)
+	sim.at(seq.expiresAt, e.wake)
 }
 
-func (w *world) unreachable(a *Attempt, d Decision) {
-	d.Ticket.End(place.Unreachable, epoch.Add(w.now))
-	w.again(a, d.Target.ID)
+// handleUnreachable places an attempt elsewhere after the connection to its engine failed.
+func (sim *simulation) handleUnreachable(a *Attempt, d Decision) {
+	d.Ticket.End(place.Unreachable, epoch.Add(sim.now))
+	sim.placeElsewhere(a, d.Target.ID)
 }
 
-// maxSends bounds the engines that one attempt is sent to.
+// maxSends limits how many engines one attempt is sent to.
 const maxSends = 4
 
-// again places an attempt that has not run once more.
-func (w *world) again(a *Attempt, not string) {
-	a.Tried[not] = true
+// placeElsewhere places an attempt that has not run on an engine other than the excluded one.
+func (sim *simulation) placeElsewhere(a *Attempt, excluded string) {
+	a.Tried[excluded] = true
 	if a.Sends >= maxSends {
-		w.refuse(a, time.Second)
+		sim.refuse(a, time.Second)
 		return
 	}
-	w.place(a)
+	sim.place(a)
 }
 
-// hop is the time from a data centre to an engine.
-func (w *world) hop(dc int, e *engine) time.Duration {
-	if w.site.DataCentres[dc].Name == e.target.DataCentre {
-		return millis(w.site.Network.WithinMS)
+// hopDelay returns the one-way delay between a data centre and an engine.
+func (sim *simulation) hopDelay(dc int, e *engine) time.Duration {
+	if sim.site.DataCentres[dc].Name == e.target.DataCentre {
+		return millis(sim.site.Network.WithinMS)
 	}
-	return millis(w.site.Network.BetweenMS)
+	return millis(sim.site.Network.BetweenMS)
 }
 
-// reaches says whether no cut lies between a data centre and an engine.
-func (w *world) reaches(dc int, e *engine) bool {
-	name := w.site.DataCentres[dc].Name
-	for _, c := range w.day.Cuts {
-		if w.now >= seconds(c.AtS) && w.now < seconds(c.AtS+c.ForS) &&
+// reachable reports whether no cut separates a data centre from an engine at present.
+func (sim *simulation) reachable(dc int, e *engine) bool {
+	name := sim.site.DataCentres[dc].Name
+	for _, c := range sim.day.Cuts {
+		if sim.now >= seconds(c.AtS) && sim.now < seconds(c.AtS+c.ForS) &&
 			name != e.target.DataCentre && (c.DataCentre == name || c.DataCentre == e.target.DataCentre) {
 			return false
 		}
@@ -322,33 +337,34 @@
 	return true
 }
 
-// refuse answers that the attempt has not run; the caller comes back once.
-func (w *world) refuse(a *Attempt, after time.Duration) {
+// refuse ends an attempt that has not run. The caller retries once, after the given delay.
+func (sim *simulation) refuse(a *Attempt, after time.Duration) {
 	if a.ended {
 		return
 	}
-	w.end(a)
-	w.after(millis(w.site.Network.CallerMS), func() {
-		back := w.now + min(after, time.Duration(heededShare*float64(a.Deadline-w.now)))
+	sim.endAttempt(a)
+	sim.after(millis(sim.site.Network.CallerMS), func() {
+		back := sim.now + min(after, time.Duration(maxRetryShare*float64(a.Deadline-sim.now)))
 		if a.Retry > 0 || back >= a.Deadline {
-			w.result.refused(a)
+			sim.result.recordRefused(a)
 			return
 		}
-		a.Request.refusedIn = w.now - a.Sent
-		w.result.turnedAway(a)
-		w.at(back, func() { w.attempt(a.Request, a.Retry+1) })
+		a.Request.refusalDelay = sim.now - a.Sent
+		sim.result.recordRetry(a)
+		sim.at(back, func() { sim.attempt(a.Request, a.Retry+1) })
 	})
 }
 
-// fail settles an attempt that is not answered in full.
-func (w *world) fail(a *Attempt) {
+// failAttempt ends an attempt whose answer is not completed.
+func (sim *simulation) failAttempt(a *Attempt) {
 	if !a.ended {
-		w.end(a)
-		w.result.failed(a)
+		sim.endAttempt(a)
+		sim.result.recordFailed(a)
 	}
 }
 
-func (w *world) end(a *Attempt) {
+// endAttempt marks an attempt as ended and tells the policy.
+func (sim *simulation) endAttempt(a *Attempt) {
 	a.ended = true
-	w.policy.Over(a)
+	sim.policy.Finish(a)
 }
