--- a/internal/live/live_test.go
+++ b/internal/live/live_test.go
@@ -11,13 +11,14 @@
 	"garnethoist.org/garnethoist/internal/proc/proctest"
 )
 
+// bin is the folder of the garnet-node program built for the tests.
 var bin string
 
 func TestMain(m *testing.M) {
 	os.Exit(proctest.Main("../../cmd/garnet-node", func(dir string) { bin = dir }, m.Run))
 }
 
-// oneDataCentre is the first data centre of an example site with its part of a day.
+// oneDataCentre returns the first data centre of an example site, with its part of a day.
 func oneDataCentre(t *testing.T, site, day string, speed, until float64) (*model.Site, *model.Day) {
 	t.Helper()
 	s, err := model.Load("../../examples/model/" + site + ".jsonc")
@@ -35,7 +36,7 @@
 	return s, d
 }
 
-// allDataCentres is an example site with a part of a day, and its traffic multiplied.
+// allDataCentres returns an example site with a part of a day and its traffic multiplied.
 func allDataCentres(t *testing.T, site, day string, traffic, until float64) (*model.Site, *model.Day) {
 	t.Helper()
 	s, err := model.Load("../../examples/model/" + site + ".jsonc")
@@ -51,11 +52,12 @@
 	return s, d
 }
 
-// The longest answers ended at their callers' deadline where engines were slower than those
-// that the system had been measured with, as real processes show on the wall clock: of the
-// largest tenth 0.26 were served, of all 0.85, on all of a site's engines at 0.6 of their
-// speed. The virtual time of package model shows the same in its own test, which tells why.
-// Here processes are stopped for a part of their time besides, as on busy hosts.
+// Guards against large requests being served less than half as often as their class on engines
+// slower than those the system was tuned with: the longest answers ended at their callers'
+// deadline. With real processes and all of a site's engines at 0.6 of their speed, 0.26 of the
+// largest tenth were served, but 0.85 of all. TestLargeRequestsAreServedBySlowEngines in package
+// model shows the same in virtual time and explains it. Here processes are also stopped for a part
+// of their time, as on busy hosts.
 func TestLargeRequestsAreServedOnTheWallClock(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -64,7 +66,8 @@
 	checkSizes(t, live.Config{Site: s, Day: d, Seed: 1, Busy: 0.2})
 }
 
-// More prompts come than the engines read, for longer than callers wait.
+// Guards against the same with more prompts than the engines can prefill, for longer than callers
+// wait.
 func TestLargePromptsAreServedInOverloadOnTheWallClock(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -73,8 +76,8 @@
 	checkSizes(t, live.Config{Site: s, Day: d, Seed: 1})
 }
 
-// checkSizes plays a day and fails where large requests of a class were served less than half
-// as often as all of it.
+// checkSizes plays a day and fails if the large requests of a class are served less than half as
+// often as the class.
 func checkSizes(t *testing.T, cfg live.Config) {
 	t.Helper()
 	cfg.Bin, cfg.Dir = bin, t.TempDir()
@@ -87,7 +90,7 @@
 		t.Fatal(err)
 	}
 	t.Log(text.String())
-	for _, u := range r.Unserved() {
-		t.Errorf("%s: of the %s by %s %.2f were served, of all %.2f", u.Class, u.Band, u.Measure, u.Share, u.All)
+	for _, u := range r.Underserved() {
+		t.Errorf("%s: served share of the %s by %s is %.2f, of all %.2f", u.Class, u.Band, u.Measure, u.Share, u.All)
 	}
 }
--- a/internal/live/play.go
+++ b/internal/live/play.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	// Callers wait for the next event of a stream for the longest of two seconds, four
-	// objectives and eight of the pauses allowed (platform's pages).
-	leastPatience      = 2 * time.Second
+	// A caller waits for the next event of a stream for the longest of minPatience,
+	// patienceObjectives times the latency objective of its class and patienceGaps times the
+	// allowed gap between events, per the platform's documentation.
+	minPatience        = 2 * time.Second
 	patienceObjectives = 4
-	patiencePauses     = 8
-	// heededPart of the time that a caller has left is the most that it waits where it is told
-	// when to come back: a third.
-	heededPart = 3
-	// tries is how often a caller asks.
-	tries = 2
+	patienceGaps       = 8
+	// A refused caller retries after the time that the response names, but waits for at most
+	// its remaining time divided by retryWaitDivisor: a third.
+	retryWaitDivisor = 3
+	// maxTries is how many times a caller sends a request at most.
+	maxTries = 2
 )
 
-// play sends the day's requests when they are due and waits for their ends.
-func (w *world) play(ctx context.Context) *Report {
-	requests := model.GenerateRequests(w.cfg.Site, w.cfg.Day, w.cfg.Seed)
-	report := newReport(w.cfg.Site)
+// playDay sends the day's requests when they are due and waits until all have ended.
+func (h *harness) playDay(ctx context.Context) *Report {
+	requests := model.GenerateRequests(h.cfg.Site, h.cfg.Day, h.cfg.Seed)
+	report := newReport(h.cfg.Site)
 	began := time.Now()
-	var asked sync.WaitGroup
+	var running sync.WaitGroup
 	for i, q := range requests {
-		class := &w.cfg.Site.Classes[q.Class]
+		class := &h.cfg.Site.Classes[q.Class]
 		if class.Plain {
 			continue
 		}
@@ -39,47 +40,50 @@
 		if ctx.Err() != nil {
 			break
 		}
-		asked.Go(func() {
-			e, reply := w.ask(ctx, i, q, class)
+		running.Go(func() {
+			e, reply := h.ask(ctx, i, q, class)
 			report.add(q, e, reply)
 		})
 	}
-	asked.Wait()
-	report.lag = w.fleet.Lag()
+	running.Wait()
+	report.maxLag = h.fleet.Lag()
 	return report
 }
 
-// ask has a caller send a request, and once more where it is refused.
-func (w *world) ask(ctx context.Context, number int, q *model.Request, class *model.Class) (end, platformtest.LiveReply) {
+// ask sends a request of a caller, and retries once if it is refused. It returns the outcome and
+// the last reply.
+func (h *harness) ask(ctx context.Context, number int, q *model.Request, class *model.Class) (outcome, platformtest.LiveReply) {
 	began := time.Now()
 	limit := millis(class.DeadlineMS)
-	patience := max(leastPatience, patienceObjectives*millis(class.AimMS), patiencePauses*millis(class.GapMS))
+	patience := max(minPatience, patienceObjectives*millis(class.AimMS), patienceGaps*millis(class.GapMS))
 	for try := 0; ; try++ {
 		sent := time.Since(began)
-		reply := w.callers.Ask(ctx, platformtest.LiveCall{
-			Address: string(w.vmOf(q, try).cfg.Listen), ID: tryID(number, try, q.Output), Route: class.Name, Prompt: q.Prompt,
+		reply := h.callers.Ask(ctx, platformtest.LiveCall{
+			Address: string(h.callerVM(q, try).cfg.Listen), ID: tryID(number, try, q.Output), Route: class.Name, Prompt: q.Prompt,
 			Bytes: q.Prompt.BodyBytes, Timeout: limit - sent, Patience: patience,
 		})
 		refused := reply.Status == http.StatusServiceUnavailable || reply.Status == http.StatusTooManyRequests
 		left := limit - time.Since(began)
-		if refused && try+1 < tries && left > 0 {
-			kernel.Sleep(ctx, min(reply.RetryAfter, left/heededPart))
+		if refused && try+1 < maxTries && left > 0 {
+			kernel.Sleep(ctx, min(reply.RetryAfter, left/retryWaitDivisor))
 			continue
 		}
-		return endOf(w.cfg.Site, q, class, reply, sent, refused), reply
+		return outcomeOf(h.cfg.Site, q, class, reply, sent, refused), reply
 	}
 }
 
-// vmOf is the VM of a request's caller: a retry reaches another one.
-func (w *world) vmOf(q *model.Request, try int) *vm {
+// callerVM returns the VM that serves a try of a request. A retry reaches another VM of the data
+// centre.
+func (h *harness) callerVM(q *model.Request, try int) *vm {
 	first := 0
-	for i, dc := range w.cfg.Site.DataCentres {
+	for i, dc := range h.cfg.Site.DataCentres {
 		if i == q.DataCentre {
-			return w.vms[first+(q.Caller+try)%dc.VMs]
+			return h.vms[first+(q.Caller+try)%dc.VMs]
 		}
 		first += dc.VMs
 	}
-	return w.vms[0]
+	return h.vms[0]
 }
 
+// millis converts milliseconds to a Duration.
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/live/report.go
+++ b/internal/live/report.go
@@ -18,33 +18,34 @@
 	"garnethoist.org/garnethoist/platform/platformtest"
 )
 
-// end is how a request ended for its caller.
-type end int
+// outcome is the outcome of a request for its caller.
+type outcome int
 
 const (
-	onTime end = iota + 1
+	onTime outcome = iota + 1
 	late
 	refused
 	failed
 )
 
-// endOf judges the last reply to a request, which was sent so long after the first try.
-func endOf(s *model.Site, q *model.Request, class *model.Class, reply platformtest.LiveReply, sent time.Duration, wasRefused bool) end {
+// outcomeOf returns the outcome of a request from the reply to its last try, which was sent
+// retryDelay after the first one.
+func outcomeOf(s *model.Site, q *model.Request, class *model.Class, reply platformtest.LiveReply, retryDelay time.Duration, wasRefused bool) outcome {
 	switch {
 	case wasRefused:
 		return refused
 	case reply.Err != nil || reply.Status != http.StatusOK || reply.Events != q.Output/s.Engine.EventTokens:
 		return failed
-	case sent+reply.First > millis(class.AimMS) || (class.GapMS > 0 && reply.LongestGap > millis(class.GapMS)):
+	case retryDelay+reply.First > millis(class.AimMS) || (class.GapMS > 0 && reply.LongestGap > millis(class.GapMS)):
 		return late
 	}
 	return onTime
 }
 
-// Measure is a way to say how large a request is.
+// Measure is a measure of the size of requests.
 type Measure string
 
-// The measures.
+// The measures of size.
 const (
 	ByPrompt Measure = "prompt tokens"
 	ByAnswer Measure = "answer tokens"
@@ -52,6 +53,7 @@
 	ByWork   Measure = "tokens in + 10 x tokens out"
 )
 
+// measures holds the function that computes each measure.
 var measures = map[Measure]func(*model.Request) int{
 	ByPrompt: func(q *model.Request) int { return q.Prompt.Tokens },
 	ByAnswer: func(q *model.Request) int { return q.Output },
@@ -62,38 +64,41 @@
 // Measures returns the measures in the order in which they are reported.
 func Measures() []Measure { return []Measure{ByWork, ByPrompt, ByAnswer, ByBody} }
 
-// ended is one request and how it ended.
-type ended struct {
+// requestOutcome is a request with its outcome.
+type requestOutcome struct {
 	request *model.Request
-	end     end
+	outcome outcome
 }
 
-// Report is how a day's requests ended. It is safe for concurrent use.
+// Report collects the outcomes of a day's requests. Requests can be added concurrently.
 type Report struct {
 	site *model.Site
 
-	mu    sync.Mutex
-	ended [][]ended
-	// causes counts the failed requests by what their callers saw.
+	// mu protects the fields below while requests are being added.
+	mu       sync.Mutex
+	outcomes [][]requestOutcome
+	// causes counts the failed requests by their cause as seen by the callers.
 	causes map[string]int
-	// lag is the most that engines were late as the host was busy.
-	lag time.Duration
+	// maxLag is the longest delay of an engine event that a busy host caused.
+	maxLag time.Duration
 }
 
+// newReport returns a Report without requests.
 func newReport(s *model.Site) *Report {
-	return &Report{site: s, ended: make([][]ended, len(s.Classes)), causes: make(map[string]int)}
+	return &Report{site: s, outcomes: make([][]requestOutcome, len(s.Classes)), causes: make(map[string]int)}
 }
 
-func (r *Report) add(q *model.Request, e end, reply platformtest.LiveReply) {
+// add adds a request with its outcome and the reply to its last try.
+func (r *Report) add(q *model.Request, e outcome, reply platformtest.LiveReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e == failed {
 		r.causes[causeOf(reply)]++
 	}
-	r.ended[q.Class] = append(r.ended[q.Class], ended{request: q, end: e})
+	r.outcomes[q.Class] = append(r.outcomes[q.Class], requestOutcome{request: q, outcome: e})
 }
 
-// causeOf says how a request failed for its caller.
+// causeOf returns the cause of a failure as seen by the caller.
 func causeOf(reply platformtest.LiveReply) string {
 	switch {
 	case errors.Is(reply.Err, context.DeadlineExceeded):
@@ -106,53 +111,55 @@
 	return strconv.Itoa(reply.Status)
 }
 
-// Tenths returns the share that was served of each tenth of a class by a measure, the
-// largest tenth first, and of the class as a whole.
-func (r *Report) Tenths(class int, m Measure) (tenths [10]float64, all float64) {
+// ServedByTenth sorts the requests of a class by a measure and returns the served share of each
+// tenth, the largest requests first, and of the whole class.
+func (r *Report) ServedByTenth(class int, m Measure) (tenths [10]float64, all float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	of := slices.Clone(r.ended[class])
+	sorted := slices.Clone(r.outcomes[class])
 	size := measures[m]
-	slices.SortStableFunc(of, func(a, b ended) int { return cmp.Compare(size(b.request), size(a.request)) })
+	slices.SortStableFunc(sorted, func(a, b requestOutcome) int { return cmp.Compare(size(b.request), size(a.request)) })
 	for i := range tenths {
-		tenths[i] = served(of[len(of)*i/10 : len(of)*(i+1)/10])
+		tenths[i] = servedShare(sorted[len(sorted)*i/10 : len(sorted)*(i+1)/10])
 	}
-	return tenths, served(of)
+	return tenths, servedShare(sorted)
 }
 
-func served(of []ended) float64 {
+// servedShare returns the share of requests that were answered completely, on time or late.
+func servedShare(outcomes []requestOutcome) float64 {
 	n := 0
-	for _, e := range of {
-		if e.end == onTime || e.end == late {
+	for _, e := range outcomes {
+		if e.outcome == onTime || e.outcome == late {
 			n++
 		}
 	}
-	return float64(n) / float64(max(len(of), 1))
+	return float64(n) / float64(max(len(outcomes), 1))
 }
 
-// Unserved is a class whose large requests were served less than half as often as all.
-type Unserved struct {
+// Underserved is a class whose large requests were served less than half as often as the class.
+type Underserved struct {
 	Class   string
 	Measure Measure
-	// Band says which of them.
-	Band  string
+	// Band names the size band of these requests: the largest tenth or the next fifth.
+	Band string
+	// Share is the served share of the band, and All that of the class.
 	Share float64
 	All   float64
 }
 
-// Unserved returns the classes whose largest tenth, or the fifth below it, was served less
+// Underserved returns the classes whose largest tenth, or the fifth below it, was served less
 // than half as often as the class.
-func (r *Report) Unserved() []Unserved {
-	var out []Unserved
+func (r *Report) Underserved() []Underserved {
+	var out []Underserved
 	for i, c := range r.site.Classes {
-		if len(r.ended[i]) == 0 {
+		if len(r.outcomes[i]) == 0 {
 			continue
 		}
 		for _, m := range Measures() {
-			tenths, all := r.Tenths(i, m)
+			tenths, all := r.ServedByTenth(i, m)
 			for band, share := range map[string]float64{"largest tenth": tenths[0], "next fifth": (tenths[1] + tenths[2]) / 2} {
 				if 2*share < all {
-					out = append(out, Unserved{Class: c.Name, Measure: m, Band: band, Share: share, All: all})
+					out = append(out, Underserved{Class: c.Name, Measure: m, Band: band, Share: share, All: all})
 				}
 			}
 		}
@@ -160,7 +167,7 @@
 	return out
 }
 
-// Write prints how each class ended, and the share served of each tenth.
+// Write writes the outcomes of each class and the served share of each tenth as text.
 func (r *Report) Write(out io.Writer) error {
 	var b strings.Builder
 	for i, c := range r.site.Classes {
@@ -168,12 +175,12 @@
 			continue
 		}
 		var ends [failed + 1]int
-		for _, e := range r.ended[i] {
-			ends[e.end]++
+		for _, e := range r.outcomes[i] {
+			ends[e.outcome]++
 		}
-		fmt.Fprintf(&b, "%s: asked=%d on_time=%d late=%d refused=%d failed=%d\n", c.Name, len(r.ended[i]), ends[onTime], ends[late], ends[refused], ends[failed])
+		fmt.Fprintf(&b, "%s: asked=%d on_time=%d late=%d refused=%d failed=%d\n", c.Name, len(r.outcomes[i]), ends[onTime], ends[late], ends[refused], ends[failed])
 		for _, m := range Measures() {
-			tenths, all := r.Tenths(i, m)
+			tenths, all := r.ServedByTenth(i, m)
 			fmt.Fprintf(&b, "  served by %s, largest tenth first:", m)
 			for _, share := range tenths {
 				fmt.Fprintf(&b, " %.2f", share)
@@ -181,8 +188,8 @@
 			fmt.Fprintf(&b, " of %.2f\n", all)
 		}
 	}
-	fmt.Fprintf(&b, "failed by cause: %v; engines late by at most %s\n", r.causes, r.lag.Round(time.Millisecond))
-	for _, u := range r.Unserved() {
+	fmt.Fprintf(&b, "failed by cause: %v; engines late by at most %s\n", r.causes, r.maxLag.Round(time.Millisecond))
+	for _, u := range r.Underserved() {
 		fmt.Fprintf(&b, "unserved: %s, %s by %s: %.2f of %.2f\n", u.Class, u.Band, u.Measure, u.Share, u.All)
 	}
 	_, err := io.WriteString(out, b.String())
--- a/internal/live/world.go
+++ b/internal/live/world.go
@@ -1,6 +1,6 @@
-// Package live plays a day of a site on the wall clock: real garnet-node processes serve
-// its requests before engines that read, batch and write at the speeds of its figures. It
-// counts service by size, which shows whether large requests are left unserved.
+// Package live plays a day of a site on the wall clock. Real garnet-node processes serve its
+// requests on simulated engines, which prefill, batch and decode at the speeds of the site's
+// figures. It measures service by size, to show whether large requests are underserved.
 package live
 
 import (
@@ -22,37 +22,37 @@
 )
 
 const (
-	// grace is the VMs' time from SIGTERM to SIGKILL.
-	grace = 2 * time.Second
-	// readyWithin bounds the VMs' start, and readyTimeout one question whether one is ready.
-	readyWithin  = 20 * time.Second
-	readyTimeout = 500 * time.Millisecond
-	// busySpan is the span of which a busy VM gets a share of the processor, as a
-	// scheduler's quota is dealt.
-	busySpan = 100 * time.Millisecond
+	// stopGrace is the VMs' time from SIGTERM to SIGKILL.
+	stopGrace = 2 * time.Second
+	// startTimeout limits the start of all VMs, and readyCheckTimeout one readiness check.
+	startTimeout      = 20 * time.Second
+	readyCheckTimeout = 500 * time.Millisecond
+	// busyPeriod is the period within which a busy VM gets its share of the processor, as with
+	// a scheduler's CPU quota.
+	busyPeriod = 100 * time.Millisecond
 )
 
-// Config says what is played.
+// Config describes what to play.
 type Config struct {
 	Site *model.Site
 	Day  *model.Day
 	Seed uint64
-	// Busy is the share of each tenth of a second for which every VM's process is
-	// stopped, at a moment of its own; 0 is none.
+	// Busy is the share of each busyPeriod, a tenth of a second, for which the process of each
+	// VM is stopped. The VMs are stopped at different times. 0 stops none.
 	Busy float64
-	// Bin holds the programs, Dir takes settings and logs.
+	// Bin is the folder of the programs, and Dir the one for settings and logs.
 	Bin string
 	Dir string
 }
 
-// vm is one garnet-node.
+// vm is a garnet-node process with its settings.
 type vm struct {
 	cfg     *settings.Node
 	process *proc.Process
 }
 
-// world is the VMs and all that they meet.
-type world struct {
+// harness holds the VMs and what they connect to: the store, the engines and the callers.
+type harness struct {
 	cfg     Config
 	store   *platformtest.Store
 	cluster *proc.Cluster
@@ -62,83 +62,85 @@
 	callers *platformtest.LiveCallers
 }
 
-// Run plays the day and returns how its requests ended.
+// Run plays the day and returns the outcomes of its requests.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
-	w := &world{
+	h := &harness{
 		cfg: cfg, store: platformtest.NewStore(), cluster: proc.NewCluster(cfg.Dir, cfg.Bin, proc.NewPorts()),
-		fleet: platformtest.NewLiveFleet(cfg.Site.Engine, answerOf), callers: platformtest.NewLiveCallers(),
+		fleet: platformtest.NewLiveFleet(cfg.Site.Engine, answerTokens), callers: platformtest.NewLiveCallers(),
 	}
-	defer w.close()
-	w.store.Put(platformtest.TableOperator, platformtest.KeyConfig, platformtest.LiveConfig(cfg.Site))
-	if err := w.startEngines(); err != nil {
+	defer h.close()
+	h.store.Put(platformtest.TableOperator, platformtest.KeyConfig, platformtest.LiveConfig(cfg.Site))
+	if err := h.startEngines(); err != nil {
 		return nil, err
 	}
-	if err := w.startVMs(ctx); err != nil {
+	if err := h.startVMs(ctx); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if cfg.Busy > 0 {
-		for i, v := range w.vms {
-			go w.keepBusy(ctx, v, i)
+		for i, v := range h.vms {
+			go h.stopPeriodically(ctx, v, i)
 		}
 	}
-	return w.play(ctx), nil
+	return h.playDay(ctx), nil
 }
 
-func (w *world) close() {
-	for _, v := range w.vms {
-		// A process that has ended takes no signal.
+// close stops all processes and servers.
+func (h *harness) close() {
+	for _, v := range h.vms {
+		// Signalling a process that has ended fails, which is harmless.
 		_ = v.process.Signal(syscall.SIGCONT)
 	}
-	w.cluster.StopAll(grace)
-	w.callers.Close()
-	for _, e := range w.engines {
+	h.cluster.StopAll(stopGrace)
+	h.callers.Close()
+	for _, e := range h.engines {
 		e.Close()
 	}
-	w.fleet.Close()
-	w.store.Close()
+	h.fleet.Close()
+	h.store.Close()
 }
 
-// startEngines starts each data centre's engines, of which the site's share prefills.
-func (w *world) startEngines() error {
-	s := w.cfg.Site
+// startEngines starts the engines of each data centre; the site's share of them prefills.
+func (h *harness) startEngines() error {
+	s := h.cfg.Site
 	for _, dc := range s.DataCentres {
 		for k := range dc.Engines {
 			stage := fleet.Decode
 			if k < s.PrefillEngines(dc) {
 				stage = fleet.Prefill
 			}
-			n := len(w.engines)
-			e, err := w.fleet.Start(fmt.Sprintf("engine-%d", n), dc.Name, stage, s.TimeFactor(n), func(e *platformtest.LiveEngine) { w.list(e, dc.Name) })
+			n := len(h.engines)
+			e, err := h.fleet.Start(fmt.Sprintf("engine-%d", n), dc.Name, stage, s.TimeFactor(n), func(e *platformtest.LiveEngine) { h.listEngine(e, dc.Name) })
 			if err != nil {
 				return err
 			}
-			w.engines = append(w.engines, e)
-			w.list(e, dc.Name)
+			h.engines = append(h.engines, e)
+			h.listEngine(e, dc.Name)
 		}
 	}
 	return nil
 }
 
-func (w *world) list(e *platformtest.LiveEngine, dataCentre string) {
-	w.store.Put(platformtest.TableTargets, e.ID, e.Row(platformtest.ServiceModel, dataCentre))
+// listEngine writes an engine's entry to the list of targets in the store.
+func (h *harness) listEngine(e *platformtest.LiveEngine, dataCentre string) {
+	h.store.Put(platformtest.TableTargets, e.ID, e.Row(platformtest.ServiceModel, dataCentre))
 }
 
-// startVMs starts the VMs and waits until each is ready.
-func (w *world) startVMs(ctx context.Context) error {
-	for _, dc := range w.cfg.Site.DataCentres {
+// startVMs starts the VMs and waits until all are ready.
+func (h *harness) startVMs(ctx context.Context) error {
+	for _, dc := range h.cfg.Site.DataCentres {
 		for range dc.VMs {
-			if err := w.startVM(dc.Name); err != nil {
+			if err := h.startVM(dc.Name); err != nil {
 				return err
 			}
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	return proc.Until(ctx, "all VMs to be ready", func(context.Context) error {
-		for _, v := range w.vms {
-			if !platformtest.Ready(string(v.cfg.ReadyListen), readyTimeout) {
+		for _, v := range h.vms {
+			if !platformtest.Ready(string(v.cfg.ReadyListen), readyCheckTimeout) {
 				return errors.Errorf("%s is not ready", v.cfg.VM)
 			}
 		}
@@ -146,45 +148,46 @@
 	})
 }
 
-func (w *world) startVM(dataCentre string) error {
-	addrs, err := w.cluster.Addrs(4)
+// startVM starts the next VM.
+func (h *harness) startVM(dataCentre string) error {
+	addrs, err := h.cluster.Addrs(4)
 	if err != nil {
 		return err
 	}
 	c := settings.DefaultNode()
-	c.VM, c.DataCentre, c.Grace = fmt.Sprintf("vm-%d", len(w.vms)), dataCentre, settings.Duration(grace)
-	c.Store.Address = settings.Addr(w.store.Address())
-	c.LinkMbps = w.cfg.Site.Network.VMMbps
+	c.VM, c.DataCentre, c.Grace = fmt.Sprintf("vm-%d", len(h.vms)), dataCentre, settings.Duration(stopGrace)
+	c.Store.Address = settings.Addr(h.store.Address())
+	c.LinkMbps = h.cfg.Site.Network.VMMbps
 	c.Listen, c.ReadyListen, c.MetricsListen, c.PeerAddress = addrs[0], addrs[1], addrs[2], addrs[3]
-	p, err := w.cluster.Run("garnet-node", c.VM, c)
+	p, err := h.cluster.Run("garnet-node", c.VM, c)
 	if err != nil {
 		return err
 	}
-	w.vms = append(w.vms, &vm{cfg: c, process: p})
+	h.vms = append(h.vms, &vm{cfg: c, process: p})
 	return nil
 }
 
-// keepBusy stops a VM's process for a part of each span, as another user of its
-// processor would; the VMs' moments are spread over the span.
-func (w *world) keepBusy(ctx context.Context, v *vm, index int) {
-	kernel.Sleep(ctx, busySpan*time.Duration(index)/time.Duration(len(w.vms)))
-	stopped := time.Duration(w.cfg.Busy * float64(busySpan))
-	kernel.Every(ctx, busySpan, func(ctx context.Context) {
+// stopPeriodically stops a VM's process for a part of each busyPeriod, as if other processes used
+// its processor. The VMs' stops are spread over the period.
+func (h *harness) stopPeriodically(ctx context.Context, v *vm, index int) {
+	kernel.Sleep(ctx, busyPeriod*time.Duration(index)/time.Duration(len(h.vms)))
+	stopped := time.Duration(h.cfg.Busy * float64(busyPeriod))
+	kernel.Every(ctx, busyPeriod, func(ctx context.Context) {
 		if v.process.Signal(syscall.SIGSTOP) != nil {
 			return
 		}
 		kernel.Sleep(ctx, stopped)
-		// The process may have been ended meanwhile.
+		// The process may have ended meanwhile.
 		_ = v.process.Signal(syscall.SIGCONT)
 	})
 }
 
-// tryID names the n-th try of a request whose answer has so many tokens: engines learn
-// from it how long an answer to make.
+// tryID returns the request id of a try, counted from 0. The id holds the number of tokens of
+// the answer, from which engines learn how long an answer to produce.
 func tryID(request, try, tokens int) string { return fmt.Sprintf("r%d-%d-%d", request, try, tokens) }
 
-// answerOf returns the tokens of the answer that a try is to have.
-func answerOf(id string) int {
+// answerTokens returns the number of answer tokens that a request id holds.
+func answerTokens(id string) int {
 	tokens, err := strconv.Atoi(id[strings.LastIndexByte(id, '-')+1:])
 	if err != nil {
 		return 1
