--- a/internal/model/bound.go
+++ b/internal/model/bound.go
@@ -249,9 +249,10 @@
 // needEpsilon is the need in engine seconds below which a task counts as done.
 const needEpsilon = 1e-12
 
-// openTask is a task that may run now, and deadlineHeap a heap of open tasks by their end.
+// openTask is a task whose window has begun. need is what remains of its need.
 type openTask struct{ end, need float64 }
 
+// deadlineHeap is a heap of open tasks by the end of their windows.
 type deadlineHeap []openTask
 
 func (h deadlineHeap) Len() int           { return len(h) }
--- a/internal/model/cache.go
+++ b/internal/model/cache.go
@@ -25,59 +25,60 @@
 	lruEntry *list.Element
 }
 
+// newKVCache returns an empty cache for size tokens.
 func newKVCache(size int) *kvCache {
 	return &kvCache{capacity: size, byHash: make(map[uint64]*cachedPart), lru: list.New()}
 }
 
 // pin protects a part from eviction and reports whether it is cached.
-func (m *kvCache) pin(hash uint64) bool {
-	p := m.byHash[hash]
+func (c *kvCache) pin(hash uint64) bool {
+	p := c.byHash[hash]
 	if p == nil {
 		return false
 	}
 	if p.pins == 0 {
-		m.lru.Remove(p.lruEntry)
+		c.lru.Remove(p.lruEntry)
 	}
 	p.pins++
 	return true
 }
 
 // unpin removes one pin. The last unpin marks the part as most recently used.
-func (m *kvCache) unpin(hash uint64) {
-	p := m.byHash[hash]
+func (c *kvCache) unpin(hash uint64) {
+	p := c.byHash[hash]
 	p.pins--
 	if p.pins == 0 {
-		p.lruEntry = m.lru.PushBack(p)
+		p.lruEntry = c.lru.PushBack(p)
 	}
 }
 
 // insert caches a part after its prefill, pinned once.
-func (m *kvCache) insert(hash uint64, tokens int) {
-	if m.pin(hash) {
+func (c *kvCache) insert(hash uint64, tokens int) {
+	if c.pin(hash) {
 		return
 	}
-	m.byHash[hash] = &cachedPart{hash: hash, tokens: tokens, pins: 1}
-	m.partTokens += tokens
+	c.byHash[hash] = &cachedPart{hash: hash, tokens: tokens, pins: 1}
+	c.partTokens += tokens
 }
 
 // reserve reserves space for tokens, evicting unpinned parts as needed. It returns false if
 // that does not free enough space.
-func (m *kvCache) reserve(tokens int) bool {
-	for m.partTokens+m.reservedTokens+tokens > m.capacity {
-		oldest := m.lru.Front()
+func (c *kvCache) reserve(tokens int) bool {
+	for c.partTokens+c.reservedTokens+tokens > c.capacity {
+		oldest := c.lru.Front()
 		if oldest == nil {
 			return false
 		}
-		p := m.lru.Remove(oldest).(*cachedPart)
-		delete(m.byHash, p.hash)
-		m.partTokens -= p.tokens
+		p := c.lru.Remove(oldest).(*cachedPart)
+		delete(c.byHash, p.hash)
+		c.partTokens -= p.tokens
 	}
-	m.reservedTokens += tokens
+	c.reservedTokens += tokens
 	return true
 }
 
 // release returns reserved tokens.
-func (m *kvCache) release(tokens int) { m.reservedTokens -= tokens }
+func (c *kvCache) release(tokens int) { c.reservedTokens -= tokens }
 
 // clear empties the cache.
-func (m *kvCache) clear() { *m = *newKVCache(m.capacity) }
+func (c *kvCache) clear() { *c = *newKVCache(c.capacity) }
--- a/internal/model/held.go
+++ b/internal/model/held.go
@@ -94,26 +94,26 @@
 
 // prefillOnce processes a prompt and releases it at once. It returns the number of tokens at
 // the start of the prompt that were cached.
-func (m *kvCache) prefillOnce(parts []place.Part) int {
+func (c *kvCache) prefillOnce(parts []place.Part) int {
 	cached, known := 0, 0
 	for _, p := range parts {
-		if !m.pin(p.Hash) {
+		if !c.pin(p.Hash) {
 			break
 		}
 		known++
 		cached += p.Tokens
 	}
 	for _, p := range parts[known:] {
-		if m.reserve(p.Tokens) {
-			m.release(p.Tokens)
-			m.insert(p.Hash, p.Tokens)
+		if c.reserve(p.Tokens) {
+			c.release(p.Tokens)
+			c.insert(p.Hash, p.Tokens)
 			known++
 		} else {
 			break
 		}
 	}
 	for _, p := range parts[:known] {
-		m.unpin(p.Hash)
+		c.unpin(p.Hash)
 	}
 	return cached
 }
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -76,11 +76,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		asked := len(GenerateRequests(s, d, seed))
+		generated := len(GenerateRequests(s, d, seed))
 		for _, run := range r.Runs {
 			total := run.Result.Total()
-			if total.Offered != asked || total.Settled() != asked {
-				t.Errorf("seed %d, %s: %d generated, %d offered, %d settled", seed, run.Policy, asked, total.Offered, total.Settled())
+			if total.Offered != generated || total.Settled() != generated {
+				t.Errorf("seed %d, %s: %d generated, %d offered, %d settled", seed, run.Policy, generated, total.Offered, total.Settled())
 			}
 			if total.Worth > r.Bound.Worth {
 				t.Errorf("seed %d, %s: worth %.1f above the bound %.1f", seed, run.Policy, total.Worth, r.Bound.Worth)
@@ -133,6 +133,7 @@
 	return &place.Prompt{Tokens: shared + own, Parts: []place.Part{{Hash: 1, Tokens: shared}, {Hash: uint64(1000 + own), Tokens: own}}}
 }
 
+// noExpiry is an expiry beyond the end of every test.
 const noExpiry = time.Hour
 
 func TestPrefillEngineProcessesPromptInChunks(t *testing.T) {
@@ -243,22 +244,22 @@
 
 func TestCacheEvictsLeastRecentlyUsedParts(t *testing.T) {
 	is := is.New(t)
-	m := newKVCache(100)
+	c := newKVCache(100)
 	for hash := uint64(1); hash <= 3; hash++ {
-		is.True(m.reserve(30))
-		m.release(30)
-		m.insert(hash, 30)
-		m.unpin(hash)
+		is.True(c.reserve(30))
+		c.release(30)
+		c.insert(hash, 30)
+		c.unpin(hash)
 	}
-	is.True(m.pin(1)) // the first part is used again and pinned
-	is.True(m.reserve(20))
-	is.True(!m.pin(2)) // the least recently used part was evicted
-	is.True(m.pin(3))
-	is.True(!m.reserve(30)) // pinned parts are not evicted
-	m.unpin(3)
-	is.True(m.reserve(30))
-	is.True(!m.pin(3))
-	is.True(m.pin(1))
+	is.True(c.pin(1)) // the first part is used again and pinned
+	is.True(c.reserve(20))
+	is.True(!c.pin(2)) // the least recently used part was evicted
+	is.True(c.pin(3))
+	is.True(!c.reserve(30)) // pinned parts are not evicted
+	c.unpin(3)
+	is.True(c.reserve(30))
+	is.True(!c.pin(3))
+	is.True(c.pin(1))
 }
 
 func TestMaxTotalWorth(t *testing.T) {
--- a/internal/model/plot.go
+++ b/internal/model/plot.go
@@ -32,6 +32,7 @@
 	Text string
 }
 
+// plotTemplate is the template of the SVG file.
 var plotTemplate = template.Must(template.New("plot").Parse(`<svg xmlns="http://www.w3.org/2000/svg" width="{{.Width}}" height="{{.Height}}" font-family="sans-serif" font-size="11">
 <rect width="{{.Width}}" height="{{.Height}}" fill="white"/>
 <text x="{{.Left}}" y="14">{{.Title}}</text>
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -126,10 +126,10 @@
 func NewPrefixHash(f Fleet) Policy {
 	return &pickPolicy{fleet: f, pick: func(a *Attempt, candidates []*fleet.Target) *fleet.Target {
 		part := a.Prompt.Parts[max(len(a.Prompt.Parts)-2, 0)].Hash
-		best, most := candidates[0], uint64(0)
+		best, highest := candidates[0], uint64(0)
 		for _, t := range candidates {
-			if w := rendezvousWeight(t.ID, part); w >= most {
-				best, most = t, w
+			if w := rendezvousWeight(t.ID, part); w >= highest {
+				best, highest = t, w
 			}
 		}
 		return best
--- a/internal/model/report.go
+++ b/internal/model/report.go
@@ -91,8 +91,10 @@
 	return errors.Wrap(err, "write report")
 }
 
+// billion converts bytes to gigabytes.
 const billion = 1e9
 
+// bandNames are the names of the size bands in the report.
 var bandNames = [numBands]string{"largest tenth", "next fifth", "rest"}
 
 // writeCount writes one row of a class's table.
