--- a/cmd/garnet-model/main.go
+++ b/cmd/garnet-model/main.go
@@ -58,7 +58,7 @@
 		if o.Name != "" && d.Name != o.Name {
 			continue
 		}
-		d.Until(o.Until)
+		d.LimitLength(o.Until)
 		if err := o.play(site, d); err != nil {
 			return errors.Wrap(err, d.Name)
 		}
@@ -89,10 +89,10 @@
 	if err := write(base+".svg", r.Plot); err != nil {
 		return err
 	}
-	fmt.Printf("%s %s: bound %.3f, with fixed stages %.3f, with %.3f held %.3f", site.Name, d.Name, r.Bound.Share(), r.Fixed.Share(), r.BestHeld, r.Kept.Share())
+	fmt.Printf("%s %s: bound %.3f, with fixed stages %.3f, with %.3f held %.3f", site.Name, d.Name, r.Bound.Share(), r.FixedStagesBound.Share(), r.BestHitRate, r.HitRateBound.Share())
 	for _, run := range r.Runs {
 		t := run.Result.Total()
-		fmt.Printf(", %s %.3f (own bound %.3f)", run.Policy, t.Worth/t.Owed, run.Bound.Share())
+		fmt.Printf(", %s %.3f (own bound %.3f)", run.Policy, t.Worth/t.OfferedWorth, run.Bound.Share())
 	}
 	fmt.Println()
 	return nil
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -141,7 +141,7 @@
 		return platformtest.Reply{Err: err}
 	}
 	defer c.Close()
-	return c.Ask(platformtest.Call{ID: id, Path: path, Tokens: tokens, Timeout: callTimeout})
+	return c.Do(platformtest.Call{ID: id, Path: path, Tokens: tokens, Timeout: callTimeout})
 }
 
 // shiftMix serves long prompts, and then short ones and plain calls.
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -54,9 +54,9 @@
 	// Holder is the name of the VM, and Fence the fencing number of its tenure.
 	Holder string
 	Fence  uint64
-	// Still reports whether the tenure still lasts. It is called immediately before the first
+	// StillHeld reports whether the tenure still lasts. It is called immediately before the first
 	// byte is sent; if it returns false, nothing is sent.
-	Still func() bool
+	StillHeld func() bool
 }
 
 // Tenure is one uninterrupted period in which this VM holds the duties.
@@ -70,16 +70,16 @@
 type Group interface {
 	// Candidate reports whether this VM may become the holder.
 	Candidate() bool
-	// HolderHeard reports whether another VM has recently announced that it is the holder.
-	HolderHeard() bool
+	// OtherHolderKnown reports whether another VM has recently announced that it is the holder.
+	OtherHolderKnown() bool
 }
 
 // Config holds the settings of a Holder.
 type Config struct {
 	// VM is the name of this VM.
 	VM string
-	// Gap is the minimum time between the last call of one holder and the first call of the next.
-	Gap time.Duration
+	// HandoverGap is the minimum time between the last call of one holder and the first call of the next.
+	HandoverGap time.Duration
 }
 
 // Holder contends for the duties and holds them. It is safe for concurrent use after Start.
@@ -136,7 +136,7 @@
 // previous one may have made a call until the end of its tenure.
 func (h *Holder) Held() (Tenure, bool) {
 	t, ok := h.lease.Held()
-	if !ok || (t.Fence > 1 && h.clock()-t.Since < h.cfg.Gap) {
+	if !ok || (t.Fence > 1 && h.clock()-t.Since < h.cfg.HandoverGap) {
 		return Tenure{}, false
 	}
 	return Tenure{Tenure: t, Condition: store.Cond{Key: lease.FenceKey(leaseDataCentre, leaseService), Version: t.FenceVersion}}, true
@@ -144,7 +144,7 @@
 
 // Call returns the Call for calls within tenure t.
 func (h *Holder) Call(t Tenure) Call {
-	return Call{Holder: h.cfg.VM, Fence: t.Fence, Still: func() bool {
+	return Call{Holder: h.cfg.VM, Fence: t.Fence, StillHeld: func() bool {
 		now, ok := h.lease.Held()
 		return ok && now.Fence == t.Fence
 	}}
@@ -161,7 +161,7 @@
 	if now-h.lastStepAt < every && h.lastStepAt > 0 {
 		return
 	}
-	if !held && (!h.group.Candidate() || h.group.HolderHeard()) {
+	if !held && (!h.group.Candidate() || h.group.OtherHolderKnown()) {
 		return
 	}
 	h.lastStepAt = now
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -44,7 +44,7 @@
 
 func (v *vm) Candidate() bool { return true }
 
-func (v *vm) HolderHeard() bool {
+func (v *vm) OtherHolderKnown() bool {
 	for _, o := range v.cluster.vms {
 		if o != v && !v.partitioned && !o.partitioned && !o.frozen && o.Fence() != 0 {
 			return true
@@ -85,7 +85,7 @@
 // start starts the process of VM i. If it was running before, it is replaced by a new process.
 func (cl *cluster) start(i int) {
 	v := &vm{cluster: cl, name: fmt.Sprintf("vm-%d", i)}
-	v.Holder = New(Config{VM: v.name, Gap: gap}, vmStore{cl.table, v}, func() time.Duration { return cl.now }, uint64(cl.now),
+	v.Holder = New(Config{VM: v.name, HandoverGap: gap}, vmStore{cl.table, v}, func() time.Duration { return cl.now }, uint64(cl.now),
 		telemetry.NewLogger(&bytes.Buffer{}, "test", v.name))
 	v.SetGroup(v)
 	if i < len(cl.vms) {
@@ -104,7 +104,7 @@
 				continue
 			}
 			v.step(context.Background())
-			if t, ok := v.Held(); ok && v.Call(t).Still() {
+			if t, ok := v.Held(); ok && v.Call(t).StillHeld() {
 				cl.calls = append(cl.calls, call{v.name, t.Fence, cl.now})
 			}
 		}
--- a/internal/entry/fleet.go
+++ b/internal/entry/fleet.go
@@ -51,8 +51,8 @@
 
 // newPrefixMemory returns an empty record of a service's prompt prefixes: where
 // they are cached and how often they arrive.
-func newPrefixMemory() *route.Memory {
-	return &route.Memory{Seen: route.NewSeen(maxSeenPrefixes, seenTTLSeconds), Heat: route.NewHeat(maxHeatPrefixes, heatWindowSeconds)}
+func newPrefixMemory() *route.State {
+	return &route.State{Caches: route.NewCaches(maxSeenPrefixes, seenTTLSeconds), Rates: route.NewRates(maxHeatPrefixes, heatWindowSeconds)}
 }
 
 // fleet is what the entry knows of the targets: their state in the last view,
@@ -81,12 +81,12 @@
 	split bool
 	// secondsPerToken is the estimated prefill time per prompt token.
 	secondsPerToken float64
-	memory          *route.Memory
+	memory          *route.State
 	// pace limits the rate at which this entry admits work. reportedWait is the
 	// mean wait before prefill in the last reports of the usableTargets, in
 	// seconds; addTarget sums the waits and apply divides them. Targets of other
 	// data centres and decode engines do not count.
-	pace          *limit.Pace
+	pace          *limit.Pacer
 	reportedWait  float64
 	usableTargets int
 	// entries is how many entries of the data centre share the targets.
@@ -101,7 +101,7 @@
 	boot   uint64
 	health route.Health
 	load   route.Load
-	busy   route.Busy
+	busy   route.WorkRate
 	// inFlight is the number of this entry's requests in flight at the target.
 	inFlight int
 }
@@ -128,7 +128,7 @@
 		if old, ok := f.pools[row.Service]; ok {
 			p.secondsPerToken, p.memory, p.pace = old.secondsPerToken, old.memory, old.pace
 		} else {
-			p.memory, p.pace = newPrefixMemory(), &limit.Pace{}
+			p.memory, p.pace = newPrefixMemory(), &limit.Pacer{}
 		}
 		services[row.Service] = p
 	}
@@ -189,11 +189,11 @@
 	blocked := !t.Usable() || s.GetModel() != p.row.Model
 	if !blocked && t.DataCentre == dataCentre && t.Status.GetRole() != string(target.RoleDecode) {
 		p.usableTargets++
-		p.reportedWait += ts.load.Reported()
+		p.reportedWait += ts.load.ReportedWait()
 	}
 	p.states = append(p.states, ts)
 	p.targets = append(p.targets, route.Target{
-		Hash: xxhash.Sum64String(t.Name), Until: ts.load.Until(), Busy: ts.busy.Share() * p.secondsPerToken,
+		Hash: xxhash.Sum64String(t.Name), BusyUntil: ts.load.BusyUntil(), Busy: ts.busy.PerSecond() * p.secondsPerToken,
 		Running: max(float64(s.GetRunning()), float64(ts.inFlight)), Slots: float64(s.GetSlots()),
 		Roles: routeRoles(t), Remote: t.DataCentre != dataCentre, Blocked: blocked,
 	})
@@ -208,7 +208,7 @@
 	case target.RoleDecode:
 		return route.Decode
 	}
-	return route.Whole
+	return route.EndToEnd
 }
 
 // hasRole reports whether the data centre has a usable target of the role.
@@ -222,9 +222,9 @@
 	return false
 }
 
-// Split implements relay.Router. It reports whether prefill and decode of the
+// HasSeparatePrefill implements relay.Router. It reports whether prefill and decode of the
 // service run on separate engines.
-func (f *fleet) Split(service string) bool {
+func (f *fleet) HasSeparatePrefill(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p, ok := f.pools[service]
@@ -299,14 +299,14 @@
 	case target.RolePrefill:
 		return []route.Roles{route.Prefill}
 	case target.RoleDecode:
-		return []route.Roles{route.Decode | route.Whole, route.Prefill}
+		return []route.Roles{route.Decode | route.EndToEnd, route.Prefill}
 	}
-	return []route.Roles{route.Whole, route.Decode, route.Prefill}
+	return []route.Roles{route.EndToEnd, route.Decode, route.Prefill}
 }
 
 // Route implements relay.Router. It chooses a target for a request and counts the
 // request there. The error's kind is UnknownService, NoTarget or CannotFinish.
-func (f *fleet) Route(n relay.Need) (relay.Route, error) {
+func (f *fleet) Route(n relay.RouteRequest) (relay.Route, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p, ok := f.pools[n.Service]
@@ -325,14 +325,14 @@
 
 // pick chooses a target for the request. The choice's index is -1 if no target can
 // take it. The caller must hold f.mu.
-func (f *fleet) pick(p *targetPool, n relay.Need) route.Choice {
+func (f *fleet) pick(p *targetPool, n relay.RouteRequest) route.Choice {
 	now := f.now()
 	elapsed := time.Since(f.start)
-	blocked := p.block(n.Avoid, elapsed)
+	blocked := p.block(n.Exclude, elapsed)
 	defer p.unblock(blocked)
 	prefillSeconds := float64(n.PromptTokens) * p.secondsPerToken
 	if !n.Retry && n.Prefix != 0 {
-		p.memory.Heat.Add(n.Prefix, now)
+		p.memory.Rates.Add(n.Prefix, now)
 	}
 	for _, role := range rolePreference(n.Role) {
 		c := route.Pick(p.targets, route.Request{
@@ -372,7 +372,7 @@
 
 // admit refuses a request to a language service that cannot be answered by its
 // deadline. A retry is not checked again. The caller must hold f.mu.
-func (f *fleet) admit(p *targetPool, n relay.Need, c route.Choice) error {
+func (f *fleet) admit(p *targetPool, n relay.RouteRequest, c route.Choice) error {
 	if n.Retry || p.row.Kind != table.Language {
 		return nil
 	}
@@ -396,18 +396,18 @@
 
 // assign adds the request's work to the load of target i and returns the route,
 // whose Done reports the request's end to the fleet. The caller must hold f.mu.
-func (f *fleet) assign(p *targetPool, n relay.Need, i int) relay.Route {
+func (f *fleet) assign(p *targetPool, n relay.RouteRequest, i int) relay.Route {
 	ts, t := p.states[i], &p.targets[i]
 	now := f.now()
 	prefillSeconds := float64(n.PromptTokens) * p.secondsPerToken
 	if n.Prefix != 0 {
-		if p.memory.Seen.Has(n.Prefix, t.Hash, now) {
+		if p.memory.Caches.Has(n.Prefix, t.Hash, now) {
 			prefillSeconds *= 1 - cachedPrefixSaving
 		}
-		p.memory.Seen.Set(n.Prefix, t.Hash, now)
+		p.memory.Caches.Set(n.Prefix, t.Hash, now)
 	}
 	ts.load.Sent(now, prefillSeconds)
-	t.Until = ts.load.Until()
+	t.BusyUntil = ts.load.BusyUntil()
 	t.Running++
 	ts.inFlight++
 	ts.health.Sent()
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -121,7 +121,7 @@
 // releaseIfNotRun releases the claim of a failed call if err proves that the call
 // did not run. It returns err.
 func (s *server) releaseIfNotRun(claim *once.Claim, q *request, err error) error {
-	if errkind.From(err).Answer().Outcome != errkind.NotRun {
+	if errkind.From(err).Response().Outcome != errkind.NotRun {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), claimUpdateTimeout)
@@ -137,7 +137,7 @@
 func (s *server) storeAnswer(claim *once.Claim, q *request, a once.Answer) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimUpdateTimeout)
 	defer cancel()
-	if err := claim.Keep(ctx, a); err != nil {
+	if err := claim.StoreAnswer(ctx, a); err != nil {
 		s.log.Warn(telemetry.EventClaimUnknown, telemetry.F("request", q.id), telemetry.F("cause", err))
 	}
 }
@@ -152,7 +152,7 @@
 // after a failure that proves that the call did not run. Any other failure is
 // returned as OutcomeUnknown.
 func (s *server) forwardOnce(ctx context.Context, r *http.Request, q *request) (once.Answer, error) {
-	notRun := func(e *errkind.Error) bool { return e.Answer().Outcome == errkind.NotRun }
+	notRun := func(e *errkind.Error) bool { return e.Response().Outcome == errkind.NotRun }
 	a, err := s.forwardWithRetries(ctx, s.plain.noReuse, r, q, notRun)
 	if err != nil && !notRun(errkind.From(err)) {
 		return a, outcomeUnknown(errkind.From(err))
@@ -164,7 +164,7 @@
 // as long as mayRetry allows it for the last failure, ctx lasts and the retry budget
 // is not used up.
 func (s *server) forwardWithRetries(ctx context.Context, client *http.Client, r *http.Request, q *request, mayRetry func(*errkind.Error) bool) (once.Answer, error) {
-	need := relay.Need{Service: q.row.Service, Role: target.RoleBoth}
+	need := relay.RouteRequest{Service: q.row.Service, Role: target.RoleBoth}
 	var last error
 	for {
 		route, err := s.fleet.Route(need)
@@ -176,7 +176,7 @@
 			return a, nil
 		}
 		last = err
-		need.Avoid = append(need.Avoid, route.Name)
+		need.Exclude = append(need.Exclude, route.Name)
 		need.Retry = true
 		if ctx.Err() != nil || !mayRetry(errkind.From(err)) || !s.retryBudget(q.row.Service).Retry() {
 			return once.Answer{}, last
@@ -226,7 +226,7 @@
 		route.Done(relay.OutcomeOK)
 		return once.Answer{}, errkind.New(errkind.TargetFailed, "the answer is larger than %d bytes", maxPlainAnswerBytes)
 	}
-	if code := relay.ErrorCode(body); resp.StatusCode == http.StatusServiceUnavailable && target.VouchesNotRun(code) {
+	if code := relay.ErrorCode(body); resp.StatusCode == http.StatusServiceUnavailable && target.MeansNotRun(code) {
 		route.Done(relay.OutcomeRefused)
 		e := errkind.New(errkind.TargetFailed, "the target refused the call: %s", code)
 		e.Outcome = errkind.NotRun
@@ -258,7 +258,7 @@
 		kind = errkind.DeadlineExceeded
 	}
 	out := errkind.Wrap(kind, e, "the request ended before the target answered")
-	out.Outcome = e.Answer().Outcome
+	out.Outcome = e.Response().Outcome
 	return out
 }
 
--- a/internal/entry/plain_test.go
+++ b/internal/entry/plain_test.go
@@ -129,7 +129,7 @@
 				continue
 			}
 			is.True(err != nil)
-			is.Equal(errkind.From(err).Answer().Outcome, errkind.MayHaveRun) // the target has read it, so not_run would be wrong
+			is.Equal(errkind.From(err).Response().Outcome, errkind.MayHaveRun) // the target has read it, so not_run would be wrong
 		}
 		is.Equal(c.count("close"), 1)
 		is.Equal(outcomes, []relay.Outcome{relay.OutcomeOK, relay.OutcomeFailed})
@@ -149,7 +149,7 @@
 	route := relay.Route{Address: l.Addr().String(), Done: func(relay.Outcome) {}}
 	_, err = s.forward(context.Background(), s.plain.noReuse, r, q, route)
 	is.True(err != nil)
-	is.Equal(errkind.From(err).Answer().Outcome, errkind.NotRun)
+	is.Equal(errkind.From(err).Response().Outcome, errkind.NotRun)
 }
 
 // An entry asks for a grant only when its demand exceeds its base part.
@@ -167,7 +167,7 @@
 func TestBusyShareSurvivesANewEstimate(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("kakkanad", telemetry.Discard(), newDecisionLog("vm-1"))
-	p := &targetPool{row: table.Row{Service: "hints", Model: "m"}, secondsPerToken: 1e-3, memory: newPrefixMemory(), pace: &limit.Pace{}}
+	p := &targetPool{row: table.Row{Service: "hints", Model: "m"}, secondsPerToken: 1e-3, memory: newPrefixMemory(), pace: &limit.Pacer{}}
 	ts := &targetState{name: "e1"}
 	view := func(seconds float64, tokens uint64) gossip.TargetView {
 		return gossip.TargetView{
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -178,7 +178,7 @@
 		return
 	}
 	event := telemetry.EventRequestFailed
-	if e.Answer().Outcome == errkind.NotRun {
+	if e.Response().Outcome == errkind.NotRun {
 		event = telemetry.EventRequestRefused
 		s.decisions.recordRefusal(service, e, time.Now())
 	}
@@ -227,7 +227,7 @@
 	// s.inFlight counts this request already.
 	total := int(s.inFlight.Load()) - 1
 	_, own := s.usage.demand(row.Service)
-	if !limit.Fits(own, total, s.cfg.MaxInFlight, row.Weight, s.fleet.totalWeight()) {
+	if !limit.HasCapacity(own, total, s.cfg.MaxInFlight, row.Weight, s.fleet.totalWeight()) {
 		return errkind.New(errkind.InFlightLimited, "this entry's limit of requests in flight is reached")
 	}
 	_, inFlight := s.shares.limits(row, time.Now())
@@ -367,9 +367,9 @@
 		call.Resume = &id
 	}
 	if !chat.Stream {
-		return s.relay.Whole(r.Context(), w, call)
+		return s.relay.ServeBuffered(r.Context(), w, call)
 	}
-	err = s.relay.Stream(r.Context(), w, call)
+	err = s.relay.ServeStream(r.Context(), w, call)
 	if err == nil && w.timeToFirstByte > 0 {
 		s.fleet.observeFirstToken(q.row.Service, chat.PromptTokens, w.timeToFirstByte)
 	}
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -152,7 +152,7 @@
 			resp, err := f.entryServer.Client().Do(req)
 			is.NoErr(err)
 			defer resp.Body.Close()
-			is.Equal(resp.StatusCode, errkind.AnswerFor(c.want).Status)
+			is.Equal(resp.StatusCode, errkind.ResponseFor(c.want).Status)
 			is.Equal(resp.Header.Get(errkind.HeaderOutcome), "not_run")
 			var body target.ErrorBody
 			is.NoErr(json.NewDecoder(resp.Body).Decode(&body))
@@ -408,7 +408,7 @@
 		f.server.fleet.observeFirstToken("hints", 9, 60*time.Millisecond)
 	}
 	for range 500 {
-		_, err := f.server.fleet.Route(relay.Need{Service: "hints", Role: target.RoleBoth, PromptTokens: 9})
+		_, err := f.server.fleet.Route(relay.RouteRequest{Service: "hints", Role: target.RoleBoth, PromptTokens: 9})
 		is.NoErr(err)
 	}
 }
--- a/internal/entry/usage.go
+++ b/internal/entry/usage.go
@@ -118,7 +118,7 @@
 	s := u.forService(service)
 	result := "good"
 	switch {
-	case err != nil && err.Answer().CallerFault:
+	case err != nil && err.Response().CallerFault:
 		s.refused++
 		result = "caller_fault"
 	case err != nil || !inTime:
--- a/internal/errkind/body.go
+++ b/internal/errkind/body.go
@@ -30,7 +30,7 @@
 
 // Body returns e encoded as the JSON error object that callers receive.
 func Body(e *Error) []byte {
-	a := e.Answer()
+	a := e.Response()
 	b := errorBody{Error: errorDetail{
 		Message: e.Detail, Type: errorType, Code: e.Kind, Outcome: a.Outcome,
 		RetryAfterSeconds: ceilSeconds(a.RetryAfter),
@@ -46,7 +46,7 @@
 // Write sends e as the complete response: status, headers and JSON body. The Retry-After header is
 // in whole seconds, rounded up.
 func Write(w http.ResponseWriter, e *Error) {
-	a := e.Answer()
+	a := e.Response()
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(HeaderOutcome, string(a.Outcome))
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -91,8 +91,8 @@
 	Ran        Outcome = "ran"
 )
 
-// Answer is the response that a caller gets for a Kind.
-type Answer struct {
+// Response is the response that a caller gets for a Kind.
+type Response struct {
 	// Status is the HTTP status code.
 	Status int
 	// Outcome is the default outcome; Error.Outcome overrides it.
@@ -110,7 +110,7 @@
 const statusClientGone = 499
 
 // responses maps each kind to its response.
-var responses = map[Kind]Answer{
+var responses = map[Kind]Response{
 	BadRequest:       {Status: http.StatusBadRequest, Outcome: NotRun, CallerFault: true},
 	BodyTooLarge:     {Status: http.StatusRequestEntityTooLarge, Outcome: NotRun, CallerFault: true},
 	HeaderTooLarge:   {Status: http.StatusRequestHeaderFieldsTooLarge, Outcome: NotRun, CallerFault: true},
@@ -153,9 +153,9 @@
 	return kinds
 }
 
-// AnswerFor returns the default response for k. A kind that is not in the table gets the response
+// ResponseFor returns the default response for k. A kind that is not in the table gets the response
 // for Internal.
-func AnswerFor(k Kind) Answer {
+func ResponseFor(k Kind) Response {
 	a, ok := responses[k]
 	if !ok {
 		return responses[Internal]
@@ -199,9 +199,9 @@
 // Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Answer returns the response for e: its kind's default with the overrides of e applied.
-func (e *Error) Answer() Answer {
-	a := AnswerFor(e.Kind)
+// Response returns the response for e: its kind's default with the overrides of e applied.
+func (e *Error) Response() Response {
+	a := ResponseFor(e.Kind)
 	if e.Outcome != "" {
 		a.Outcome = e.Outcome
 	}
--- a/internal/errkind/errkind_test.go
+++ b/internal/errkind/errkind_test.go
@@ -18,12 +18,12 @@
 	page, err := os.ReadFile("../../docs/operators/errors.md")
 	is.NoErr(err)
 	for _, k := range Kinds() {
-		a := AnswerFor(k)
+		a := ResponseFor(k)
 		is.True(a.Status >= 400)
 		is.True(a.Outcome == NotRun || a.Outcome == MayHaveRun || a.Outcome == Ran)
 		is.True(strings.Contains(string(page), "`"+string(k)+"`")) // documented
 	}
-	is.Equal(AnswerFor("made_up"), AnswerFor(Internal))
+	is.Equal(ResponseFor("made_up"), ResponseFor(Internal))
 }
 
 func TestWrite(t *testing.T) {
@@ -46,5 +46,5 @@
 	e := From(errors.New("secret detail"))
 	is.Equal(e.Kind, Internal)
 	is.True(!strings.Contains(string(Body(e)), "secret")) // the cause is only logged
-	is.Equal(e.Answer().Outcome, MayHaveRun)
+	is.Equal(e.Response().Outcome, MayHaveRun)
 }
--- a/internal/fair/fair.go
+++ b/internal/fair/fair.go
@@ -143,9 +143,9 @@
 	return r
 }
 
-// Place returns the bands of a request by the lengths of its prompt and its expected answer, in
+// Classify returns the bands of a request by the lengths of its prompt and its expected answer, in
 // tokens, and adds them to the recent sizes of the route.
-func (s *Sizes) Place(routeName string, prompt, answer int) Size {
+func (s *Sizes) Classify(routeName string, prompt, answer int) Size {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.route(routeName)
--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -13,13 +13,13 @@
 	is := is.New(t)
 	s := &fair.Sizes{}
 	for n := range 256 {
-		s.Place("long", 1000+n, 10)
-		s.Place("short", 1+n%100, 10)
+		s.Classify("long", 1000+n, 10)
+		s.Classify("short", 1+n%100, 10)
 	}
-	is.Equal(s.Place("long", 1250, 5).Prompt, fair.LargestTenth)
-	is.Equal(s.Place("long", 1200, 5).Prompt, fair.NextFifth)
-	is.Equal(s.Place("long", 1100, 5), fair.Size{Prompt: fair.Rest, Answer: fair.Rest})
-	is.Equal(s.Place("short", 99, 20), fair.Size{Prompt: fair.LargestTenth, Answer: fair.LargestTenth})
+	is.Equal(s.Classify("long", 1250, 5).Prompt, fair.LargestTenth)
+	is.Equal(s.Classify("long", 1200, 5).Prompt, fair.NextFifth)
+	is.Equal(s.Classify("long", 1100, 5), fair.Size{Prompt: fair.Rest, Answer: fair.Rest})
+	is.Equal(s.Classify("short", 99, 20), fair.Size{Prompt: fair.LargestTenth, Answer: fair.LargestTenth})
 }
 
 func TestFirstRequestsOfARouteAreNotAllClassifiedAsLarge(t *testing.T) {
@@ -27,7 +27,7 @@
 	s := &fair.Sizes{}
 	count := map[fair.Band]int{}
 	for n := range 256 {
-		count[s.Place("r", 1+n*37%101, 10).Prompt]++
+		count[s.Classify("r", 1+n*37%101, 10).Prompt]++
 	}
 	is.True(count[fair.LargestTenth] < 50)
 	is.True(count[fair.Rest] > 128)
@@ -38,7 +38,7 @@
 func countRequests(s *fair.Sizes, requests int, largest, others float64) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for range requests {
-		size := s.Place("r", r.IntN(1000), r.IntN(1000))
+		size := s.Classify("r", r.IntN(1000), r.IntN(1000))
 		probability := others
 		if size.Prompt == fair.LargestTenth {
 			probability = largest
@@ -77,7 +77,7 @@
 	is := is.New(t)
 	s := &fair.Sizes{}
 	for n := range 4000 {
-		size := s.Place("r", n*7919%1000, 10)
+		size := s.Classify("r", n*7919%1000, 10)
 		if size.Prompt != fair.LargestTenth {
 			s.Count("r", size, true, true)
 			continue
--- a/internal/fleet/account.go
+++ b/internal/fleet/account.go
@@ -13,8 +13,8 @@
 	Priority *int
 }
 
-// Rank returns the priority of the account's requests on a route. The account may be nil.
-func (a *Account) Rank(r *Route) int {
+// RequestPriority returns the priority of the account's requests on a route. The account may be nil.
+func (a *Account) RequestPriority(r *Route) int {
 	if a == nil || a.Priority == nil {
 		return r.Priority
 	}
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// Keyed reports whether requests need a key unless their route is anonymous. They do if
+// RequiresKeys reports whether requests need a key unless their route is anonymous. They do if
 // SetAccounts has been called, even with an empty list.
-func (c *Config) Keyed() bool { return c.accounts != nil }
+func (c *Config) RequiresKeys() bool { return c.accounts != nil }
 
 // Account returns the client account with the given key, or nil.
 func (c *Config) Account(key string) *Account { return c.accounts[key] }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -128,8 +128,8 @@
 	// Min and Max bound the number of targets in one data centre.
 	Min int
 	Max int
-	// Boot is how long a new target takes until it serves.
-	Boot time.Duration
+	// BootTime is how long a new target takes until it serves.
+	BootTime time.Duration
 	// SpotPrice is the price of a spot target, which may be reclaimed, as a fraction of the price
 	// of an on-demand target; 0 is none available.
 	SpotPrice float64
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -29,7 +29,7 @@
 func (k *Keeper) View() *View { return k.view.Load() }
 
 // OnChange registers f to be called with each new view. It must be called before the first
-// change. f must not call SetConfig, ApplyTargets, Target or Listed, as it runs under the
+// change. f must not call SetConfig, ApplyTargets, Target or TargetIDs, as it runs under the
 // keeper's lock.
 func (k *Keeper) OnChange(f func(*View)) { k.listeners = append(k.listeners, f) }
 
@@ -75,8 +75,8 @@
 	return k.targets[id]
 }
 
-// Listed returns the ids of all listed targets, in no particular order.
-func (k *Keeper) Listed() []string {
+// TargetIDs returns the ids of all listed targets, in no particular order.
+func (k *Keeper) TargetIDs() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	ids := make([]string, 0, len(k.targets))
--- a/internal/gateway/account.go
+++ b/internal/gateway/account.go
@@ -23,7 +23,7 @@
 // partitioned, frozen or suspended may have missed one.
 func (x *exchange) identifyAccountInView() error {
 	cfg := x.view.Config
-	if !cfg.Keyed() {
+	if !cfg.RequiresKeys() {
 		return nil
 	}
 	var account *fleet.Account
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -8,7 +8,7 @@
 
 // admission is the last admission decision for a generation request.
 type admission struct {
-	ruling place.Ruling
+	ruling place.Decision
 	choice place.Choice
 	// callerRetry says that the caller has sent this request before and was refused.
 	callerRetry bool
@@ -16,7 +16,7 @@
 
 // recordAdmission stores and counts the admission decision when the request is first sent to a
 // target or is refused. Later attempts are not counted.
-func (x *exchange) recordAdmission(r place.Ruling, c place.Choice) {
+func (x *exchange) recordAdmission(r place.Decision, c place.Choice) {
 	if x.attempts.arrivals > 0 {
 		return
 	}
@@ -30,7 +30,7 @@
 // requests of its route.
 func (x *exchange) size() fair.Size {
 	if x.sizeBands == nil {
-		b := x.g.sizes.Place(x.route.Name, x.meta.Prompt.Tokens, x.meta.Prompt.Output)
+		b := x.g.sizes.Classify(x.route.Name, x.meta.Prompt.Tokens, x.meta.Prompt.Output)
 		x.sizeBands = &b
 	}
 	return *x.sizeBands
@@ -40,7 +40,7 @@
 func (a *admission) logFields() []telemetry.Field {
 	fields := []telemetry.Field{
 		telemetry.F("wait_ms", a.choice.Wait().Milliseconds()),
-		telemetry.F("own_ms", a.choice.Own.Milliseconds()),
+		telemetry.F("own_ms", a.choice.OwnPrefill.Milliseconds()),
 		telemetry.F("seat_ms", a.choice.SeatWait.Milliseconds()),
 	}
 	if a.ruling.Reason != "" {
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -12,8 +12,8 @@
 func TestAdmissionLogFields(t *testing.T) {
 	is := is.New(t)
 	a := &admission{
-		ruling:      place.Ruling{Verdict: place.Refuse, Reason: place.NoSeat},
-		choice:      place.Choice{Expected: 90 * time.Millisecond, Own: 20 * time.Millisecond, SeatWait: 60 * time.Millisecond},
+		ruling:      place.Decision{Verdict: place.Refuse, Reason: place.NoSeat},
+		choice:      place.Choice{Expected: 90 * time.Millisecond, OwnPrefill: 20 * time.Millisecond, SeatWait: 60 * time.Millisecond},
 		callerRetry: true,
 	}
 	line := map[string]any{}
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -12,23 +12,23 @@
 
 // admit decides whether the request is sent to the chosen target, deferred or refused. Requests
 // that were sent to a target before, and requests on routes without an objective, are always sent.
-func (x *exchange) admit(c place.Choice) place.Ruling {
+func (x *exchange) admit(c place.Choice) place.Decision {
 	if x.attempts.arrivals > 0 || x.mayHaveRun || x.route.Objective <= 0 {
-		return place.Ruling{Verdict: place.Send}
+		return place.Decision{Verdict: place.Send}
 	}
 	in := x.admissionInput(clock.Now())
 	in.Favor = x.g.sizes.Favor(x.route.Name, x.size())
 	x.addQueueState(&in, c)
-	return place.Judge(c, in)
+	return place.Admit(c, in)
 }
 
 // admissionInput returns the part of the admission input that does not depend on the chosen target.
-func (x *exchange) admissionInput(now time.Time) place.Asked {
-	in := place.Asked{
+func (x *exchange) admissionInput(now time.Time) place.AdmissionInput {
+	in := place.AdmissionInput{
 		Objective: x.route.Objective,
 		Waited:    x.g.callerWaits.sinceFirstTry(x.route.Name, x.meta.Timeout) + now.Sub(x.arrived),
-		Left:      x.deadline.Sub(now),
-		Held:      now.Sub(x.arrived),
+		TimeLeft:  x.deadline.Sub(now),
+		HeldFor:   now.Sub(x.arrived),
 	}
 	if x.route.Patience > 0 {
 		in.Patience = max(x.arrived.Add(x.route.Patience).Sub(now), 1)
@@ -39,13 +39,13 @@
 // addQueueState adds what is deferred on all VMs. A new request gets the time that all engines
 // together need for the deferred requests; a request that is itself deferred gets the length of the
 // queue it is in.
-func (x *exchange) addQueueState(in *place.Asked, c place.Choice) {
-	waiting := x.g.placer.Waiting(x.service).Prefill
+func (x *exchange) addQueueState(in *place.AdmissionInput, c place.Choice) {
+	waiting := x.g.placer.DeferredWork(x.service).Prefill
 	if x.queueTicket == nil {
-		in.Deferred = waiting / time.Duration(max(len(x.view.Targets[x.service]), 1))
+		in.QueueTime = waiting / time.Duration(max(len(x.view.Targets[x.service]), 1))
 		return
 	}
-	in.Queue, in.Look, in.Random = waiting, recheckDelay(c), x.g.randomFloat()
+	in.QueuedPrefill, in.CheckInterval, in.Random = waiting, recheckDelay(c), x.g.randomFloat()
 }
 
 // refuseLate records the refusal of a request that cannot be served in time and returns its error.
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -186,7 +186,7 @@
 func (cs *callerConns) noteShortage() {
 	now := clock.Now()
 	if last := cs.lastShortage.Swap(&now); last == nil || now.Sub(*last) > shortagePeriod {
-		cs.log.Warn(telemetry.EventDescriptors, telemetry.F("cause", "accept had none"), telemetry.F("targets", cs.targetConns()))
+		cs.log.Warn(telemetry.EventDescriptorsShort, telemetry.F("cause", "accept had none"), telemetry.F("targets", cs.targetConns()))
 	}
 	cs.closeIdle()
 }
@@ -210,6 +210,6 @@
 // setFull stores whether the connections are near the limit, and logs a change.
 func (cs *callerConns) setFull(full bool) {
 	if cs.full.Swap(full) != full {
-		cs.log.Warn(telemetry.EventDescriptors, telemetry.F("full", full), telemetry.F("sockets", cs.maxConns), telemetry.F("targets", cs.targetConns()))
+		cs.log.Warn(telemetry.EventDescriptorsShort, telemetry.F("full", full), telemetry.F("sockets", cs.maxConns), telemetry.F("targets", cs.targetConns()))
 	}
 }
--- a/internal/gateway/deferral.go
+++ b/internal/gateway/deferral.go
@@ -19,7 +19,7 @@
 // already.
 func (x *exchange) enqueue(c place.Choice) {
 	if x.queueTicket == nil {
-		x.queueTicket = x.g.placer.Wait(x.service, c)
+		x.queueTicket = x.g.placer.AddDeferred(x.service, c)
 	}
 }
 
--- a/internal/gateway/deferral_test.go
+++ b/internal/gateway/deferral_test.go
@@ -46,7 +46,7 @@
 func (*busyOthers) Age() time.Duration { return 0 }
 
 // lateExchange returns a request for an engine that the given other VMs may keep busy.
-func lateExchange(others place.Others) *exchange {
+func lateExchange(others place.PeerWork) *exchange {
 	k := fleet.NewKeeper()
 	k.SetConfig(fleet.NewConfig(1, nil, []*fleet.Service{{Name: "m", Engine: &fleet.EngineSpec{Slots: 8, KVTokens: 100000}}}, fleet.Limits{}))
 	target := &fleet.Target{ID: "d", Service: "m", Slots: 8, Stage: fleet.Decode}
@@ -84,7 +84,7 @@
 	is.Equal(c.Target.ID, "d")
 	waited := time.Since(x.arrived)
 	is.True(waited >= 300*time.Millisecond && waited < 600*time.Millisecond)
-	is.Equal(x.g.placer.Waiting("m"), place.Work{})
+	is.Equal(x.g.placer.DeferredWork("m"), place.Work{})
 }
 
 // If the engines stay full, the caller is refused while it still has time to retry.
@@ -102,7 +102,7 @@
 func TestFullDeferralQueueRefusesAtOnce(t *testing.T) {
 	is := is.New(t)
 	x := lateExchange(&busyOthers{work: fullWork})
-	x.g.placer.Wait("m", place.Choice{Own: time.Second, Expected: time.Second})
+	x.g.placer.AddDeferred("m", place.Choice{OwnPrefill: time.Second, Expected: time.Second})
 	_, err := x.choosePrefill(context.Background())
 	is.True(errkind.Is(err, errkind.CannotFinish))
 	is.True(time.Since(x.arrived) < 100*time.Millisecond)
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -80,5 +80,5 @@
 
 // idleGateway returns a gateway that does not listen and has no requests.
 func idleGateway(grace time.Duration) *Gateway {
-	return New(Parts{Log: telemetry.NewLogger(io.Discard, "test", "vm-1")}, Limits{Grace: grace})
+	return New(Options{Log: telemetry.NewLogger(io.Discard, "test", "vm-1")}, Limits{Grace: grace})
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -118,7 +118,7 @@
 	x.service = x.route.Pick(x.g.randomFloat())
 	if meta.Prompt != nil {
 		meta.Prompt.Limit = clock.Until(x.deadline)
-		meta.Prompt.FullLimit = meta.Prompt.Limit + x.g.callerWaits.sinceFirstTry(x.route.Name, meta.Timeout)
+		meta.Prompt.InitialLimit = meta.Prompt.Limit + x.g.callerWaits.sinceFirstTry(x.route.Name, meta.Timeout)
 		meta.Prompt.BodyBytes = int(max(x.r.ContentLength, 0))
 	}
 	if err := x.readBody(x.view.Config.Limits); err != nil {
@@ -231,7 +231,7 @@
 // writeError sends e to the caller as the response.
 func (x *exchange) writeError(e *errkind.Error) {
 	x.responseStarted = true
-	a := e.Answer()
+	a := e.Response()
 	x.status = a.Status
 	if e.Kind == errkind.ClientGone {
 		// If the caller closed only its sending side, net/http would send it a default response.
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -60,14 +60,14 @@
 				meta: Meta{Timeout: 2*time.Second - tc.waited, Prompt: &place.Prompt{}},
 			}
 			x.g.callerWaits.sinceFirstTry("", 2*time.Second)
-			c := place.Choice{Target: &fleet.Target{ID: "i"}, Expected: tc.expected, Own: tc.own}
+			c := place.Choice{Target: &fleet.Target{ID: "i"}, Expected: tc.expected, OwnPrefill: tc.own}
 			is.Equal(x.admit(c).Verdict, tc.want)
 			if tc.want == place.Send {
 				return
 			}
 			err := x.refuseLate(c)
 			is.True(errkind.Is(err, errkind.CannotFinish))
-			a := errkind.From(err).Answer()
+			a := errkind.From(err).Response()
 			is.Equal(a.Outcome, errkind.NotRun)
 			is.True(a.RetryAfter > 0 && a.RetryAfter <= 2*time.Second/3)
 		})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -78,8 +78,8 @@
 	Behind() bool
 }
 
-// Parts holds the settings and the components that a Gateway uses.
-type Parts struct {
+// Options holds the settings and the components that a Gateway uses.
+type Options struct {
 	// Listen is the TCP address that callers connect to.
 	Listen string
 	// Descriptors is how many file descriptors the process may open.
@@ -88,7 +88,7 @@
 	Placer      *place.Placer
 	Protocol    Protocol
 	Group       Group
-	Known       ConfigFreshness
+	Freshness   ConfigFreshness
 	Quarantine  Quarantine
 	Usage       Usage
 	Client      *httpsend.Client
@@ -143,11 +143,11 @@
 }
 
 // New returns a gateway that does not listen yet.
-func New(p Parts, limits Limits) *Gateway {
+func New(p Options, limits Limits) *Gateway {
 	g := &Gateway{
-		listen: p.Listen, keeper: p.Keeper, placer: p.Placer, proto: p.Protocol, group: p.Group, freshness: p.Known, quarantine: p.Quarantine, usage: p.Usage,
+		listen: p.Listen, keeper: p.Keeper, placer: p.Placer, proto: p.Protocol, group: p.Group, freshness: p.Freshness, quarantine: p.Quarantine, usage: p.Usage,
 		client: p.Client, log: p.Log, stats: p.Stats, rng: newRNG(),
-		started: clock.Now(), conns: newCallerConns(p.Descriptors, p.Client.Open, p.Log),
+		started: clock.Now(), conns: newCallerConns(p.Descriptors, p.Client.OpenConns, p.Log),
 	}
 	g.limits.Store(&limits)
 	g.retryBudgets = newRetryBudgets(&g.limits, p.Group, p.FirstStart, g.sinceStart)
@@ -252,7 +252,7 @@
 		return "configuration or targets not known yet"
 	case g.freshness.Behind():
 		return "other VMs know a newer configuration"
-	case g.keeper.View().Config.Keyed() && !g.freshness.KeysCurrent():
+	case g.keeper.View().Config.RequiresKeys() && !g.freshness.KeysCurrent():
 		return "recently revoked keys are not known"
 	}
 	return g.conns.ready()
@@ -288,7 +288,7 @@
 // destination returns the connection settings for t. MaxConns is this VM's share of the connections
 // that the service allows per target. fresh asks for a new connection.
 func (g *Gateway) destination(v *fleet.View, t *fleet.Target, fresh bool) httpsend.Destination {
-	d := httpsend.Destination{ID: t.RunID(), Address: t.Address, Fresh: fresh}
+	d := httpsend.Destination{ID: t.RunID(), Address: t.Address, NewConn: fresh}
 	if s := v.Config.Services[t.Service]; s != nil && s.MaxConns > 0 {
 		d.MaxConns = max(s.MaxConns/(g.group.Size()+spareVMs), 1)
 	}
--- a/internal/gateway/generate.go
+++ b/internal/gateway/generate.go
@@ -113,7 +113,7 @@
 			continue
 		}
 		if out == outcomeRefused {
-			x.g.placer.Blame(prefillChoice.Target.RunID(), clock.Now())
+			x.g.placer.NoteLostHandle(prefillChoice.Target.RunID(), clock.Now())
 		}
 		if err != nil {
 			// Without a response it is not known whether the target took the handle. Freeing a
@@ -144,7 +144,7 @@
 		}
 		x.meta.Prompt.MaxWait = x.admissionInput(clock.Now()).MaxWait()
 		x.meta.Prompt.Deferred = x.queueTicket != nil
-		c, ok := x.g.placer.Read(x.view.Targets[x.service], spec, x.meta.Prompt, x.excludedForPrefill(), clock.Now())
+		c, ok := x.g.placer.Prefill(x.view.Targets[x.service], spec, x.meta.Prompt, x.excludedForPrefill(), clock.Now())
 		if !ok {
 			return c, errkind.New(errkind.NoTarget, "no engine can take the request")
 		}
@@ -204,7 +204,7 @@
 // prefill has a target prefill the prompt and returns the handle of its KV cache. Whatever its
 // outcome, the request has not run: outcomeUnknown is returned as outcomeRefused.
 func (x *exchange) prefill(ctx context.Context, c place.Choice) (*Handle, outcome, error) {
-	resp, out, err := x.send(ctx, c.Target, Directive{Engine: true, PrefillOnly: true, Priority: x.account.Load().Rank(x.route)}, c.Ticket)
+	resp, out, err := x.send(ctx, c.Target, Directive{Engine: true, PrefillOnly: true, Priority: x.account.Load().RequestPriority(x.route)}, c.Ticket)
 	if err != nil {
 		if out == outcomeUnknown {
 			out = outcomeRefused
@@ -239,7 +239,7 @@
 // decode sends the request to a decode target and relays its events. p is nil if that target
 // prefills the prompt itself.
 func (x *exchange) decode(ctx context.Context, s *stream, c place.Choice, p *prefilledPrompt) (outcome, error) {
-	d := Directive{Engine: true, Priority: x.account.Load().Rank(x.route), ResumeAfter: x.lastEventID}
+	d := Directive{Engine: true, Priority: x.account.Load().RequestPriority(x.route), ResumeAfter: x.lastEventID}
 	if p != nil {
 		d.Handle = p.handle
 	}
@@ -249,18 +249,18 @@
 		return out, err
 	}
 	defer resp.Close()
-	c.Ticket.First(clock.Now())
+	c.Ticket.FirstEvent(clock.Now())
 	if resp.Status != http.StatusOK {
 		return x.relayFailure(s, c, resp)
 	}
 	s.ticket = c.Ticket
 	err = s.relay(resp)
 	x.eventInterval = s.eventInterval()
-	c.Ticket.Length(s.events)
+	c.Ticket.ObserveLength(s.events)
 	switch {
 	case err == nil:
 		x.addTrace(c.Target, strconv.Itoa(resp.Status), nil)
-		c.Ticket.Stream(s.events, s.lastWriteAt.Sub(s.firstEventAt))
+		c.Ticket.ObserveAnswer(s.events, s.lastWriteAt.Sub(s.firstEventAt))
 		c.Ticket.End(place.Good, clock.Now())
 		x.noteServed()
 		return outcomeAnswered, nil
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -229,7 +229,7 @@
 // writeResponse sends a target's complete response to the caller, with its body unchanged.
 func (x *exchange) writeResponse(r *bufferedResponse) error {
 	h := x.w.Header()
-	copyHeader(h, x.g.proto.Relayed(r.header))
+	copyHeader(h, x.g.proto.CallerHeader(r.header))
 	h.Set("Content-Length", strconv.Itoa(len(r.body)))
 	x.responseStarted = true
 	x.firstByteAt = clock.Now()
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -71,16 +71,16 @@
 type Protocol interface {
 	// Meta parses the header of a caller's request.
 	Meta(h http.Header) (Meta, error)
-	// Outgoing returns the request header for a target, from the caller's header and d.
-	Outgoing(in http.Header, d Directive) http.Header
-	// Ours reports whether a response with this status and header belongs to the request with the
+	// TargetHeader returns the request header for a target, from the caller's header and d.
+	TargetHeader(in http.Header, d Directive) http.Header
+	// BelongsTo reports whether a response with this status and header belongs to the request with the
 	// given id.
-	Ours(id string, status int, h http.Header) bool
+	BelongsTo(id string, status int, h http.Header) bool
 	// Verdict classifies a response by its status and header. prefill says that the request was a
 	// prefill, whose response has no signature.
 	Verdict(status int, h http.Header, prefill bool) Verdict
-	// Relayed returns the response header for the caller, from that of the target.
-	Relayed(h http.Header) http.Header
+	// CallerHeader returns the response header for the caller, from that of the target.
+	CallerHeader(h http.Header) http.Header
 	// Handle decodes the response body of a prefill by the target at address.
 	Handle(address string, body []byte) (Handle, error)
 	// FreeHandle returns the method and the request URI of the call that frees a handle.
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -24,16 +24,16 @@
 // Quarantine records the requests that were running when targets exited. Its methods are safe for
 // concurrent use.
 type Quarantine interface {
-	// Judge returns what is known of a request.
-	Judge(r *quarantine.Request, now time.Time) quarantine.Verdict
-	// Try begins the only attempt of a suspect that may be in flight, and reports false if there is
+	// Verdict returns what is known of a request.
+	Verdict(r *quarantine.Request, now time.Time) quarantine.Verdict
+	// BeginTrial begins the only attempt of a suspect that may be in flight, and reports false if there is
 	// one already. Done ends the attempt.
-	Try(id quarantine.ID) bool
-	Done(id quarantine.ID)
-	// Ended records that a target exited as it began to run a request.
-	Ended(r *quarantine.Request, end quarantine.End)
-	// Served records that a target has run a request, which therefore does not crash targets.
-	Served(r *quarantine.Request)
+	BeginTrial(id quarantine.ID) bool
+	EndTrial(id quarantine.ID)
+	// RecordCrash records that a target exited as it began to run a request.
+	RecordCrash(r *quarantine.Request, end quarantine.Crash)
+	// RecordSuccess records that a target has run a request, which therefore does not crash targets.
+	RecordSuccess(r *quarantine.Request)
 }
 
 const (
@@ -52,20 +52,20 @@
 // called before each attempt, because other VMs may have reported exits meanwhile.
 func (x *exchange) checkQuarantine() error {
 	now := clock.Now()
-	v := x.g.quarantine.Judge(&x.quarantineReq, now)
+	v := x.g.quarantine.Verdict(&x.quarantineReq, now)
 	if !v.Suspect() {
 		return nil
 	}
-	if v.Quarantined(now, x.g.group.Owns(v.ID.Print[:])) {
-		e := errkind.New(errkind.Quarantined, "%d targets ended as they began to run this request", v.Ends)
+	if v.Quarantined(now, x.g.group.Owns(v.ID.Fingerprint[:])) {
+		e := errkind.New(errkind.Quarantined, "%d targets ended as they began to run this request", v.Crashes)
 		e.RetryAfter = max(v.TrialAt.Sub(now), trialRetryAfter).Round(time.Millisecond)
 		return e
 	}
 	if x.trial != nil {
 		return nil
 	}
-	if !x.g.quarantine.Try(v.ID) {
-		e := errkind.New(errkind.Quarantined, "%d targets ended as they began to run this request, and it is being tried elsewhere", v.Ends)
+	if !x.g.quarantine.BeginTrial(v.ID) {
+		e := errkind.New(errkind.Quarantined, "%d targets ended as they began to run this request, and it is being tried elsewhere", v.Crashes)
 		e.RetryAfter = trialRetryAfter
 		return e
 	}
@@ -76,7 +76,7 @@
 // endTrial allows other attempts of a suspect on this VM.
 func (x *exchange) endTrial() {
 	if x.trial != nil {
-		x.g.quarantine.Done(*x.trial)
+		x.g.quarantine.EndTrial(*x.trial)
 	}
 }
 
@@ -102,8 +102,8 @@
 }
 
 // noteServed records that a target has run the request to its end, or for longer than
-// quarantine.Onset, and that the request therefore does not crash targets.
-func (x *exchange) noteServed() { x.g.quarantine.Served(&x.quarantineReq) }
+// quarantine.BlameWindow, and that the request therefore does not crash targets.
+func (x *exchange) noteServed() { x.g.quarantine.RecordSuccess(&x.quarantineReq) }
 
 // checkTargetExit checks in the background whether a target that closed the connection has exited,
 // and if so records it for the quarantine. sentAt is when the request was sent to the target.
@@ -114,10 +114,10 @@
 	}
 	x.targetClosed = true
 	g, request := x.g, x.quarantineReq
-	end := quarantine.End{Run: t.RunID(), Began: sentAt, At: clock.Now()}
+	end := quarantine.Crash{Run: t.RunID(), Began: sentAt, At: clock.Now()}
 	g.wg.Go(func() {
-		if g.hasExited(t) && ranFor <= quarantine.Onset {
-			g.quarantine.Ended(&request, end)
+		if g.hasExited(t) && ranFor <= quarantine.BlameWindow {
+			g.quarantine.RecordCrash(&request, end)
 		}
 	})
 }
@@ -138,7 +138,7 @@
 		if !g.notListening(ctx, t) && !g.notListeningAfterDelay(ctx, t) {
 			return false, nil
 		}
-		g.placer.Unreachable(t.RunID(), clock.Now())
+		g.placer.NoteUnreachable(t.RunID(), clock.Now())
 		return true, nil
 	})
 	exited, _ := v.(bool)
@@ -147,7 +147,7 @@
 
 // notListening reports whether nothing listens at a target's address.
 func (g *Gateway) notListening(ctx context.Context, t *fleet.Target) bool {
-	return errors.Is(g.client.Probe(ctx, t.Address), httpsend.ErrNobody)
+	return errors.Is(g.client.Probe(ctx, t.Address), httpsend.ErrNotListening)
 }
 
 // notListeningAfterDelay is notListening after exitCheckDelay; false if ctx ends first.
@@ -166,5 +166,5 @@
 	if x.trial == nil {
 		return tried
 	}
-	return x.g.placer.AllButOne(x.view.Targets[x.service], tried, x.trial.Print[:])
+	return x.g.placer.AllButOne(x.view.Targets[x.service], tried, x.trial.Fingerprint[:])
 }
--- a/internal/gateway/ready_test.go
+++ b/internal/gateway/ready_test.go
@@ -43,9 +43,9 @@
 	keeper.ApplyTargets([]fleet.TargetChange{{ID: "i-a", Target: &fleet.Target{ID: "i-a", Service: "s"}}}, 1)
 	is.True(keeper.View().Usable())
 	log := telemetry.NewLogger(&bytes.Buffer{}, "test", "vm-1")
-	client := httpsend.New(httpsend.Config{DialTimeout: time.Second, MaxIdle: time.Second})
-	g := New(Parts{
-		Listen: taken.Addr().String(), Descriptors: maxDescriptors, Keeper: keeper, Group: soloVM{}, Known: upToDate{},
+	client := httpsend.New(httpsend.Config{DialTimeout: time.Second, MaxIdleTime: time.Second})
+	g := New(Options{
+		Listen: taken.Addr().String(), Descriptors: maxDescriptors, Keeper: keeper, Group: soloVM{}, Freshness: upToDate{},
 		Placer: place.New(place.DefaultConfig("a"), soloVM{}, nil), Client: client, Log: log,
 	}, Limits{Grace: 500 * time.Millisecond})
 	is.True(g.Ready() != "") // not started
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -43,7 +43,7 @@
 	e := errkind.From(err)
 	x.g.stats.Request(x.status, e.Kind, took)
 	event := telemetry.EventRequestFailed
-	if e.Answer().Outcome == errkind.NotRun {
+	if e.Response().Outcome == errkind.NotRun {
 		event = telemetry.EventRequestRefused
 	}
 	x.countGeneration(event)
@@ -85,7 +85,7 @@
 		fields = append(fields, telemetry.F("arrivals", s.arrivals), telemetry.F("reads", s.prefills), telemetry.F("drawn", s.retriesUsed))
 	}
 	if x.targetClosed {
-		fields = append(fields, telemetry.F("print", x.quarantineReq.Print()))
+		fields = append(fields, telemetry.F("print", x.quarantineReq.Fingerprint()))
 	}
 	if x.stop != nil {
 		fields = append(fields, telemetry.F("stop_ms", x.stop.remaining.Milliseconds()), telemetry.F("needed_ms", x.stop.needed.Milliseconds()))
@@ -100,7 +100,7 @@
 		fields = append(fields, telemetry.F("deferred_ms", x.deferredFor.Milliseconds()))
 	}
 	if s := x.seat; s != nil {
-		fields = append(fields, telemetry.F("beside", s.Beside), telemetry.F("longest_ms", s.Longest.Milliseconds()))
+		fields = append(fields, telemetry.F("beside", s.Running), telemetry.F("longest_ms", s.LongestAnswer.Milliseconds()))
 	}
 	if x.eventInterval > 0 {
 		fields = append(fields, telemetry.F("event_us", x.eventInterval.Microseconds()))
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -61,7 +61,7 @@
 func (x *exchange) destination(t *fleet.Target, d Directive) httpsend.Destination {
 	to := x.g.destination(x.view, t, x.unanswered || x.route.Kind == fleet.NonIdempotent)
 	if !d.PrefillOnly && !x.route.Repeatable() {
-		to.MaxRest = maxStreamConnIdle
+		to.MaxIdleTime = maxStreamConnIdle
 	}
 	return to
 }
@@ -100,10 +100,10 @@
 	d.Remaining, d.Account = clock.Until(x.deadline), x.accountName()
 	req := &httpsend.Request{
 		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host,
-		Header: x.g.proto.Outgoing(x.r.Header, d), Body: x.body, Unacked: unackedTimeout(d.Remaining),
-		Before: x.keyStillValid,
+		Header: x.g.proto.TargetHeader(x.r.Header, d), Body: x.body, UnackedTimeout: unackedTimeout(d.Remaining),
+		BeforeSend: x.keyStillValid,
 	}
-	ours := func(status int, h http.Header) bool { return x.g.proto.Ours(x.meta.ID, status, h) }
+	ours := func(status int, h http.Header) bool { return x.g.proto.BelongsTo(x.meta.ID, status, h) }
 	resp, err := x.g.client.Send(ctx, to, req, ours)
 	if err != nil {
 		return nil, x.noteSendFailure(ctx, t, ticket, err), err
@@ -130,7 +130,7 @@
 	notSent := errors.As(err, &sendErr) && sendErr.Phase == httpsend.NotSent
 	x.addTrace(t, "failed", err)
 	switch {
-	case x.endedLocally() || errors.Is(err, httpsend.ErrNoConn):
+	case x.endedLocally() || errors.Is(err, httpsend.ErrConnLimit):
 		ticket.End(place.Neutral, now)
 	case notSent:
 		ticket.End(place.Unreachable, now)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -36,7 +36,7 @@
 	// and lastWriteAt when events were last written to the caller.
 	events int
 	// pastOnset is set once the current target has run the request for longer than
-	// quarantine.Onset.
+	// quarantine.BlameWindow.
 	pastOnset    bool
 	firstEventAt time.Time
 	lastWriteAt  time.Time
@@ -99,11 +99,11 @@
 		s.x.g.usage.Ran(s.x.accountName(), now)
 	}
 	s.events += n
-	if !s.pastOnset && s.ranFor(now) > quarantine.Onset {
+	if !s.pastOnset && s.ranFor(now) > quarantine.BlameWindow {
 		s.pastOnset = true
 		s.x.noteServed()
 	}
-	s.ticket.Events(n, now)
+	s.ticket.AddEvents(n, now)
 }
 
 // ranFor returns how long the current target has run the request, counted from its first event.
@@ -143,7 +143,7 @@
 	s.headerSent = true
 	s.x.responseStarted = true
 	s.x.firstByteAt = clock.Now()
-	copyHeader(s.x.w.Header(), s.x.g.proto.Relayed(resp.Header))
+	copyHeader(s.x.w.Header(), s.x.g.proto.CallerHeader(resp.Header))
 	s.x.writeHeader(resp.Status)
 }
 
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -237,9 +237,9 @@
 		x.GetVersion() == y.GetVersion() && slices.Equal(x.GetAdapters(), y.GetAdapters())
 }
 
-// IsState reports whether the last change of the item under key was a change of state rather
+// LastChangeIsState reports whether the last change of the item under key was a change of state rather
 // than of load only.
-func (s *Store) IsState(key string) bool {
+func (s *Store) LastChangeIsState(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.items[key]
--- a/internal/httpsend/client.go
+++ b/internal/httpsend/client.go
@@ -62,15 +62,15 @@
 // connection, that connection counts as dead, and so do those that were idle when it began.
 var ErrOverdue = errors.New("httpsend: the response is overdue")
 
-// ErrNoConn reports that the destination's MaxConns connections are all in use.
-var ErrNoConn = errors.New("httpsend: all connections to the target are in use")
+// ErrConnLimit reports that the destination's MaxConns connections are all in use.
+var ErrConnLimit = errors.New("httpsend: all connections to the target are in use")
 
 // Config holds the time limits of a Client's connections.
 type Config struct {
 	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// MaxIdle is the longest time that a connection is kept unused.
-	MaxIdle time.Duration
+	// MaxIdleTime is the longest time that a connection is kept unused.
+	MaxIdleTime time.Duration
 	// UnackedTimeout is how long written bytes may stay unacknowledged before the kernel
 	// closes the connection. A Request may set its own limit.
 	UnackedTimeout time.Duration
@@ -84,12 +84,12 @@
 	Address string
 	// MaxConns limits the connections that are open at once; 0 means no limit.
 	MaxConns int
-	// Fresh requires a new connection. It is meant for requests that must not be retried: the
+	// NewConn requires a new connection. It is meant for requests that must not be retried: the
 	// target may have just closed a kept connection, and the request would be lost on it.
-	Fresh bool
-	// MaxRest is the longest time that a kept connection may have been idle to be used; 0
-	// means the client's MaxIdle.
-	MaxRest time.Duration
+	NewConn bool
+	// MaxIdleTime is the longest time that a kept connection may have been idle to be used; 0
+	// means the client's MaxIdleTime.
+	MaxIdleTime time.Duration
 }
 
 // Client sends requests over connections that it keeps for reuse. It is safe
@@ -113,8 +113,8 @@
 	open int
 }
 
-// Open returns the number of connections that are open or being opened.
-func (c *Client) Open() int {
+// OpenConns returns the number of connections that are open or being opened.
+func (c *Client) OpenConns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open
@@ -125,12 +125,12 @@
 	return &Client{cfg: cfg, pools: make(map[string]*pool)}
 }
 
-// acquire returns a usable idle connection, or opens a new one. It fails with ErrNoConn where
+// acquire returns a usable idle connection, or opens a new one. It fails with ErrConnLimit where
 // the destination's MaxConns connections are in use.
 func (c *Client) acquire(ctx context.Context, d Destination) (*conn, error) {
-	if !d.Fresh {
+	if !d.NewConn {
 		for cn := c.popIdle(d); cn != nil; cn = c.popIdle(d) {
-			if clock.Since(cn.idleSince) < c.cfg.MaxIdle && cn.usable() {
+			if clock.Since(cn.idleSince) < c.cfg.MaxIdleTime && cn.usable() {
 				cn.reused = true
 				return cn, nil
 			}
@@ -138,7 +138,7 @@
 		}
 	}
 	if !c.reserveSlot(d) {
-		return nil, ErrNoConn
+		return nil, ErrConnLimit
 	}
 	nc, err := silence.Dialer(c.cfg.DialTimeout, c.cfg.UnackedTimeout).DialContext(ctx, "tcp", d.Address)
 	if err != nil {
@@ -154,16 +154,16 @@
 // listening.
 const probeWait = 50 * time.Millisecond
 
-// ErrNobody reports that no process listens at an address.
-var ErrNobody = errors.New("httpsend: no process listens at the address")
+// ErrNotListening reports that no process listens at an address.
+var ErrNotListening = errors.New("httpsend: no process listens at the address")
 
-// Probe opens a connection to address and closes it. It returns ErrNobody if the connection is
+// Probe opens a connection to address and closes it. It returns ErrNotListening if the connection is
 // refused, or if it is accepted and closed within probeWait without data, as a load balancer
 // without healthy targets does.
 func (c *Client) Probe(ctx context.Context, address string) error {
 	nc, err := silence.Dialer(c.cfg.DialTimeout, c.cfg.UnackedTimeout).DialContext(ctx, "tcp", address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return errors.Wrap(ErrNobody, err.Error())
+		return errors.Wrap(ErrNotListening, err.Error())
 	}
 	if err != nil {
 		return errors.Wrap(err, "probe")
@@ -175,7 +175,7 @@
 	var b [1]byte
 	_, err = nc.Read(b[:])
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
-		return errors.Wrap(ErrNobody, err.Error())
+		return errors.Wrap(ErrNotListening, err.Error())
 	}
 	// A listening target waits for a request, or sends data by itself.
 	return nil
@@ -191,7 +191,7 @@
 		return nil
 	}
 	cn.unackedTimeout = unacked
-	return silence.SetUnacked(cn.nc, unacked)
+	return silence.SetUnackedTimeout(cn.nc, unacked)
 }
 
 // connDead reports whether a send that got no response indicates a dead connection: it timed
@@ -224,7 +224,7 @@
 }
 
 // popIdle removes the most recently used connection from the pool and returns it. It returns
-// nil if there is none, or if it has been idle for longer than d.MaxRest; the connection then
+// nil if there is none, or if it has been idle for longer than d.MaxIdleTime; the connection then
 // stays in the pool for requests without that limit.
 func (c *Client) popIdle(d Destination) *conn {
 	c.mu.Lock()
@@ -235,7 +235,7 @@
 	}
 	last := len(p.idle) - 1
 	cn := p.idle[last]
-	if d.MaxRest > 0 && clock.Since(cn.idleSince) > d.MaxRest {
+	if d.MaxIdleTime > 0 && clock.Since(cn.idleSince) > d.MaxIdleTime {
 		return nil
 	}
 	p.idle = p.idle[:last]
@@ -296,7 +296,7 @@
 	p.idle = append(p.idle, cn)
 }
 
-// Prune closes connections that have been idle for MaxIdle or longer, and all idle connections
+// Prune closes connections that have been idle for MaxIdleTime or longer, and all idle connections
 // of destinations for which keep returns false.
 func (c *Client) Prune(keep func(id string) bool) {
 	c.mu.Lock()
@@ -304,7 +304,7 @@
 	for id, p := range c.pools {
 		n := 0
 		if keep(id) {
-			for n < len(p.idle) && clock.Since(p.idle[n].idleSince) >= c.cfg.MaxIdle {
+			for n < len(p.idle) && clock.Since(p.idle[n].idleSince) >= c.cfg.MaxIdleTime {
 				n++
 			}
 		} else {
--- a/internal/httpsend/httpsend_test.go
+++ b/internal/httpsend/httpsend_test.go
@@ -114,7 +114,7 @@
 func matches(_ int, h http.Header) bool { return h.Get("Request-Id") == "q" }
 
 func newClient() *httpsend.Client {
-	return httpsend.New(httpsend.Config{DialTimeout: time.Second, MaxIdle: time.Minute, UnackedTimeout: time.Second})
+	return httpsend.New(httpsend.Config{DialTimeout: time.Second, MaxIdleTime: time.Minute, UnackedTimeout: time.Second})
 }
 
 // send sends one request and returns the body of its response.
@@ -245,7 +245,7 @@
 	time.Sleep(50 * time.Millisecond)
 	_, err := send(context.Background(), c, g.destination())
 	is.Equal(phaseOf(err), httpsend.NotSent)
-	is.True(errors.Is(err, httpsend.ErrNoConn))
+	is.True(errors.Is(err, httpsend.ErrConnLimit))
 	wg.Wait()
 	body, err := send(context.Background(), c, g.destination())
 	is.NoErr(err)
@@ -304,7 +304,7 @@
 func TestWithheldRequestIsNotSent(t *testing.T) {
 	is := is.New(t)
 	g := newFakeTarget(t, emit(ok, true))
-	_, err := newClient().Send(context.Background(), g.destination(), &httpsend.Request{Method: "GET", URI: "/", Host: "h", Before: func() bool { return false }}, matches)
+	_, err := newClient().Send(context.Background(), g.destination(), &httpsend.Request{Method: "GET", URI: "/", Host: "h", BeforeSend: func() bool { return false }}, matches)
 	is.Equal(phaseOf(err), httpsend.NotSent)
 	is.True(errors.Is(err, httpsend.ErrWithheld))
 	n, _ := g.counts()
@@ -357,7 +357,7 @@
 }
 
 // TestProbe checks that a connection that stays open counts as a listening process, and that
-// ErrNobody is returned for one that is refused, or closed unused as by a load balancer without
+// ErrNotListening is returned for one that is refused, or closed unused as by a load balancer without
 // healthy targets.
 func TestProbe(t *testing.T) {
 	is := is.New(t)
@@ -382,7 +382,7 @@
 	}()
 	is.NoErr(c.Probe(context.Background(), address))
 	closing <- true
-	is.True(errors.Is(c.Probe(context.Background(), address), httpsend.ErrNobody))
+	is.True(errors.Is(c.Probe(context.Background(), address), httpsend.ErrNotListening))
 	l.Close()
-	is.True(errors.Is(c.Probe(context.Background(), address), httpsend.ErrNobody))
+	is.True(errors.Is(c.Probe(context.Background(), address), httpsend.ErrNotListening))
 }
--- a/internal/httpsend/send.go
+++ b/internal/httpsend/send.go
@@ -56,16 +56,16 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Before is called once the connection is open, immediately before the first byte is
+	// BeforeSend is called once the connection is open, immediately before the first byte is
 	// written. If it returns false, nothing is sent and Send fails with ErrWithheld. It may be
 	// nil.
-	Before func() bool
+	BeforeSend func() bool
 	// ResetOnFailure resets the connection when the send fails, which drops bytes that are
 	// still in the send buffer, so that they do not arrive later.
 	ResetOnFailure bool
-	// Unacked is how long written bytes may stay unacknowledged before the kernel closes the
+	// UnackedTimeout is how long written bytes may stay unacknowledged before the kernel closes the
 	// connection; 0 means the client's UnackedTimeout.
-	Unacked time.Duration
+	UnackedTimeout time.Duration
 }
 
 // ErrWithheld reports that Request.Before returned false.
@@ -111,7 +111,7 @@
 		c.discard(cn)
 		return nil, newError(NotSent, err)
 	}
-	if r.Before != nil && !r.Before() {
+	if r.BeforeSend != nil && !r.BeforeSend() {
 		c.discard(cn)
 		return nil, newError(NotSent, ErrWithheld)
 	}
@@ -121,7 +121,7 @@
 			return nil, newError(NotSent, err)
 		}
 	}
-	if err := c.setUnackedTimeout(cn, r.Unacked); err != nil {
+	if err := c.setUnackedTimeout(cn, r.UnackedTimeout); err != nil {
 		c.discard(cn)
 		return nil, newError(NotSent, err)
 	}
--- a/internal/httpsend/silent_test.go
+++ b/internal/httpsend/silent_test.go
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	start := time.Now()
-	resp, err := c.Send(ctx, d, &httpsend.Request{Method: "GET", URI: "/x", Host: "h", Unacked: unackedTimeout}, matches)
+	resp, err := c.Send(ctx, d, &httpsend.Request{Method: "GET", URI: "/x", Host: "h", UnackedTimeout: unackedTimeout}, matches)
 	if err != nil {
 		return "", time.Since(start), err
 	}
@@ -176,14 +176,14 @@
 	is := is.New(t)
 	g, _, d := newRelayedTarget(t, emit(ok, true), emit(ok, true), emit(ok, true))
 	c := newClient()
-	d.MaxRest = 50 * time.Millisecond
-	for _, wait := range []time.Duration{0, 2 * d.MaxRest} {
+	d.MaxIdleTime = 50 * time.Millisecond
+	for _, wait := range []time.Duration{0, 2 * d.MaxIdleTime} {
 		time.Sleep(wait)
 		_, _, err := timedSend(c, d)
 		is.NoErr(err)
 	}
-	time.Sleep(2 * d.MaxRest)
-	d.MaxRest = 0
+	time.Sleep(2 * d.MaxIdleTime)
+	d.MaxIdleTime = 0
 	_, _, err := timedSend(c, d)
 	is.NoErr(err)
 	_, conns := g.counts()
--- a/internal/kernel/background.go
+++ b/internal/kernel/background.go
@@ -34,20 +34,20 @@
 	return nil
 }
 
-// Retrying configures the retries of Until.
-type Retrying struct {
-	// First is the wait after the first failure, before jitter. The wait grows exponentially.
-	First time.Duration
-	// Most is the longest wait between calls, before jitter.
-	Most time.Duration
+// RetryPolicy configures the retries of Until.
+type RetryPolicy struct {
+	// InitialWait is the wait after the first failure, before jitter. The wait grows exponentially.
+	InitialWait time.Duration
+	// MaxWait is the longest wait between calls, before jitter.
+	MaxWait time.Duration
 	// Timeout limits each call.
 	Timeout time.Duration
 }
 
-// Until calls f until it succeeds or ctx ends, with exponential backoff and jitter.
-func Until(ctx context.Context, r Retrying, f func(context.Context) error) {
+// RetryUntilDone calls f until it succeeds or ctx ends, with exponential backoff and jitter.
+func RetryUntilDone(ctx context.Context, r RetryPolicy, f func(context.Context) error) {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = r.First, r.Most
+	wait.InitialInterval, wait.MaxInterval = r.InitialWait, r.MaxWait
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, r.Timeout)
 		err := f(call)
--- a/internal/limit/admit.go
+++ b/internal/limit/admit.go
@@ -35,12 +35,12 @@
 	return Verdict{RetryAfter: e.Wait - maxWait}
 }
 
-// Pace limits the work that one entry admits to its share of the targets'
+// Pacer limits the work that one entry admits to its share of the targets'
 // capacity. It models the entry's admitted work as a virtual queue, the backlog,
 // that drains at the rate of that share. The backlog needs no reports, so that
 // late reports cannot make all entries admit too much at once. Times are in
 // seconds since an arbitrary start. It is not safe for concurrent use.
-type Pace struct {
+type Pacer struct {
 	// backlog is the admitted work not yet drained at updatedAt, in seconds of
 	// one target's work.
 	backlog   float64
@@ -76,7 +76,7 @@
 // of entries that share the targets, reported the mean wait of the targets at
 // their last reports, and spare the time to the request's deadline less its own
 // work, both in seconds.
-func (p *Pace) Admit(now float64, targets, entries int, reported, spare float64) (wait float64, ok bool) {
+func (p *Pacer) Admit(now float64, targets, entries int, reported, spare float64) (wait float64, ok bool) {
 	elapsed := now - p.updatedAt
 	p.updatedAt = now
 	p.adjustBoost(elapsed, reported < shortWaitShare*spare, float64(entries))
@@ -91,7 +91,7 @@
 
 // adjustBoost raises the boost while the entry has a backlog and the waits at
 // the targets are short, and lowers it otherwise. elapsed is in seconds.
-func (p *Pace) adjustBoost(elapsed float64, short bool, entries float64) {
+func (p *Pacer) adjustBoost(elapsed float64, short bool, entries float64) {
 	if !short || p.backlog == 0 {
 		p.boost = max(p.boost-elapsed, 0)
 		return
@@ -100,7 +100,7 @@
 }
 
 // Sent adds an admitted request's work, in seconds, to the backlog.
-func (p *Pace) Sent(seconds float64) { p.backlog += seconds }
+func (p *Pacer) Sent(seconds float64) { p.backlog += seconds }
 
 // rateFactor returns the entry's rate as a multiple of its equal share, for the
 // targets' mean reported wait and the time to the deadline, both in seconds.
--- a/internal/limit/book.go
+++ b/internal/limit/book.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Book divides a pool of limits among entries in grants that expire. What all
+// Allocator divides a pool of limits among entries in grants that expire. What all
 // entries together may use at any time never exceeds the pool, even if answers
 // are lost: a grant counts until it has certainly expired, also when a smaller
 // one has followed it. Times are on the clock of the lease holder that grants.
 // It is not safe for concurrent use.
-type Book struct {
+type Allocator struct {
 	// from is the time of the first grant. The grants of the previous lease
 	// holder have expired by then.
 	from    time.Duration
@@ -31,13 +31,13 @@
 	inFlightUntil time.Duration
 }
 
-// NewBook returns an empty Book, which makes no grants before from.
-func NewBook(from time.Duration) *Book {
-	return &Book{from: from, entries: map[string]*entryDemand{}}
+// NewAllocator returns an empty Allocator, which makes no grants before from.
+func NewAllocator(from time.Duration) *Allocator {
+	return &Allocator{from: from, entries: map[string]*entryDemand{}}
 }
 
-// Ask is an entry's request for a grant.
-type Ask struct {
+// Demand is an entry's request for a grant.
+type Demand struct {
 	// VM is the name of the entry's VM.
 	VM string
 	// Want is the demand beyond the entry's base part.
@@ -54,7 +54,7 @@
 // Grant grants the entry its proportional share of the pool, or less if the
 // unexpired grants of the other entries leave less. The grant is zero while the
 // grants of the previous lease holder may be in force.
-func (b *Book) Grant(pool Limits, ask Ask, now time.Duration) Limits {
+func (b *Allocator) Grant(pool Limits, ask Demand, now time.Duration) Limits {
 	b.expire(now, ask.TTL)
 	entry, ok := b.entries[ask.VM]
 	if !ok {
@@ -76,7 +76,7 @@
 }
 
 // expire removes the grants and demands that no longer count.
-func (b *Book) expire(now, ttl time.Duration) {
+func (b *Allocator) expire(now, ttl time.Duration) {
 	for vm, entry := range b.entries {
 		kept := entry.grants[:0]
 		for _, g := range entry.grants {
@@ -98,7 +98,7 @@
 
 // proportionalShare returns the demand, scaled down to a proportional part of the
 // pool where all demands together exceed the pool.
-func (b *Book) proportionalShare(pool, want Limits) Limits {
+func (b *Allocator) proportionalShare(pool, want Limits) Limits {
 	var total Limits
 	for _, entry := range b.entries {
 		total.RatePerS += entry.want.RatePerS
@@ -115,7 +115,7 @@
 }
 
 // maxUseByOthers returns the most that all entries but vm may be using now.
-func (b *Book) maxUseByOthers(vm string) (rate float64, inFlight int) {
+func (b *Allocator) maxUseByOthers(vm string) (rate float64, inFlight int) {
 	for name, entry := range b.entries {
 		if name == vm {
 			continue
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -85,17 +85,17 @@
 		total := Limits{RatePerS: 100, InFlight: 50}
 		n := rapid.IntRange(1, 6).Draw(rt, "entries")
 		pool := Pool(total, 1)
-		book := NewBook(0)
+		book := NewAllocator(0)
 		held := make([]heldGrant, n)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 100).Draw(rt, "events") {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(rt, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 9).Draw(rt, "event") {
 			case 0: // the holder crashes; its successor waits until its grants expired
-				book = NewBook(now + ttl + margin)
+				book = NewAllocator(now + ttl + margin)
 			default:
 				i := rapid.IntRange(0, n-1).Draw(rt, "entry")
-				given := book.Grant(pool, Ask{
+				given := book.Grant(pool, Demand{
 					VM: fmt.Sprint(i), TTL: ttl + margin,
 					Want: Limits{RatePerS: rapid.Float64Range(0, 80).Draw(rt, "rate"), InFlight: rapid.IntRange(0, 40).Draw(rt, "inflight")},
 				}, now)
@@ -121,10 +121,10 @@
 // An unused share moves to an entry with demand within the TTL of a grant.
 func TestUnusedShareMoves(t *testing.T) {
 	is := is.New(t)
-	b := NewBook(0)
+	b := NewAllocator(0)
 	pool := Limits{RatePerS: 60}
 	ask := func(vm string, want float64, now time.Duration) float64 {
-		return b.Grant(pool, Ask{VM: vm, Want: Limits{RatePerS: want}, TTL: 3 * time.Second}, now).RatePerS
+		return b.Grant(pool, Demand{VM: vm, Want: Limits{RatePerS: want}, TTL: 3 * time.Second}, now).RatePerS
 	}
 	is.Equal(ask("a", 60, 0), 60.0)
 	is.Equal(ask("b", 60, time.Second), 0.0) // a may still use all of it
@@ -157,7 +157,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			is.New(t).Equal(Fits(c.own, c.total, 100, c.weight, 4), c.want)
+			is.New(t).Equal(HasCapacity(c.own, c.total, 100, c.weight, 4), c.want)
 		})
 	}
 }
--- a/internal/limit/replay_test.go
+++ b/internal/limit/replay_test.go
@@ -32,13 +32,13 @@
 type replayEntry struct {
 	loads []route.Load
 	read  []int // how many reports of each engine's history have arrived
-	pacer Pace
+	pacer Pacer
 	next  int // the engine of the last request
 }
 
 // admissionPolicy reports whether an entry admits a request that would wait for
 // wait seconds at its target and then take work seconds; paced tells whether the
-// entry's Pace admits it.
+// entry's Pacer admits it.
 type admissionPolicy func(wait, work float64, paced bool) bool
 
 // admitAll admits every request.
@@ -75,7 +75,7 @@
 		work := meanWork * (0.5 + rnd.Float64())
 		e.refresh(engines, now, age)
 		i := e.nextEngine()
-		wait := max(e.loads[i].Until()-now, 0)
+		wait := max(e.loads[i].BusyUntil()-now, 0)
 		_, paced := e.pacer.Admit(now, replayEngines, replayEntries, e.meanWait(), replayDeadline-work)
 		if !admit(wait, work, paced) {
 			continue
@@ -110,7 +110,7 @@
 func (e *replayEntry) meanWait() float64 {
 	sum := 0.0
 	for i := range e.loads {
-		sum += e.loads[i].Reported()
+		sum += e.loads[i].ReportedWait()
 	}
 	return sum / float64(len(e.loads))
 }
--- a/internal/limit/weight.go
+++ b/internal/limit/weight.go
@@ -4,12 +4,12 @@
 // on services are held to their weights.
 const fairShareThreshold = 0.8
 
-// Fits reports whether an entry that serves total requests, of at most limit,
+// HasCapacity reports whether an entry that serves total requests, of at most limit,
 // may admit one more request of a service, of which it serves own. Below
 // fairShareThreshold any service may use the rest. Above it a service is held to
 // its weighted part of the limit, so that a service that floods the entry does
 // not shut out the others.
-func Fits(own, total, limit int, weight, totalWeight float64) bool {
+func HasCapacity(own, total, limit int, weight, totalWeight float64) bool {
 	if total >= limit {
 		return false
 	}
--- a/internal/live/live_test.go
+++ b/internal/live/live_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	d.PerS = d.PerS[:1]
-	d.Until(until)
+	d.LimitLength(until)
 	return s, d
 }
 
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Until(until)
+	d.LimitLength(until)
 	return s, d
 }
 
--- a/internal/live/play.go
+++ b/internal/live/play.go
@@ -58,7 +58,7 @@
 	patience := max(minPatience, patienceObjectives*millis(class.AimMS), patienceGaps*millis(class.GapMS))
 	for try := 0; ; try++ {
 		sent := time.Since(began)
-		reply := h.callers.Ask(ctx, platformtest.LiveCall{
+		reply := h.callers.Do(ctx, platformtest.LiveCall{
 			Address: string(h.callerVM(q, try).cfg.Listen), ID: tryID(number, try, q.Output), Route: class.Name, Prompt: q.Prompt,
 			Bytes: q.Prompt.BodyBytes, Timeout: limit - sent, Patience: patience,
 		})
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -144,9 +144,9 @@
 	return nil
 }
 
-// Spread requests an urgent round, to propagate a change before the next regular round. It
+// RequestUrgentRound requests an urgent round, to propagate a change before the next regular round. It
 // does not block.
-func (g *Gossip) Spread() {
+func (g *Gossip) RequestUrgentRound() {
 	select {
 	case g.urgent <- struct{}{}:
 	default:
@@ -374,12 +374,12 @@
 		if it.GetKey() == gossip.PeerKey(g.self.VM) {
 			g.refuteSuspicion(it)
 		}
-		if g.store.IsState(it.GetKey()) {
+		if g.store.LastChangeIsState(it.GetKey()) {
 			stateChanged = true
 		}
 	}
 	if stateChanged {
-		g.Spread()
+		g.RequestUrgentRound()
 	}
 }
 
--- a/internal/member/gossip_test.go
+++ b/internal/member/gossip_test.go
@@ -141,7 +141,7 @@
 		t.Fatal(err)
 	}
 	s.store.Merge(items, "")
-	s.gossip.Spread()
+	s.gossip.RequestUrgentRound()
 }
 
 // tableVersion returns the version of the table that the steward holds.
@@ -334,7 +334,7 @@
 		list := store.VMListing{Revision: 1, VMs: []store.VM{{Name: "e1", DataCentre: "kakkanad", Kind: store.VMEngine, State: store.VMLive, Changed: 1}}}
 		stewards[0].store.Merge(stewards[0].store.VMItems(list), "")
 		stewards[0].store.Merge([]*api.Item{targetStatus(1, 10, false, 0)}, "")
-		stewards[0].gossip.Spread()
+		stewards[0].gossip.RequestUrgentRound()
 		time.Sleep(20 * interval)
 		usable := func() int {
 			n := 0
@@ -347,7 +347,7 @@
 		}
 		is.Equal(usable(), len(stewards))
 		stewards[1].store.Merge([]*api.Item{targetStatus(1, 20, true, 0)}, "")
-		stewards[1].gossip.Spread()
+		stewards[1].gossip.RequestUrgentRound()
 		start := time.Now()
 		for usable() > 0 {
 			time.Sleep(5 * time.Millisecond)
@@ -363,7 +363,7 @@
 		}
 		is.Equal(usable(), 0)
 		stewards[2].store.Merge([]*api.Item{targetStatus(2, 1, false, 0)}, "") // the target has restarted
-		stewards[2].gossip.Spread()
+		stewards[2].gossip.RequestUrgentRound()
 		time.Sleep(10 * interval)
 		is.Equal(usable(), len(stewards))
 	})
--- a/internal/model/jobs.go
+++ b/internal/model/jobs.go
@@ -124,12 +124,12 @@
 	sim.after(sim.hopDelay(p.attempt.dataCentre, e), func() {
 		if n == 1 {
 			p.firstEventAt = sim.now
-			p.decision.Ticket.First(epoch.Add(sim.now))
+			p.decision.Ticket.FirstEvent(epoch.Add(sim.now))
 		}
-		p.decision.Ticket.Events(1, epoch.Add(sim.now))
+		p.decision.Ticket.AddEvents(1, epoch.Add(sim.now))
 		if last {
-			p.decision.Ticket.Length(n)
-			p.decision.Ticket.Stream(n, sim.now-p.firstEventAt)
+			p.decision.Ticket.ObserveLength(n)
+			p.decision.Ticket.ObserveAnswer(n, sim.now-p.firstEventAt)
 			p.decision.Ticket.End(place.Good, epoch.Add(sim.now))
 		}
 		sim.after(millis(sim.site.Network.CallerMS), func() { sim.deliver(p.attempt, last) })
--- a/internal/model/live.go
+++ b/internal/model/live.go
@@ -148,9 +148,9 @@
 	return e.target.Stage, e.changing
 }
 
-// Order has an engine complete its work and change its stage. It calls then in a goroutine of
+// ChangeStage has an engine complete its work and change its stage. It calls then in a goroutine of
 // its own once the stage has changed.
-func (l *Live) Order(id string, stage fleet.Stage, then func()) {
+func (l *Live) ChangeStage(id string, stage fleet.Stage, then func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.catchUp()
--- a/internal/model/live_test.go
+++ b/internal/model/live_test.go
@@ -101,7 +101,7 @@
 	is := is.New(t)
 	l := newTestLive(t)
 	done := make(chan struct{})
-	l.Order("d", fleet.Prefill, func() { close(done) })
+	l.ChangeStage("d", fleet.Prefill, func() { close(done) })
 	is.True(l.Submit("d", liveJob(5)) == nil)
 	<-done
 	stage, changing := l.Stage("d")
--- a/internal/model/placed.go
+++ b/internal/model/placed.go
@@ -36,13 +36,13 @@
 	placers   []*place.Placer
 }
 
-// peerWork is one VM's view of the work of the other VMs. It implements place.Others.
+// peerWork is one VM's view of the work of the other VMs. It implements place.PeerWork.
 type peerWork struct{ work map[string]place.Work }
 
-// Work implements place.Others.
+// Work implements place.PeerWork.
 func (v *peerWork) Work(id string) place.Work { return v.work[id] }
 
-// Age implements place.Others. It returns the mean age of the reports.
+// Age implements place.PeerWork. It returns the mean age of the reports.
 func (*peerWork) Age() time.Duration { return reportInterval / 2 }
 
 // NewPlacerPolicy returns a policy that runs the product's own placer on each VM of the site.
@@ -79,7 +79,7 @@
 func (p *placerPolicy) Prefill(a *Attempt, now time.Duration) Decision {
 	placer, at := p.placers[a.VM], epoch.Add(now)
 	a.Prompt.Deferred = a.deferral != nil
-	c, ok := placer.Read(p.fleet.Targets(), p.spec, a.Prompt, a.Tried, at)
+	c, ok := placer.Prefill(p.fleet.Targets(), p.spec, a.Prompt, a.Tried, at)
 	if !ok {
 		return Decision{}
 	}
@@ -95,7 +95,7 @@
 	case place.Defer:
 		c.Ticket.End(place.Neutral, at)
 		if a.deferral == nil {
-			a.deferral = placer.Wait(p.fleet.Targets()[0].Service, c)
+			a.deferral = placer.AddDeferred(p.fleet.Targets()[0].Service, c)
 		}
 		return Decision{Deferred: true, After: recheckInterval}
 	}
@@ -183,9 +183,9 @@
 // Admit implements Admission.
 func (g *GatewayAdmission) Admit(a *Attempt, c place.Choice, now time.Duration) place.Verdict {
 	sizes, size := g.classify(a)
-	ruling := place.Judge(c, place.Asked{
+	ruling := place.Admit(c, place.AdmissionInput{
 		Objective: millis(a.Class.AimMS), Waited: now - a.Request.At,
-		Held: now - a.Arrived, Left: a.Deadline - now, Patience: max(a.Sent+patience-now, 1),
+		HeldFor: now - a.Arrived, TimeLeft: a.Deadline - now, Patience: max(a.Sent+patience-now, 1),
 		Favor: sizes.Favor(a.Class.Name, size),
 	})
 	if ruling.Verdict != place.Defer {
@@ -203,7 +203,7 @@
 	}
 	size, ok := g.classified[a]
 	if !ok {
-		size = sizes.Place(a.Class.Name, a.Prompt.Tokens, a.Prompt.Output)
+		size = sizes.Classify(a.Class.Name, a.Prompt.Tokens, a.Prompt.Output)
 		g.classified[a] = size
 	}
 	return sizes, size
--- a/internal/model/report.go
+++ b/internal/model/report.go
@@ -21,25 +21,25 @@
 	Site *Site
 	Day  *Day
 	Seed uint64
-	// Bound applies to any policy, and Fixed to policies that do not change stages.
-	Bound Bound
-	Fixed Bound
-	// Kept is the bound at a hit rate of BestHitRate for the shared tokens. It is an estimate,
+	// Bound applies to any policy, and FixedStagesBound to policies that do not change stages.
+	Bound            Bound
+	FixedStagesBound Bound
+	// HitRateBound is the bound at a hit rate of BestHitRate for the shared tokens. It is an estimate,
 	// since a better assignment of sessions to engines may exist.
-	Kept     Bound
-	BestHeld float64
-	Runs     []PolicyRun
+	HitRateBound Bound
+	BestHitRate  float64
+	Runs         []PolicyRun
 }
 
 // NewReport generates a day's requests and simulates the day under each named policy.
 func NewReport(s *Site, d *Day, seed uint64, policies []string) (*Report, error) {
 	requests := GenerateRequests(s, d, seed)
 	r := &Report{Site: s, Day: d, Seed: seed, Bound: NewBound(s, d, requests, AnyPolicy())}
-	r.Fixed = NewBound(s, d, requests, Assumptions{FixedStages: true, MissRate: -1})
+	r.FixedStagesBound = NewBound(s, d, requests, Assumptions{FixedStages: true, MissRate: -1})
 	// A bound on any policy also applies to those with fixed stages.
-	r.Fixed.Worth = min(r.Fixed.Worth, r.Bound.Worth)
-	r.BestHeld = BestHitRate(s, requests)
-	r.Kept = NewBound(s, d, requests, Assumptions{MissRate: 1 - r.BestHeld})
+	r.FixedStagesBound.Worth = min(r.FixedStagesBound.Worth, r.Bound.Worth)
+	r.BestHitRate = BestHitRate(s, requests)
+	r.HitRateBound = NewBound(s, d, requests, Assumptions{MissRate: 1 - r.BestHitRate})
 	for _, name := range policies {
 		build, err := BuilderByName(name)
 		if err != nil {
@@ -60,14 +60,14 @@
 func (r *Report) Write(out io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s, %s, seed %d\n\n", r.Site.Name, r.Day.Name, r.Seed)
-	fmt.Fprintf(&b, "Bound on the worth of any policy: %.3f of what is owed; %.3f where engines keep their stages.\n", r.Bound.Share(), r.Fixed.Share())
-	fmt.Fprintf(&b, "With %.3f of the shared tokens held, the most that a way to deal sessions to engines gave: %.3f.\n", r.BestHeld, r.Kept.Share())
+	fmt.Fprintf(&b, "Bound on the worth of any policy: %.3f of what is owed; %.3f where engines keep their stages.\n", r.Bound.Share(), r.FixedStagesBound.Share())
+	fmt.Fprintf(&b, "With %.3f of the shared tokens held, the most that a way to deal sessions to engines gave: %.3f.\n", r.BestHitRate, r.HitRateBound.Share())
 	fmt.Fprintf(&b, "A policy's own bound is with fixed stages and as many shared tokens held as under it.\n")
 	fmt.Fprintf(&b, "Worth counts from the first attempt, before prices; plain calls are taken as served in time.\n\n")
 	b.WriteString("| policy | worth | own bound | in time | late | refused | failed | turned away at first | shared tokens held | tokens read | GB moved |\n|---|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, run := range r.Runs {
 		t, reads := run.Result.Total(), run.Result.Tokens
-		fmt.Fprintf(&b, "| %s | %.3f | %.3f | %d | %d | %d | %d | %d | %.3f | %.1f M | %.0f |\n", run.Policy, ratio(t.Worth, t.Owed), run.Bound.Share(),
+		fmt.Fprintf(&b, "| %s | %.3f | %.3f | %d | %d | %d | %d | %d | %.3f | %.1f M | %.0f |\n", run.Policy, ratio(t.Worth, t.OfferedWorth), run.Bound.Share(),
 			t.InTime, t.Late, t.Refused, t.Failed, t.FirstRefused, reads.hitRate(),
 			float64(reads.Prefilled)/million, float64(reads.Moved)*r.Site.Engine.KVTokenBytes/billion)
 	}
@@ -85,7 +85,7 @@
 	}
 	b.WriteString("\n## Engine time asked for and there, by second\n\n| second | least | with nothing held | there | there with fixed stages |\n|---|---|---|---|---|\n")
 	for i, c := range r.Bound.Seconds {
-		fmt.Fprintf(&b, "| %d | %.1f | %.1f | %.1f | %.1f |\n", i, c.Min, c.Cold, r.Bound.Capacity, r.Fixed.Capacity)
+		fmt.Fprintf(&b, "| %d | %.1f | %.1f | %.1f | %.1f |\n", i, c.Min, c.Cold, r.Bound.Capacity, r.FixedStagesBound.Capacity)
 	}
 	_, err := io.WriteString(out, b.String())
 	return errors.Wrap(err, "write report")
@@ -99,7 +99,7 @@
 
 // writeCount writes one row of a class's table.
 func writeCount(b *strings.Builder, policy, size string, c Count) {
-	fmt.Fprintf(b, "| %s | %s | %d | %.3f | %d | %d | %d | %d | %d |\n", policy, size, c.Offered, ratio(c.Worth, c.Owed),
+	fmt.Fprintf(b, "| %s | %s | %d | %.3f | %d | %d | %d | %d | %d |\n", policy, size, c.Offered, ratio(c.Worth, c.OfferedWorth),
 		c.InTime, c.Late, c.Refused, c.Failed, c.FirstRefused)
 }
 
--- a/internal/model/result.go
+++ b/internal/model/result.go
@@ -29,9 +29,9 @@
 	// FirstRefused counts first attempts that were refused. Refused counts requests whose
 	// final outcome is a refusal; most of them were refused twice.
 	FirstRefused int
-	// Owed is the worth of all requests if served in time, and Worth what they earned.
-	Owed  float64
-	Worth float64
+	// OfferedWorth is the worth of all requests if served in time, and Worth what they earned.
+	OfferedWorth float64
+	Worth        float64
 }
 
 // Settled returns the number of requests whose outcome is known.
@@ -69,7 +69,7 @@
 
 // recordOffered records a request at its first attempt.
 func (r *Result) recordOffered(q *Request) {
-	r.update(q, func(c *Count) { c.Offered++; c.Owed += q.Worth })
+	r.update(q, func(c *Count) { c.Offered++; c.OfferedWorth += q.Worth })
 }
 
 // recordPlain records a request to another service, which is not simulated.
@@ -121,7 +121,7 @@
 		t.Refused += c.Refused
 		t.Failed += c.Failed
 		t.FirstRefused += c.FirstRefused
-		t.Owed += c.Owed
+		t.OfferedWorth += c.OfferedWorth
 		t.Worth += c.Worth
 	}
 	return t
--- a/internal/model/scale.go
+++ b/internal/model/scale.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// Until limits the day to a length in seconds, if seconds is positive.
-func (d *Day) Until(seconds float64) {
+// LimitLength limits the day to a length in seconds, if seconds is positive.
+func (d *Day) LimitLength(seconds float64) {
 	if seconds > 0 {
 		d.LengthS = min(d.LengthS, seconds)
 	}
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -213,7 +213,7 @@
 	sim.attempts = append(sim.attempts, a)
 	sim.after(millis(sim.site.Network.CallerMS), func() {
 		a.Arrived = sim.now
-		a.Prompt.Limit, a.Prompt.FullLimit = a.Deadline-sim.now, millis(c.DeadlineMS)
+		a.Prompt.Limit, a.Prompt.InitialLimit = a.Deadline-sim.now, millis(c.DeadlineMS)
 		sim.place(a)
 	})
 }
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -44,18 +44,18 @@
 		if g.Err != nil {
 			return nil, g.Err
 		}
-		return a.Cloud(client, cfg.Cloud), nil
+		return a.NewCloud(client, cfg.Cloud), nil
 	})
 	k.Register(ModuleDutyHolder, func(k *kernel.Kernel) (any, error) {
 		g := &kernel.Getter{Kernel: k}
 		group := kernel.Need[*peers.Peers](g, ModulePeers)
-		h := duty.New(duty.Config{VM: cfg.VM, Gap: cfg.LeaseGap.D()}, kernel.Need[Store](g, ModuleStore), clock.Boot,
+		h := duty.New(duty.Config{VM: cfg.VM, HandoverGap: cfg.LeaseGap.D()}, kernel.Need[Store](g, ModuleStore), clock.Boot,
 			uint64(time.Now().UnixNano()), kernel.Need[*telemetry.Logger](g, ModuleLog))
 		if g.Err != nil {
 			return nil, g.Err
 		}
 		h.SetGroup(group)
-		group.SetDuty(h.Fence)
+		group.SetDutyFence(h.Fence)
 		return h, nil
 	})
 	k.Register(ModuleScaling, func(k *kernel.Kernel) (any, error) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,16 +74,16 @@
 
 // Adapter supplies everything that depends on the platform: clients, protocols and names.
 type Adapter struct {
-	// Store returns a client of the store.
-	Store func(cfg settings.Platform) Store
+	// NewStore returns a client of the store.
+	NewStore func(cfg settings.Platform) Store
 	// Protocol is the HTTP protocol that the gateway speaks with callers and targets.
 	Protocol gateway.Protocol
 	// Decoder decodes the rows of the configuration table and the targets table.
 	Decoder watch.Decoder
-	// Engines returns a client that reads engines' reports and sends them orders.
-	Engines func(c *httpsend.Client) stages.Engines
-	// Cloud returns a client for the calls that one VM at a time makes on behalf of all.
-	Cloud func(c *httpsend.Client, cfg settings.Cloud) Cloud
+	// NewEngineClient returns a client that reads engines' reports and sends them orders.
+	NewEngineClient func(c *httpsend.Client) stages.EngineClient
+	// NewCloud returns a client for the calls that one VM at a time makes on behalf of all.
+	NewCloud func(c *httpsend.Client, cfg settings.Cloud) Cloud
 	// ReadyPath is the path of the load balancer's health check.
 	ReadyPath string
 	// ConfigTable is the name of the store's table that holds the configuration.
@@ -124,7 +124,7 @@
 	})
 	k.Register(ModuleStore, func(k *kernel.Kernel) (any, error) {
 		log, err := kernel.Get[*telemetry.Logger](k, ModuleLog)
-		return loggedStore{Store: a.Store(cfg.Store), log: log}, err
+		return loggedStore{Store: a.NewStore(cfg.Store), log: log}, err
 	})
 	k.Register(ModuleFleetKeeper, func(*kernel.Kernel) (any, error) { return fleet.NewKeeper(), nil })
 	k.Register(ModuleStoreLink, func(k *kernel.Kernel) (any, error) {
@@ -140,7 +140,7 @@
 	registerTables(k, a)
 	k.Register(ModuleFreshness, func(k *kernel.Kernel) (any, error) {
 		g := &kernel.Getter{Kernel: k}
-		freshness := watch.NewKnowledge(kernel.Need[*watch.Table](g, ModuleConfigTable), cfg.ConfigBound.D())
+		freshness := watch.NewFreshness(kernel.Need[*watch.Table](g, ModuleConfigTable), cfg.ConfigBound.D())
 		freshness.SetRevokeBound(cfg.RevokeBound.D())
 		return freshness, g.Err
 	})
@@ -175,7 +175,7 @@
 		return gateway.NewReadyServer(string(cfg.ReadyListen), a.ReadyPath), nil
 	})
 	k.Register(ModuleHTTPClient, func(*kernel.Kernel) (any, error) {
-		return httpsend.New(httpsend.Config{DialTimeout: targetDialTimeout, MaxIdle: targetMaxIdle, UnackedTimeout: targetUnackedTimeout}), nil
+		return httpsend.New(httpsend.Config{DialTimeout: targetDialTimeout, MaxIdleTime: targetMaxIdle, UnackedTimeout: targetUnackedTimeout}), nil
 	})
 	k.Register(ModuleStages, func(k *kernel.Kernel) (any, error) { return provideStages(k, cfg, a) })
 	registerDuties(k, cfg, a)
@@ -205,7 +205,7 @@
 	}
 	register(ModuleConfigTable, a.ConfigTable, func(g *kernel.Getter) watch.Apply {
 		return kernel.Need[*watch.Fleet](g, ModuleFleet).ApplyConfig
-	}, (*watch.Table).SetWhole)
+	}, (*watch.Table).SetListOnPoll)
 	register(ModuleTargetsTable, a.TargetsTable, func(g *kernel.Getter) watch.Apply {
 		return kernel.Need[*watch.Fleet](g, ModuleFleet).ApplyTargets
 	})
@@ -234,10 +234,10 @@
 	group.SetPlacer(placer)
 	group.SetOrders(controller)
 	keeper := kernel.Need[*fleet.Keeper](g, ModuleFleetKeeper)
-	controller.SetDemand(func(targets []*fleet.Target) float64 { return decodeDemand(placer, keeper.View(), targets) })
-	controller.SetPressed(func(targets []*fleet.Target) bool { return prefillOverloaded(placer, keeper.View(), targets) })
-	controller.SetCandidate(func() bool { return !group.PassesOn() || group.Sentinel() })
-	controller.SetView(placer.Streams, func(engine string) bool {
+	controller.SetDecodeDemand(func(targets []*fleet.Target) float64 { return decodeDemand(placer, keeper.View(), targets) })
+	controller.SetPrefillBacklog(func(targets []*fleet.Target) bool { return prefillOverloaded(placer, keeper.View(), targets) })
+	controller.SetCandidate(func() bool { return !group.ForwardsChanges() || group.Sentinel() })
+	controller.SetEngineState(placer.Streams, func(engine string) bool {
 		_, changing := group.Changing(engine)
 		return changing
 	})
@@ -255,7 +255,7 @@
 	if s == nil || s.Engine == nil {
 		return 0
 	}
-	return p.Decoding(targets, s.Engine, time.Now())
+	return p.DecodeLoad(targets, s.Engine, time.Now())
 }
 
 // prefillOverloaded reports whether prompts wait longer for the prefill engines of a service
@@ -265,18 +265,18 @@
 		return false
 	}
 	s := v.Config.Services[targets[0].Service]
-	return s != nil && s.Engine != nil && s.Engine.Objective > 0 && p.Pressed(targets, s.Engine.Objective)
+	return s != nil && s.Engine != nil && s.Engine.Objective > 0 && p.PrefillOverloaded(targets, s.Engine.Objective)
 }
 
 // provideStages returns the controller of the engines' stages.
 func provideStages(k *kernel.Kernel, cfg *settings.Node, a Adapter) (any, error) {
 	g := &kernel.Getter{Kernel: k}
-	sc := stages.Config{VM: cfg.VM, Share: cfg.PrefillShare, Gap: cfg.LeaseGap.D()}
+	sc := stages.Config{VM: cfg.VM, PrefillShare: cfg.PrefillShare, HandoverGap: cfg.LeaseGap.D()}
 	client := kernel.Need[*httpsend.Client](g, ModuleHTTPClient)
 	if g.Err != nil {
 		return nil, g.Err
 	}
-	c := stages.New(sc, kernel.Need[*fleet.Keeper](g, ModuleFleetKeeper), kernel.Need[Store](g, ModuleStore), a.Engines(client),
+	c := stages.New(sc, kernel.Need[*fleet.Keeper](g, ModuleFleetKeeper), kernel.Need[Store](g, ModuleStore), a.NewEngineClient(client),
 		clock.Boot, uint64(time.Now().UnixNano()), kernel.Need[*telemetry.Logger](g, ModuleLog))
 	return c, g.Err
 }
@@ -298,10 +298,10 @@
 	if err != nil {
 		return nil, err
 	}
-	gw := gateway.New(gateway.Parts{
+	gw := gateway.New(gateway.Options{
 		Listen: string(cfg.Listen), Descriptors: descriptors, Keeper: kernel.Need[*fleet.Keeper](g, ModuleFleetKeeper),
 		Placer: kernel.Need[*place.Placer](g, ModulePlacer), Protocol: a.Protocol, Group: group,
-		Known: kernel.Need[*watch.Knowledge](g, ModuleFreshness), Client: client,
+		Freshness: kernel.Need[*watch.Freshness](g, ModuleFreshness), Client: client,
 		Usage:      kernel.Need[*usage.Counter](g, ModuleUsageCounter),
 		FirstStart: cfg.FirstStart, Quarantine: kernel.Need[*quarantine.Keeper](g, ModuleQuarantine),
 		Log: kernel.Need[*telemetry.Logger](g, ModuleLog), Stats: kernel.Need[*gateway.Stats](g, ModuleStats),
--- a/internal/once/claim.go
+++ b/internal/once/claim.go
@@ -246,9 +246,9 @@
 	return err
 }
 
-// Keep stores the answer of the call. After an error, a repeated call is told that
+// StoreAnswer stores the answer of the call. After an error, a repeated call is told that
 // the call may have run.
-func (c *Claim) Keep(ctx context.Context, a Answer) error {
+func (c *Claim) StoreAnswer(ctx context.Context, a Answer) error {
 	next := claim{State: stateDone, Answer: &a}
 	if len(a.Body) > maxInlineAnswer {
 		data, err := json.Marshal(a)
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -46,10 +46,10 @@
 
 		_, _, err = b.Acquire(t.Context(), call("t2", "x"))
 		is.True(errkind.Is(err, errkind.CallInProgress))
-		is.Equal(errkind.From(err).Answer().Outcome, errkind.MayHaveRun)
+		is.Equal(errkind.From(err).Response().Outcome, errkind.MayHaveRun)
 
 		body := []byte(strings.Repeat("y", size))
-		is.NoErr(claim.Keep(t.Context(), Answer{Status: 201, Header: http.Header{"A": {"b"}}, Body: body}))
+		is.NoErr(claim.StoreAnswer(t.Context(), Answer{Status: 201, Header: http.Header{"A": {"b"}}, Body: body}))
 		claim, answer, err = b.Acquire(t.Context(), call("t3", "x"))
 		is.NoErr(err)
 		is.True(claim == nil)
@@ -108,7 +108,7 @@
 			is.Equal(claim != nil, c.claimed)
 			if !c.claimed {
 				is.True(errkind.Is(err, errkind.PlatformDown))
-				a := errkind.From(err).Answer()
+				a := errkind.From(err).Response()
 				is.Equal(a.Outcome, errkind.NotRun) // nothing was sent
 				is.True(a.RetryAfter > 0)
 			}
@@ -132,11 +132,11 @@
 	claim, _, err := s.Acquire(t.Context(), call("t1", "x"))
 	is.NoErr(err)
 	p.SetFault(store.FaultDown)
-	is.True(claim.Keep(t.Context(), Answer{Status: 200}) != nil)
+	is.True(claim.StoreAnswer(t.Context(), Answer{Status: 200}) != nil)
 	p.SetFault(store.FaultNone)
 	_, _, err = s.Acquire(t.Context(), call("t2", "x"))
 	is.True(err != nil)
-	is.Equal(errkind.From(err).Answer().Outcome, errkind.MayHaveRun)
+	is.Equal(errkind.From(err).Response().Outcome, errkind.MayHaveRun)
 }
 
 // A key has only one claim even if the clocks of two entries are on different
@@ -152,7 +152,7 @@
 		is.NoErr(err)
 		_, _, err = b.Acquire(t.Context(), call("t2", "x"))
 		is.True(errkind.Is(err, errkind.CallInProgress))
-		is.NoErr(claim.Keep(t.Context(), Answer{Status: 200}))
+		is.NoErr(claim.StoreAnswer(t.Context(), Answer{Status: 200}))
 		_, answer, err := b.Acquire(t.Context(), call("t3", "x"))
 		is.NoErr(err)
 		is.True(answer != nil)
@@ -215,7 +215,7 @@
 	claim, _, err := s.Acquire(t.Context(), call("t1", "x"))
 	is.NoErr(err)
 	is.True(claim != nil) // the delayed write was this request's own
-	is.NoErr(claim.Keep(t.Context(), Answer{Status: 200}))
+	is.NoErr(claim.StoreAnswer(t.Context(), Answer{Status: 200}))
 }
 
 // claimOp is an operation on one key: storing the answer if storeAnswer is set, else
@@ -277,7 +277,7 @@
 						continue
 					}
 					from = time.Since(start)
-					if err := claim.Keep(t.Context(), Answer{Status: 200}); err != nil && !errors.Is(err, store.ErrUnknown) {
+					if err := claim.StoreAnswer(t.Context(), Answer{Status: 200}); err != nil && !errors.Is(err, store.ErrUnknown) {
 						t.Error(err)
 						return
 					}
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -124,13 +124,13 @@
 }
 
 // wantVersion returns the content of an order that differs only in its version.
-func wantVersion(version string) target.Want {
-	return target.Want{Role: target.RoleBoth, Model: "m", Version: version}
+func wantVersion(version string) target.DesiredState {
+	return target.DesiredState{Role: target.RoleBoth, Model: "m", Version: version}
 }
 
 // give issues an order for a version to the engine.
 func (s *steward) give(fencing table.Fencing, version string) error {
-	return s.sender.Give(context.Background(), "e1", "addr", fencing, wantVersion(version))
+	return s.sender.Issue(context.Background(), "e1", "addr", fencing, wantVersion(version))
 }
 
 // complete takes the engine's order one step further and reports whether it is done.
@@ -287,7 +287,7 @@
 	is.NoErr(other.Step(context.Background(), true))
 	sender := NewSender(NewJournal(env.platform, "kakkanad", "judge"), other, env.engine, env.clock, readTimeout)
 	ctx := context.Background()
-	is.NoErr(sender.Give(ctx, "e1", "addr", table.FencingChecked, wantVersion("judge")))
+	is.NoErr(sender.Issue(ctx, "e1", "addr", table.FencingChecked, wantVersion("judge")))
 	_, err := sender.Complete(ctx, "e1", "addr")
 	is.NoErr(err)
 	is.True(errors.Is(a.give(table.FencingChecked, "hints"), ErrFenceBehind))
--- a/internal/order/sender.go
+++ b/internal/order/sender.go
@@ -123,7 +123,7 @@
 
 // LastWant returns what the last order in the journal told the engine, and whether
 // there is one.
-func (s *Sender) LastWant(engine string) (target.Want, bool) {
+func (s *Sender) LastWant(engine string) (target.DesiredState, bool) {
 	e, ok := s.entries[engine]
 	return e.Order.Want, ok
 }
@@ -166,10 +166,10 @@
 	return s.send(ctx, t, e, address)
 }
 
-// Give writes a new order to the journal and sends it. The engine must be
+// Issue writes a new order to the journal and sends it. The engine must be
 // drained. The error is ErrUnfinished, ErrFenceBehind, or, for an engine that
 // ignores fencing numbers, ErrTooEarly while an earlier order can still arrive.
-func (s *Sender) Give(ctx context.Context, engine, address string, fencing table.Fencing, want target.Want) error {
+func (s *Sender) Issue(ctx context.Context, engine, address string, fencing table.Fencing, want target.DesiredState) error {
 	t, err := s.Begin(ctx)
 	if err != nil {
 		return err
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -102,7 +102,7 @@
 	var readTimes []time.Time
 	for _, f := range p.followed {
 		readTimes = append(readTimes, f.ReadAt())
-		r.StoreTimesMS = append(r.StoreTimesMS, uint64(f.ReadClock().Milliseconds()))
+		r.StoreTimesMS = append(r.StoreTimesMS, uint64(f.ReadStoreTime().Milliseconds()))
 		r.Newest = append(r.Newest, f.Newest())
 	}
 	r.AgesMS = agesMS(readTimes, clock.Now())
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -32,7 +32,7 @@
 
 // registerRetry spreads retries over time. Without it, a store that rejects calls because of
 // their number would receive just as many again.
-var registerRetry = kernel.Retrying{First: 300 * time.Millisecond, Most: 3 * time.Second,
+var registerRetry = kernel.RetryPolicy{InitialWait: 300 * time.Millisecond, MaxWait: 3 * time.Second,
 	Timeout: 2 * time.Second}
 
 // registerLoop registers this VM in the store and then lists the members periodically.
@@ -41,7 +41,7 @@
 	close(p.joined)
 	p.sendHello()
 	kernel.Sleep(ctx, firstListDelay)
-	if !p.PassesOn() {
+	if !p.ForwardsChanges() {
 		p.relist(ctx)
 	}
 	for ctx.Err() == nil {
@@ -56,18 +56,18 @@
 	if p.firstStart {
 		kernel.Sleep(ctx, rand.N(registerSpread))
 	} else {
-		kernel.Until(ctx, registerRetry, p.listMembers)
+		kernel.RetryUntilDone(ctx, registerRetry, p.listMembers)
 		if p.registered() {
 			return
 		}
 	}
-	kernel.Until(ctx, registerRetry, p.writeRecord)
-	kernel.Until(ctx, registerRetry, p.listMembers)
+	kernel.RetryUntilDone(ctx, registerRetry, p.writeRecord)
+	kernel.RetryUntilDone(ctx, registerRetry, p.listMembers)
 }
 
 // relist lists the members and announces this VM to them.
 func (p *Peers) relist(ctx context.Context) {
-	kernel.Until(ctx, registerRetry, p.listMembers)
+	kernel.RetryUntilDone(ctx, registerRetry, p.listMembers)
 	p.sendHello()
 }
 
--- a/internal/peers/news.go
+++ b/internal/peers/news.go
@@ -18,13 +18,13 @@
 	forwardMinVMs = 12
 )
 
-// PassesOn returns whether the sentinels of the group forward the changes that they read.
-func (p *Peers) PassesOn() bool { return p.Size() >= forwardMinVMs }
+// ForwardsChanges returns whether the sentinels of the group forward the changes that they read.
+func (p *Peers) ForwardsChanges() bool { return p.Size() >= forwardMinVMs }
 
 // Publish sends changes of a followed table to the VMs of this data centre, if this VM is a
 // sentinel of a group that forwards changes.
 func (p *Peers) Publish(table string, d store.Delta) {
-	if !p.PassesOn() || !p.Sentinel() {
+	if !p.ForwardsChanges() || !p.Sentinel() {
 		return
 	}
 	for i, f := range p.followed {
@@ -47,7 +47,7 @@
 	newest, asOf := r.Newest, r.readTimes(clock.Now())
 	for i, f := range p.followed {
 		if i < min(len(newest), len(asOf)) {
-			f.Heard(newest[i], asOf[i], r.storeTime(i))
+			f.ObservePeer(newest[i], asOf[i], r.storeTime(i))
 		}
 		if i >= len(newest) || newest[i] <= f.Newest() || !p.startGrace(i) {
 			continue
@@ -56,7 +56,7 @@
 		time.AfterFunc(changeGrace, func() {
 			p.endGrace(i)
 			if f.Newest() < version {
-				f.Newer(version)
+				f.NotifyNewer(version)
 			}
 		})
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -65,13 +65,13 @@
 	// store's answers to this VM. It must be called before Newest, so that the version returned
 	// by Newest covers that time.
 	ReadAt() time.Time
-	// ReadClock returns ReadAt on the store's clock; 0 means unknown.
-	ReadClock() time.Duration
-	// Heard records that another VM's copy, whose highest row version is version, held all rows
+	// ReadStoreTime returns ReadAt on the store's clock; 0 means unknown.
+	ReadStoreTime() time.Duration
+	// ObservePeer records that another VM's copy, whose highest row version is version, held all rows
 	// of the store at asOf, and when the store's clock read storeTime.
-	Heard(version uint64, asOf time.Time, storeTime time.Duration)
-	// Newer reports that other VMs have read a row of the given version.
-	Newer(version uint64)
+	ObservePeer(version uint64, asOf time.Time, storeTime time.Duration)
+	// NotifyNewer reports that other VMs have read a row of the given version.
+	NotifyNewer(version uint64)
 	// Offer hands over changes that another VM has read.
 	Offer(store.Delta)
 }
@@ -262,7 +262,7 @@
 	return n
 }
 
-// Age implements place.Others. It returns the estimated average age of the other VMs' work.
+// Age implements place.PeerWork. It returns the estimated average age of the other VMs' work.
 func (p *Peers) Age() time.Duration { return time.Duration(p.age.Load()) }
 
 // updateAge estimates the average age of the other VMs' work. It is half of the report interval,
@@ -295,7 +295,7 @@
 	return max(minReportInterval, time.Duration(p.localVMs())*reportIntervalPerVM)
 }
 
-// Work implements place.Others. It returns the total work that the other VMs last reported for a
+// Work implements place.PeerWork. It returns the total work that the other VMs last reported for a
 // target.
 func (p *Peers) Work(target string) place.Work {
 	p.mu.Lock()
@@ -336,4 +336,4 @@
 	}
 }
 
-var _ place.Others = (*Peers)(nil)
+var _ place.PeerWork = (*Peers)(nil)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -86,9 +86,9 @@
 	f.readAt = at
 }
 
-func (f *followed) ReadClock() time.Duration { return 0 }
+func (f *followed) ReadStoreTime() time.Duration { return 0 }
 
-func (f *followed) Heard(version uint64, asOf time.Time, _ time.Duration) {
+func (f *followed) ObservePeer(version uint64, asOf time.Time, _ time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.heard == nil {
@@ -106,9 +106,9 @@
 	return f.heard[version]
 }
 
-func (f *followed) Name() string   { return "t" }
-func (f *followed) Newest() uint64 { return f.newest.Load() }
-func (f *followed) Newer(uint64)   { f.newerCalls.Add(1) }
+func (f *followed) Name() string       { return "t" }
+func (f *followed) Newest() uint64     { return f.newest.Load() }
+func (f *followed) NotifyNewer(uint64) { f.newerCalls.Add(1) }
 
 func (f *followed) Offer(d store.Delta) {
 	f.offers.Add(1)
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -122,7 +122,7 @@
 	eventually(t, "two of five are sentinels", func() bool {
 		n := 0
 		for _, v := range vms {
-			if v.peers.Sentinel() && v.peers.PassesOn() {
+			if v.peers.Sentinel() && v.peers.ForwardsChanges() {
 				n++
 			}
 		}
@@ -146,7 +146,7 @@
 	b := startIn(t, "a", "b", 10, table, nil)
 	defer b.stop(t)
 	eventually(t, "both are counted", func() bool { return a.peers.Size() == 2 && b.peers.Size() == 2 })
-	is.True(!a.peers.PassesOn())
+	is.True(!a.peers.ForwardsChanges())
 	a.peers.Publish("t", store.Delta{Rows: store.Rows{Revision: 1}})
 	time.Sleep(50 * time.Millisecond)
 	is.Equal(b.followed.offers.Load(), int64(0))
--- a/internal/peers/report.go
+++ b/internal/peers/report.go
@@ -138,7 +138,7 @@
 	out := make([]use, 0, len(uses))
 	for _, u := range uses {
 		out = append(out, use{Target: u.Target, Parts: u.Parts, Missing: u.Missing,
-			Failed: u.Failed, Reads: u.Reads, Origin: origin})
+			Failed: u.Failed, Reads: u.Prefills, Origin: origin})
 	}
 	return out
 }
@@ -160,7 +160,7 @@
 			continue
 		}
 		out = append(out, place.Use{Target: u.Target, Parts: u.Parts, Missing: u.Missing,
-			Failed: u.Failed, Reads: u.Reads})
+			Failed: u.Failed, Prefills: u.Reads})
 	}
 	return out
 }
@@ -190,8 +190,8 @@
 
 func encodeDelta(index int, d store.Delta) *tableDelta {
 	n := &tableDelta{TableIndex: index, From: d.From, To: d.Rows.Revision, SinceBackMS: -1}
-	if d.WasAway {
-		n.SinceBackMS = d.SinceBack.Milliseconds()
+	if d.AfterOutage {
+		n.SinceBackMS = d.SinceRecovery.Milliseconds()
 	}
 	for _, r := range d.Rows.Rows {
 		n.Rows = append(n.Rows, deltaRow{Key: r.Key, Value: r.Value, Version: r.Version,
@@ -203,7 +203,7 @@
 func (n *tableDelta) decode() store.Delta {
 	d := store.Delta{From: n.From, Rows: store.Rows{Revision: n.To}}
 	if n.SinceBackMS >= 0 {
-		d.WasAway, d.SinceBack = true, time.Duration(n.SinceBackMS)*time.Millisecond
+		d.AfterOutage, d.SinceRecovery = true, time.Duration(n.SinceBackMS)*time.Millisecond
 	}
 	for _, r := range n.Rows {
 		d.Rows.Rows = append(d.Rows.Rows, store.Row{Key: r.Key, Value: r.Value, Version: r.Version,
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -131,7 +131,7 @@
 func encodeSuspects(snapshots []quarantine.Snapshot) []suspectEntry {
 	out := make([]suspectEntry, 0, len(snapshots))
 	for _, s := range snapshots {
-		o := suspectEntry{Source: s.Source, Key: s.ID.Key, Fingerprint: s.ID.Print[:],
+		o := suspectEntry{Source: s.Source, Key: s.ID.Key, Fingerprint: s.ID.Fingerprint[:],
 			Crashes: make([]suspectCrash, 0, len(s.Crashes))}
 		for _, c := range s.Crashes {
 			o.Crashes = append(o.Crashes, suspectCrash{RunHash: c.RunHash,
@@ -147,7 +147,7 @@
 	out := make([]quarantine.Snapshot, 0, len(m.Entries))
 	for _, in := range m.Entries {
 		o := quarantine.Snapshot{ID: quarantine.ID{Key: in.Key}, Source: in.Source}
-		if copy(o.ID.Print[:], in.Fingerprint) != len(o.ID.Print) {
+		if copy(o.ID.Fingerprint[:], in.Fingerprint) != len(o.ID.Fingerprint) {
 			continue
 		}
 		for _, c := range in.Crashes {
--- a/internal/peers/suspects_test.go
+++ b/internal/peers/suspects_test.go
@@ -53,7 +53,7 @@
 }
 
 func (v *suspectVM) quarantines(r quarantine.Request) bool {
-	return v.known.Judge(&r, time.Now()).Quarantined(time.Now(), false)
+	return v.known.Verdict(&r, time.Now()).Quarantined(time.Now(), false)
 }
 
 // A suspect whose crashes were seen by different VMs reaches all VMs of all data centres. It also
@@ -72,7 +72,7 @@
 	deadly := quarantine.Request{Account: "a", Method: "POST", URI: "/x", Body: []byte("deadly")}
 	for i := range 3 {
 		now := time.Now()
-		vms[i].known.Ended(&deadly, quarantine.End{Run: fmt.Sprint("run", i),
+		vms[i].known.RecordCrash(&deadly, quarantine.Crash{Run: fmt.Sprint("run", i),
 			Began: now.Add(-10 * time.Millisecond), At: now})
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -101,7 +101,7 @@
 	is.True(time.Since(began) < spreadBound)
 
 	// A successful run at any VM clears it everywhere.
-	is.True(vms[8].known.Served(&deadly))
+	is.True(vms[8].known.RecordSuccess(&deadly))
 	began = time.Now()
 	for i, v := range vms {
 		eventually(t, fmt.Sprint("vm", i, " clears the suspect"),
--- a/internal/peers/usage.go
+++ b/internal/peers/usage.go
@@ -12,15 +12,15 @@
 type Usage interface {
 	// Answer returns this VM's counts, and Hear takes in those of another VM.
 	Answer(q usage.Question) usage.Answer
-	Hear(vm string, a usage.Answer)
+	HandleAnswer(vm string, a usage.Answer)
 }
 
 // SetUsage sets the counts to exchange. It must be called before Start.
 func (p *Peers) SetUsage(u Usage) { p.usage = u }
 
-// SetDuty sets the function that returns this VM's fence while it holds the duties, and 0
+// SetDutyFence sets the function that returns this VM's fence while it holds the duties, and 0
 // otherwise. It must be called before Start.
-func (p *Peers) SetDuty(fence func() uint64) { p.dutyFence = fence }
+func (p *Peers) SetDutyFence(fence func() uint64) { p.dutyFence = fence }
 
 // usageQuestion is the wire form of usage.Question.
 type usageQuestion struct {
@@ -104,7 +104,7 @@
 		a.Counts = append(a.Counts, usage.Count{Window: usage.Window(c.Window), Account: c.Account,
 			Runs: c.Runs})
 	}
-	p.usage.Hear(in.From, a)
+	p.usage.HandleAnswer(in.From, a)
 }
 
 // Candidate implements duty.Group. In a large group only the sentinels compete for the duties,
@@ -115,12 +115,12 @@
 	default:
 		return false
 	}
-	return !p.PassesOn() || p.Sentinel()
+	return !p.ForwardsChanges() || p.Sentinel()
 }
 
-// HolderHeard implements duty.Group. It returns whether a recent report says that another VM
+// OtherHolderKnown implements duty.Group. It returns whether a recent report says that another VM
 // holds the duties.
-func (p *Peers) HolderHeard() bool {
+func (p *Peers) OtherHolderKnown() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, all := range []map[string]*receivedReport{p.vmReports, p.dataCentreReports} {
--- a/internal/place/admit.go
+++ b/internal/place/admit.go
@@ -34,8 +34,8 @@
 	QueueFull Reason = "queue_full"
 )
 
-// Ruling is a verdict and, unless the request is sent, the reason for it.
-type Ruling struct {
+// Decision is a verdict and, unless the request is sent, the reason for it.
+type Decision struct {
 	Verdict Verdict
 	Reason  Reason
 }
@@ -62,24 +62,24 @@
 	deferShare = 0.5
 )
 
-// Asked holds the inputs of an admission decision for one request.
-type Asked struct {
+// AdmissionInput holds the inputs of an admission decision for one request.
+type AdmissionInput struct {
 	// Objective is the route's time to the first event, and Waited the time since the caller's
 	// first try.
 	Objective time.Duration
 	Waited    time.Duration
-	// Left is the time that the caller still allows for the whole answer, and Patience for its
+	// TimeLeft is the time that the caller still allows for the whole answer, and Patience for its
 	// first event. A Patience of 0 means no such limit.
-	Left     time.Duration
+	TimeLeft time.Duration
 	Patience time.Duration
-	// Held is how long this VM has had the request.
-	Held time.Duration
-	// Deferred is the time that the requests deferred earlier will take all engines together.
-	Deferred time.Duration
-	// Queue is the prefill time of the requests deferred on all VMs, including this one, or 0 if
+	// HeldFor is how long this VM has had the request.
+	HeldFor time.Duration
+	// QueueTime is the time that the requests deferred earlier will take all engines together.
+	QueueTime time.Duration
+	// QueuedPrefill is the prefill time of the requests deferred on all VMs, including this one, or 0 if
 	// this one has not been deferred. Look is the time between two checks of a deferred request.
-	Queue time.Duration
-	Look  time.Duration
+	QueuedPrefill time.Duration
+	CheckInterval time.Duration
 	// Favor is the part of the request's own prefill time that is not counted, from 0 to 1. It
 	// favors prompt sizes that are admitted less often than others.
 	Favor float64
@@ -89,11 +89,11 @@
 
 // timeLeft returns how soon the answer must begin to be of use. The duration of the answer is not
 // considered, as callers' estimates of its length are often several times off.
-func (a Asked) timeLeft() time.Duration {
+func (a AdmissionInput) timeLeft() time.Duration {
 	if a.Patience > 0 {
-		return min(a.Left, a.Patience)
+		return min(a.TimeLeft, a.Patience)
 	}
-	return a.Left
+	return a.TimeLeft
 }
 
 // idleWait returns the queueing delay up to which a target counts as idle.
@@ -103,13 +103,13 @@
 
 // maxWait returns the longest queueing delay at which a request with a prefill time of own is sent:
 // the answer is still on time, or the target counts as idle.
-func (a Asked) maxWait(own time.Duration) time.Duration {
+func (a AdmissionInput) maxWait(own time.Duration) time.Duration {
 	own = time.Duration((1 - a.Favor) * float64(min(own, time.Duration(maxOwnShare*float64(a.Objective)))))
 	return max(time.Duration(onTimeShare*float64(a.Objective))-a.Waited-own, idleWait(a.Objective))
 }
 
 // MaxWait returns the longest queueing delay before the prefill time of the request is known.
-func (a Asked) MaxWait() time.Duration { return a.maxWait(0) }
+func (a AdmissionInput) MaxWait() time.Duration { return a.maxWait(0) }
 
 // isTurn reports whether a deferred request may be sent now.
 //
@@ -117,35 +117,35 @@
 // becomes idle, all VMs learn it from the same report and would send at once. Each request is
 // therefore sent with a probability at which the requests that are checked during the age of a
 // report fill the free capacity once.
-func isTurn(c Choice, a Asked) bool {
-	if a.Queue <= 0 {
+func isTurn(c Choice, a AdmissionInput) bool {
+	if a.QueuedPrefill <= 0 {
 		return true
 	}
-	checking := float64(a.Queue) * min(1, float64(c.Age)/float64(max(a.Look, 1)))
-	return a.Random*checking <= float64(max(c.Room, 0))
+	checking := float64(a.QueuedPrefill) * min(1, float64(c.ReportAge)/float64(max(a.CheckInterval, 1)))
+	return a.Random*checking <= float64(max(c.FreeCapacity, 0))
 }
 
-// Judge decides whether a request is sent to the chosen target. In a burst, prompts arrive faster
+// Admit decides whether a request is sent to the chosen target. In a burst, prompts arrive faster
 // than the engines prefill them. If all were sent, all would be late until the backlog is done.
 // Requests that are on time therefore go first. The others are deferred until engines are nearly
 // idle, and are answered late but completely while there is time left.
-func Judge(c Choice, a Asked) Ruling {
+func Admit(c Choice, a AdmissionInput) Decision {
 	left := a.timeLeft()
-	lastCheck := a.Held > time.Duration(deferShare*float64(left+a.Held))
-	inTime := c.Wait() <= a.maxWait(c.Own)
+	lastCheck := a.HeldFor > time.Duration(deferShare*float64(left+a.HeldFor))
+	inTime := c.Wait() <= a.maxWait(c.OwnPrefill)
 	switch {
-	case time.Duration(prefillMargin*float64(c.Own)) > left:
-		return Ruling{Refuse, TooLongToRead}
+	case time.Duration(prefillMargin*float64(c.OwnPrefill)) > left:
+		return Decision{Refuse, TooLongToRead}
 	case inTime && (lastCheck || isTurn(c, a)):
-		return Ruling{Verdict: Send}
+		return Decision{Verdict: Send}
 	case lastCheck:
-		return Ruling{Refuse, c.waitReason()}
-	case a.Deferred > time.Duration(queuedShare*float64(left)):
-		return Ruling{Refuse, QueueFull}
+		return Decision{Refuse, c.waitReason()}
+	case a.QueueTime > time.Duration(queuedShare*float64(left)):
+		return Decision{Refuse, QueueFull}
 	case inTime:
-		return Ruling{Defer, NotItsTurn}
+		return Decision{Defer, NotItsTurn}
 	}
-	return Ruling{Defer, c.waitReason()}
+	return Decision{Defer, c.waitReason()}
 }
 
 // waitReason returns what causes most of the expected wait.
--- a/internal/place/apart_test.go
+++ b/internal/place/apart_test.go
@@ -35,7 +35,7 @@
 	for i := range 6 {
 		targets = append(targets, engine(fmt.Sprint("d", i), fleet.Decode))
 	}
-	p.Unreachable("down", time.Now())
+	p.NoteUnreachable("down", time.Now())
 	tried := place.Tried{"tried": true}
 	chosen := make(map[string]int)
 	for i := range 300 {
--- a/internal/place/bench_test.go
+++ b/internal/place/bench_test.go
@@ -24,7 +24,7 @@
 	q := sessionPrompt(7)
 	b.ReportAllocs()
 	for b.Loop() {
-		c, ok := p.Read(targets, spec, q, nil, now)
+		c, ok := p.Prefill(targets, spec, q, nil, now)
 		if !ok {
 			b.Fatal("no target can be used")
 		}
--- a/internal/place/cache.go
+++ b/internal/place/cache.go
@@ -70,8 +70,8 @@
 	Parts []uint64
 	// Missing is the number of the prompt's tokens that the target did not have cached. Reads is
 	// set if the target prefills them itself; otherwise their KV cache is transferred to it.
-	Missing int
-	Reads   bool
+	Missing  int
+	Prefills bool
 	// Failed is set if an earlier request to the target has failed.
 	Failed bool
 }
@@ -109,10 +109,10 @@
 // noteInPlacePrefill records a prompt that a decode target prefills beside its running requests,
 // which makes each of their steps longer. The caller holds p.mu.
 func (p *Placer) noteInPlacePrefill(s *state, u Use, now time.Time) {
-	if !u.Reads || s.stage == fleet.Prefill {
+	if !u.Prefills || s.stage == fleet.Prefill {
 		return
 	}
-	took := time.Duration(float64(p.profile(s.service).InPlaceTime(u.Missing, 0)) * s.prefillSlowdown)
+	took := time.Duration(float64(p.profile(s.service).InPlacePrefillTime(u.Missing, 0)) * s.prefillSlowdown)
 	s.inPlacePrefills.add(took, now)
 	s.inPlaceTokens += u.Missing
 }
@@ -137,8 +137,8 @@
 		s := p.stateByID(u.Target)
 		s.applyUse(u, now)
 		p.noteInPlacePrefill(s, u, now)
-		if u.Reads {
-			p.peerInflow(s.service).add(p.profile(s.service).ReadTime(u.Missing, 0), now)
+		if u.Prefills {
+			p.peerInflow(s.service).add(p.profile(s.service).PrefillTime(u.Missing, 0), now)
 		}
 	}
 }
--- a/internal/place/demand_test.go
+++ b/internal/place/demand_test.go
@@ -18,10 +18,10 @@
 	is := is.New(t)
 	targets := []*fleet.Target{engine("d1", fleet.Decode), engine("d2", fleet.Decode)}
 	inPlace := place.Work{Running: 40, Prefills: 40, Prefill: time.Second}
-	prefillLoad := newPlacer(peerWork{"d1": inPlace, "d2": inPlace}).Decoding(targets, spec, time.Now())
+	prefillLoad := newPlacer(peerWork{"d1": inPlace, "d2": inPlace}).DecodeLoad(targets, spec, time.Now())
 	is.Equal(prefillLoad, 0.0)
 	running := place.Work{Running: 40, Streams: 40}
-	is.True(newPlacer(peerWork{"d1": running, "d2": running}).Decoding(targets, spec, time.Now()) > 1)
+	is.True(newPlacer(peerWork{"d1": running, "d2": running}).DecodeLoad(targets, spec, time.Now()) > 1)
 }
 
 // Prefill engines are overloaded if prompts queue there, or at the VMs, for longer than the wait at
@@ -41,7 +41,7 @@
 		"prefills in place and answers": {peerWork{"d": {Prefill: time.Second, Prefills: 30, Running: 40, Streams: 10}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(newPlacer(tc.work).Pressed(targets, objective), tc.overloaded)
+			is.New(t).Equal(newPlacer(tc.work).PrefillOverloaded(targets, objective), tc.overloaded)
 		})
 	}
 }
--- a/internal/place/load_test.go
+++ b/internal/place/load_test.go
@@ -23,7 +23,7 @@
 		is := is.New(t)
 		cfg := place.DefaultConfig("a")
 		cfg.Off.Pauses = off
-		c, ok := trainedPlacer(t, cfg, load).Read(targets, spec, sessionPrompt(5), nil, time.Now())
+		c, ok := trainedPlacer(t, cfg, load).Prefill(targets, spec, sessionPrompt(5), nil, time.Now())
 		is.True(ok)
 		is.Equal(c.InPlace, off)
 	}
@@ -33,7 +33,7 @@
 func TestStreamsWaitIfNoOtherTargetIsLeft(t *testing.T) {
 	is := is.New(t)
 	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{"d": {Running: 8, Streams: 8, Prefill: 60 * time.Millisecond, Prefills: 2}})
-	c, ok := p.Read([]*fleet.Target{engine("d", fleet.Decode)}, spec, sessionPrompt(5), nil, time.Now())
+	c, ok := p.Prefill([]*fleet.Target{engine("d", fleet.Decode)}, spec, sessionPrompt(5), nil, time.Now())
 	is.True(ok)
 	is.True(c.InPlace)
 }
@@ -49,12 +49,12 @@
 		p := trainedPlacer(t, cfg, load)
 		targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("p2", fleet.Prefill), engine("d", fleet.Decode)}
 		now := time.Now()
-		first, ok := p.Read([]*fleet.Target{targets[0], targets[2]}, spec, sessionPrompt(5), nil, now)
+		first, ok := p.Prefill([]*fleet.Target{targets[0], targets[2]}, spec, sessionPrompt(5), nil, now)
 		is.True(ok)
 		is.Equal(first.Target.ID, "p1")
 		p.Commit(first, sessionPrompt(5), now)
 		first.Ticket.End(place.Neutral, now)
-		again, _ := p.Read(targets, spec, sessionPrompt(5), nil, now)
+		again, _ := p.Prefill(targets, spec, sessionPrompt(5), nil, now)
 		want := "p1"
 		if off {
 			want = "p2"
--- a/internal/place/pick.go
+++ b/internal/place/pick.go
@@ -14,32 +14,32 @@
 	Ticket *Ticket
 	// Expected is the estimated time until the answer begins.
 	Expected time.Duration
-	// Own is the part of Expected that the prefill of this request takes.
-	Own time.Duration
+	// OwnPrefill is the part of Expected that the prefill of this request takes.
+	OwnPrefill time.Duration
 	// SeatWait is the part of Expected that the request waits for a seat in a batch.
 	SeatWait time.Duration
 	// Cached is the estimated number of the prompt's tokens that the target has cached.
 	Cached int
 	// InPlace is set if the decode target that runs the request also prefills its prompt.
 	InPlace bool
-	// Room is how much prefill work the targets can take on before the request would no longer be
+	// FreeCapacity is how much prefill work the targets can take on before the request would no longer be
 	// sent. Age is the average age of the reports of other VMs' work.
-	Room time.Duration
-	Age  time.Duration
+	FreeCapacity time.Duration
+	ReportAge    time.Duration
 	// Seat is the estimate of the decode phase.
 	Seat Seat
 }
 
 // Seat is the estimate with which a request was placed in a decode target's batch.
 type Seat struct {
-	// Beside is the number of requests that the target ran already. Longest is the time of the
+	// Running is the number of requests that the target ran already. Longest is the time of the
 	// longest answer that the request may have, at the speed of a batch of that size.
-	Beside  int
-	Longest time.Duration
+	Running       int
+	LongestAnswer time.Duration
 }
 
 // Wait returns the expected time until the answer begins, without the request's own prefill.
-func (c Choice) Wait() time.Duration { return c.Expected - c.Own }
+func (c Choice) Wait() time.Duration { return c.Expected - c.OwnPrefill }
 
 // Tried is the set of ids of targets that must not be chosen again for a request.
 type Tried map[string]bool
@@ -86,9 +86,9 @@
 	return p.cfg.RemotePenalty
 }
 
-// Read chooses where a prompt is prefilled: at a prefill target, or in place at the decode target
+// Prefill chooses where a prompt is prefilled: at a prefill target, or in place at the decode target
 // that then runs the request. It returns false if no target can be used.
-func (p *Placer) Read(targets []*fleet.Target, spec *fleet.EngineSpec, q *Prompt, tried Tried, now time.Time) (Choice, bool) {
+func (p *Placer) Prefill(targets []*fleet.Target, spec *fleet.EngineSpec, q *Prompt, tried Tried, now time.Time) (Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(targets) == 0 {
@@ -165,8 +165,8 @@
 	unreported := p.peerInflow(req.service).expectedWithin(age, req.now)
 	chosen := candidates[p.pickCandidate(candidates, newStaleLoadPicker(costs, unreported), req.prompt)]
 	return Choice{
-		Target: chosen.target, Expected: chosen.expected, Own: chosen.ownPrefill, SeatWait: chosen.seatWait, Cached: chosen.cached, InPlace: chosen.target.Stage != fleet.Prefill,
-		Room: freeCapacity(candidates, req.prompt.MaxWait, unreported), Age: age, Seat: req.model.seatEstimate(p.stateOf(chosen.target), chosen.running, req.prompt),
+		Target: chosen.target, Expected: chosen.expected, OwnPrefill: chosen.ownPrefill, SeatWait: chosen.seatWait, Cached: chosen.cached, InPlace: chosen.target.Stage != fleet.Prefill,
+		FreeCapacity: freeCapacity(candidates, req.prompt.MaxWait, unreported), ReportAge: age, Seat: req.model.seatEstimate(p.stateOf(chosen.target), chosen.running, req.prompt),
 	}, chosen
 }
 
@@ -175,7 +175,7 @@
 func (p *Placer) Commit(c Choice, q *Prompt, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.recordPromptUse(Use{Target: c.Target.RunID(), Missing: q.Tokens - c.Cached, Reads: true}, q, now)
+	p.recordPromptUse(Use{Target: c.Target.RunID(), Missing: q.Tokens - c.Cached, Prefills: true}, q, now)
 	p.occupyLink(q, now)
 }
 
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -34,10 +34,10 @@
 	// Output is the expected and MaxOutput the largest length of the answer, in tokens.
 	Output    int
 	MaxOutput int
-	// Limit is the time that the whole answer may take, or 0 for no limit. FullLimit is the value
+	// Limit is the time that the whole answer may take, or 0 for no limit. InitialLimit is the value
 	// of Limit at the caller's first try.
-	Limit     time.Duration
-	FullLimit time.Duration
+	Limit        time.Duration
+	InitialLimit time.Duration
 	// MaxWait is the longest wait behind other prompts with which the request is still sent, or 0.
 	MaxWait time.Duration
 	// Deferred is set if the request was deferred and already has its place in the queue.
@@ -155,8 +155,8 @@
 	return false
 }
 
-// Others provides the work that other VMs have in progress.
-type Others interface {
+// PeerWork provides the work that other VMs have in progress.
+type PeerWork interface {
 	// Work returns the work of other VMs at a target.
 	Work(targetID string) Work
 	// Age returns the average age of the reports that the work is known from.
@@ -166,7 +166,7 @@
 // Placer chooses targets. It is safe for concurrent use.
 type Placer struct {
 	cfg    Config
-	others Others
+	others PeerWork
 	// changingStage reports whether an engine is changing its stage.
 	changingStage func(*fleet.Target) bool
 
@@ -189,7 +189,7 @@
 
 // New returns a Placer with no work in progress. The function changing reports whether an engine is
 // changing its stage.
-func New(cfg Config, others Others, changing func(*fleet.Target) bool) *Placer {
+func New(cfg Config, others PeerWork, changing func(*fleet.Target) bool) *Placer {
 	seed := cfg.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
@@ -277,10 +277,10 @@
 	return p.totalWork(id).Streams
 }
 
-// Decoding returns how many decode engines the running requests of a service fill, counted by the
+// DecodeLoad returns how many decode engines the running requests of a service fill, counted by the
 // seats that the longest answers allow. Counting by slots would take a batch for half empty that is
 // already too large for the longest answers to end in time.
-func (p *Placer) Decoding(targets []*fleet.Target, spec *fleet.EngineSpec, now time.Time) float64 {
+func (p *Placer) DecodeLoad(targets []*fleet.Target, spec *fleet.EngineSpec, now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(targets) == 0 {
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -54,20 +54,20 @@
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	for i := range 40 {
 		q := sessionPrompt(uint64(1000 + i))
-		read, ok := p.Read([]*fleet.Target{engine("teacher", fleet.Prefill), engine("pupil", fleet.Decode)}, spec, q, place.Tried{"pupil": true}, now)
+		read, ok := p.Prefill([]*fleet.Target{engine("teacher", fleet.Prefill), engine("pupil", fleet.Decode)}, spec, q, place.Tried{"pupil": true}, now)
 		if !ok {
-			read, _ = p.Read([]*fleet.Target{engine("pupil", fleet.Decode)}, spec, q, nil, now)
+			read, _ = p.Prefill([]*fleet.Target{engine("pupil", fleet.Decode)}, spec, q, nil, now)
 		}
 		took := 2 + float64(q.Tokens)/300
 		if read.InPlace {
 			took = 10 + 2*float64(q.Tokens)/300
-			read.Ticket.First(now.Add(ms(took)))
+			read.Ticket.FirstEvent(now.Add(ms(took)))
 			took += 4000
 		}
 		read.Ticket.End(place.Good, now.Add(ms(took)))
 		run, _ := p.Decode([]*fleet.Target{engine("pupil", fleet.Decode)}, spec, longAnswerPrompt(), "a", nil, now)
-		run.Ticket.First(now.Add(ms(8)))
-		run.Ticket.Stream(longAnswerPrompt().Output/59, ms(35*float64(longAnswerPrompt().Output/59-1)))
+		run.Ticket.FirstEvent(now.Add(ms(8)))
+		run.Ticket.ObserveAnswer(longAnswerPrompt().Output/59, ms(35*float64(longAnswerPrompt().Output/59-1)))
 		run.Ticket.End(place.Good, now.Add(4*time.Second))
 	}
 	p.TakeUses()
@@ -102,15 +102,15 @@
 	p := newPlacer(peerWork{})
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("p2", fleet.Prefill), engine("p3", fleet.Prefill), engine("d", fleet.Decode)}
 	now := time.Now()
-	refused, ok := p.Read(targets, spec, sessionPrompt(5), nil, now)
+	refused, ok := p.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
 	refused.Ticket.End(place.Neutral, now)
-	first, ok := p.Read(targets, spec, sessionPrompt(5), nil, now)
+	first, ok := p.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
 	is.Equal(first.Cached, 0) // a request that was not committed left nothing in a cache
 	p.Commit(first, sessionPrompt(5), now)
 	first.Ticket.End(place.Good, now)
-	again, ok := p.Read(targets, spec, sessionPrompt(5), nil, now)
+	again, ok := p.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
 	is.Equal(again.Target.ID, first.Target.ID)
 	is.Equal(again.Cached, 6000) // the last part of the prompt is never shared
@@ -121,11 +121,11 @@
 	a, b := newPlacer(peerWork{}), newPlacer(peerWork{})
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("p2", fleet.Prefill), engine("d", fleet.Decode)}
 	now := time.Now()
-	first, _ := a.Read(targets, spec, sessionPrompt(5), nil, now)
+	first, _ := a.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	a.Commit(first, sessionPrompt(5), now)
 	b.Observe(a.TakeUses(), now)
 	is.Equal(len(a.TakeUses()), 0)
-	again, _ := b.Read(targets, spec, sessionPrompt(5), nil, now)
+	again, _ := b.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	is.Equal(again.Target.ID, first.Target.ID)
 	is.Equal(again.Cached, 6000)
 }
@@ -136,12 +136,12 @@
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}
 	now := time.Now()
 	for s := uint64(2); s < 60; s++ {
-		c, ok := p.Read(targets, spec, sessionPrompt(s), nil, now)
+		c, ok := p.Prefill(targets, spec, sessionPrompt(s), nil, now)
 		is.True(ok)
 		p.Commit(c, sessionPrompt(s), now)
 		c.Ticket.End(place.Good, now)
 	}
-	c, _ := p.Read(targets, spec, sessionPrompt(2), nil, now)
+	c, _ := p.Prefill(targets, spec, sessionPrompt(2), nil, now)
 	is.Equal(c.Cached, 2500) // the common part is used by every prompt
 }
 
@@ -149,7 +149,7 @@
 	is := is.New(t)
 	p := newPlacer(peerWork{"p1": {Prefill: 200 * time.Millisecond, Prefills: 10}, "d": busy})
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("p2", fleet.Prefill), engine("d", fleet.Decode)}
-	c, ok := p.Read(targets, spec, sessionPrompt(5), nil, time.Now())
+	c, ok := p.Prefill(targets, spec, sessionPrompt(5), nil, time.Now())
 	is.True(ok)
 	is.Equal(c.Target.ID, "p2")
 }
@@ -157,7 +157,7 @@
 func TestShortPromptIsNotHandedOff(t *testing.T) {
 	is := is.New(t)
 	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{"d": {Running: 40, Streams: 40}})
-	c, ok := p.Read([]*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}, spec, longAnswerPrompt(), nil, time.Now())
+	c, ok := p.Prefill([]*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}, spec, longAnswerPrompt(), nil, time.Now())
 	is.True(ok)
 	is.True(c.InPlace)
 }
@@ -168,16 +168,16 @@
 	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{"d1": {Running: 10, Streams: 10}})
 	targets := []*fleet.Target{engine("d1", fleet.Decode), engine("d2", fleet.Decode)}
 	now := time.Now()
-	c, _ := p.Read(targets, spec, longAnswerPrompt(), nil, now)
+	c, _ := p.Prefill(targets, spec, longAnswerPrompt(), nil, now)
 	is.Equal(c.Target.ID, "d1")
-	c, _ = p.Read(targets, spec, sessionPrompt(5), nil, now)
+	c, _ = p.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	is.Equal(c.Target.ID, "d2")
 }
 
 func TestFullBatchDelaysTheAnswer(t *testing.T) {
 	is := is.New(t)
 	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{"d1": {Running: 48, Streams: 48}})
-	c, ok := p.Read([]*fleet.Target{engine("d1", fleet.Decode)}, spec, longAnswerPrompt(), nil, time.Now())
+	c, ok := p.Prefill([]*fleet.Target{engine("d1", fleet.Decode)}, spec, longAnswerPrompt(), nil, time.Now())
 	is.True(ok)
 	is.True(c.Expected > 250*time.Millisecond) // the gateway refuses it
 }
@@ -189,11 +189,11 @@
 	p := place.New(place.DefaultConfig("a"), peerWork{}, func(t *fleet.Target) bool { return t.ID == "d2" })
 	targets := []*fleet.Target{leaving, engine("d2", fleet.Decode), engine("d3", fleet.Decode), engine("d4", fleet.Decode)}
 	for range 10 {
-		c, ok := p.Read(targets, spec, longAnswerPrompt(), place.Tried{"d3": true}, time.Now())
+		c, ok := p.Prefill(targets, spec, longAnswerPrompt(), place.Tried{"d3": true}, time.Now())
 		is.True(ok)
 		is.Equal(c.Target.ID, "d4")
 	}
-	_, ok := p.Read(targets, spec, longAnswerPrompt(), place.Tried{"d3": true, "d4": true}, time.Now())
+	_, ok := p.Prefill(targets, spec, longAnswerPrompt(), place.Tried{"d3": true, "d4": true}, time.Now())
 	is.True(!ok)
 	_, ok = p.Decode(targets, spec, longAnswerPrompt(), "a", place.Tried{"d3": true, "d4": true}, time.Now())
 	is.True(!ok)
@@ -239,17 +239,17 @@
 	p := newPlacer(peerWork{})
 	targets := []*fleet.Target{engine("d", fleet.Decode)}
 	now := time.Now()
-	before, _ := p.Read(targets, spec, sessionPrompt(3), nil, now)
+	before, _ := p.Prefill(targets, spec, sessionPrompt(3), nil, now)
 	before.Ticket.End(place.Neutral, now)
 	for s := uint64(100); s < 140; s++ {
-		c, _ := p.Read(targets, spec, sessionPrompt(s), nil, now)
-		c.Ticket.First(now.Add(4 * c.Own))
-		c.Ticket.End(place.Good, now.Add(5*c.Own))
+		c, _ := p.Prefill(targets, spec, sessionPrompt(s), nil, now)
+		c.Ticket.FirstEvent(now.Add(4 * c.OwnPrefill))
+		c.Ticket.End(place.Good, now.Add(5*c.OwnPrefill))
 		c.Ticket.End(place.Bad, now)
 	}
 	is.Equal(len(p.Own()), 0)
-	after, _ := p.Read(targets, spec, sessionPrompt(4), nil, now)
-	is.True(after.Own > 2*before.Own)
+	after, _ := p.Prefill(targets, spec, sessionPrompt(4), nil, now)
+	is.True(after.OwnPrefill > 2*before.OwnPrefill)
 }
 
 func TestForgetKeepsWorkInProgress(t *testing.T) {
@@ -272,11 +272,11 @@
 	q := sessionPrompt(5)
 	q.BodyBytes = 80000
 	p := trainedPlacer(t, cfg, peerWork{})
-	c, _ := p.Read([]*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}, spec, q, nil, time.Now())
+	c, _ := p.Prefill([]*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}, spec, q, nil, time.Now())
 	is.True(c.InPlace)
 	cfg.LinkMbps = 1000
 	p = trainedPlacer(t, cfg, peerWork{})
-	c, _ = p.Read([]*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}, spec, q, nil, time.Now())
+	c, _ = p.Prefill([]*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}, spec, q, nil, time.Now())
 	is.True(!c.InPlace)
 }
 
@@ -290,14 +290,14 @@
 	q := sessionPrompt(5)
 	q.BodyBytes = 20000
 	now := time.Now()
-	before, _ := p.Read(targets, spec, q, nil, now)
+	before, _ := p.Prefill(targets, spec, q, nil, now)
 	p.Commit(before, q, now)
 	before.Ticket.End(place.Neutral, now)
-	after, _ := p.Read(targets, spec, q, nil, now)
-	is.True(after.Expected-after.Own >= 35*time.Millisecond) // two sends of 20 ms
+	after, _ := p.Prefill(targets, spec, q, nil, now)
+	is.True(after.Expected-after.OwnPrefill >= 35*time.Millisecond) // two sends of 20 ms
 	after.Ticket.End(place.Neutral, now)
-	later, _ := p.Read(targets, spec, q, nil, now.Add(time.Second))
-	is.True(later.Expected-later.Own < 35*time.Millisecond)
+	later, _ := p.Prefill(targets, spec, q, nil, now.Add(time.Second))
+	is.True(later.Expected-later.OwnPrefill < 35*time.Millisecond)
 }
 
 // A target that refuses at once looks idle. It must not attract all requests, and is tried again
@@ -314,7 +314,7 @@
 				is.True(ok)
 				return c
 			}
-			c, ok := p.Read(targets, spec, sessionPrompt(5), nil, now)
+			c, ok := p.Prefill(targets, spec, sessionPrompt(5), nil, now)
 			is.True(ok)
 			return c
 		}
@@ -341,9 +341,9 @@
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("p2", fleet.Prefill), engine("d", fleet.Decode)}
 	now := time.Now()
 	for range 4 {
-		p.Blame("p1", now)
+		p.NoteLostHandle("p1", now)
 	}
-	c, ok := p.Read(targets, spec, sessionPrompt(5), nil, now)
+	c, ok := p.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
 	is.True(c.Target.ID != "p1")
 }
@@ -359,13 +359,13 @@
 	targets = append(targets, engine("d", fleet.Decode))
 	now := time.Now()
 	a, b := newPlacer(peerWork{}), newPlacer(peerWork{})
-	first, ok := a.Read(targets, spec, sessionPrompt(5), nil, now)
+	first, ok := a.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
 	a.Commit(first, sessionPrompt(5), now)
 	b.Observe(a.TakeUses(), now)
 	again := 0
 	for range 20 {
-		c, ok := b.Read(targets, spec, sessionPrompt(5), nil, now)
+		c, ok := b.Prefill(targets, spec, sessionPrompt(5), nil, now)
 		is.True(ok)
 		if c.Target.ID == first.Target.ID {
 			again++
@@ -376,7 +376,7 @@
 	for _, t := range targets[:999] {
 		t.Leaving = true
 	}
-	c, ok := a.Read(targets, spec, sessionPrompt(6), nil, now)
+	c, ok := a.Prefill(targets, spec, sessionPrompt(6), nil, now)
 	is.True(ok)
 	is.True(c.Target.ID == "p999" || c.Target.ID == "d")
 	c, ok = a.Decode(targets, spec, sessionPrompt(6), "", nil, now)
@@ -392,7 +392,7 @@
 	a, b := newPlacer(peerWork{}), newPlacer(peerWork{"busy": {Running: 4, Prefill: 40 * time.Millisecond}})
 	targets := []*fleet.Target{engine("failing", fleet.Decode), engine("busy", fleet.Decode)}
 	choose := func(p *place.Placer, now time.Time) place.Choice {
-		c, ok := p.Read(targets, spec, sessionPrompt(5), nil, now)
+		c, ok := p.Prefill(targets, spec, sessionPrompt(5), nil, now)
 		is.True(ok)
 		return c
 	}
@@ -426,12 +426,12 @@
 	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{})
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}
 	now := time.Now()
-	before, _ := p.Read(targets, spec, sessionPrompt(3), nil, now)
+	before, _ := p.Prefill(targets, spec, sessionPrompt(3), nil, now)
 	before.Ticket.End(place.Neutral, now)
 	for s := uint64(100); s < 102; s++ {
-		c, _ := p.Read(targets, spec, sessionPrompt(s), nil, now)
-		c.Ticket.End(place.Good, now.Add(20*c.Own))
+		c, _ := p.Prefill(targets, spec, sessionPrompt(s), nil, now)
+		c.Ticket.End(place.Good, now.Add(20*c.OwnPrefill))
 	}
-	after, _ := p.Read(targets, spec, sessionPrompt(4), nil, now)
-	is.True(float64(after.Own) < 1.2*float64(before.Own))
+	after, _ := p.Prefill(targets, spec, sessionPrompt(4), nil, now)
+	is.True(float64(after.OwnPrefill) < 1.2*float64(before.OwnPrefill))
 }
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -10,10 +10,10 @@
 // service. Reports and summaries can then add them up like other work.
 const queuePrefix = "queue/"
 
-// Wait counts a deferred request of a service until the returned ticket ends: the prefill of its
+// AddDeferred counts a deferred request of a service until the returned ticket ends: the prefill of its
 // prompt, and a running request if it waits for a seat. c is the choice with which it was deferred.
-func (p *Placer) Wait(service string, c Choice) *Ticket {
-	work := Work{Prefill: c.Own, Prefills: 1}
+func (p *Placer) AddDeferred(service string, c Choice) *Ticket {
+	work := Work{Prefill: c.OwnPrefill, Prefills: 1}
 	if c.waitReason() == NoSeat {
 		work.Running = 1
 	}
@@ -42,16 +42,16 @@
 	return float64(waiting) / float64(max(serving, 1))
 }
 
-// Waiting returns the deferred requests of a service on all VMs.
-func (p *Placer) Waiting(service string) Work {
+// DeferredWork returns the deferred requests of a service on all VMs.
+func (p *Placer) DeferredWork(service string) Work {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.totalWork(queuePrefix + service)
 }
 
-// Pressed reports whether prompts queue so long at the prefill engines and at the VMs that a
+// PrefillOverloaded reports whether prompts queue so long at the prefill engines and at the VMs that a
 // request which is late already would not be sent (see Judge).
-func (p *Placer) Pressed(targets []*fleet.Target, objective time.Duration) bool {
+func (p *Placer) PrefillOverloaded(targets []*fleet.Target, objective time.Duration) bool {
 	if len(targets) == 0 {
 		return false
 	}
--- a/internal/place/reborn_test.go
+++ b/internal/place/reborn_test.go
@@ -26,13 +26,13 @@
 	now := time.Now()
 	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{before.RunID(): {Running: 9, Prefill: time.Second, Prefills: 9}})
 	read := func(target *fleet.Target) place.Choice {
-		c, ok := p.Read([]*fleet.Target{target}, spec, sessionPrompt(7), nil, now)
+		c, ok := p.Prefill([]*fleet.Target{target}, spec, sessionPrompt(7), nil, now)
 		is.True(ok)
 		return c
 	}
 	first := read(before)
 	p.Commit(first, sessionPrompt(7), now)
-	first.Ticket.First(now)
+	first.Ticket.FirstEvent(now)
 	is.True(read(before).Cached > 0)
 	for range 20 {
 		read(before).Ticket.End(place.Bad, now)
--- a/internal/place/seats.go
+++ b/internal/place/seats.go
@@ -94,7 +94,7 @@
 	// Callers that come back have less time left. Seats are reserved for the time limit of first
 	// tries.
 	limit := p.stepLimit(targets[0].Service)
-	limit.observe(time.Duration(answerTimeShare*float64(max(q.FullLimit, q.Limit)))/time.Duration(longest), now)
+	limit.observe(time.Duration(answerTimeShare*float64(max(q.InitialLimit, q.Limit)))/time.Duration(longest), now)
 	model.maxStep = limit.current(now)
 	if !q.Deferred {
 		model.batch.queuedAhead = p.queuedPerTarget(*model, targets[0].Service, targets)
@@ -114,13 +114,13 @@
 
 // longestAnswer returns the number of tokens that the answer to q may well reach.
 func (e engineModel) longestAnswer(q *Prompt) int {
-	return min(int(e.Stretch()*float64(q.Output)), q.MaxOutput)
+	return min(int(e.LengthRatio()*float64(q.Output)), q.MaxOutput)
 }
 
 // maxBatch returns how many requests may run at a target for its steps to take no longer than step.
 // The result is below 1 if the target is too slow.
 func (e engineModel) maxBatch(s *state, step time.Duration) float64 {
-	return e.MaxBeside(time.Duration(float64(step)/s.stepSlowdown)) + 1
+	return e.MaxConcurrent(time.Duration(float64(step)/s.stepSlowdown)) + 1
 }
 
 // usableSlots returns how many requests may run at t, less the spare slots.
@@ -215,5 +215,5 @@
 // seatEstimate returns the estimate for a request that runs beside so many others.
 func (e engineModel) seatEstimate(s *state, beside int, q *Prompt) Seat {
 	step := float64(e.StepTime(beside)) * s.stepSlowdown
-	return Seat{Beside: beside, Longest: time.Duration(step * float64(e.longestAnswer(q)))}
+	return Seat{Running: beside, LongestAnswer: time.Duration(step * float64(e.longestAnswer(q)))}
 }
--- a/internal/place/seats_test.go
+++ b/internal/place/seats_test.go
@@ -40,8 +40,8 @@
 		if i%3 == 0 {
 			events = int(outputFactor * float64(events))
 		}
-		c.Ticket.First(now)
-		c.Ticket.Stream(events, eventGap*time.Duration(events-1))
+		c.Ticket.FirstEvent(now)
+		c.Ticket.ObserveAnswer(events, eventGap*time.Duration(events-1))
 		c.Ticket.End(place.Good, now)
 	}
 	o[t.ID] = before
@@ -55,13 +55,13 @@
 	p := newTrainedPlacer(o)
 	d1 := wideEngine("d1")
 	observeAnswers(p, o, d1, 60, 70*time.Millisecond, 2.4)
-	c, _ := p.Read([]*fleet.Target{d1}, spec, longAnswerPrompt(), nil, time.Now())
+	c, _ := p.Prefill([]*fleet.Target{d1}, spec, longAnswerPrompt(), nil, time.Now())
 	is.True(c.Expected > 250*time.Millisecond)
 	p = newTrainedPlacer(o)
 	observeAnswers(p, o, d1, 60, 70*time.Millisecond, 2.4)
 	relaxed := longAnswerPrompt()
 	relaxed.Limit = time.Minute
-	c, _ = p.Read([]*fleet.Target{d1}, spec, relaxed, nil, time.Now())
+	c, _ = p.Prefill([]*fleet.Target{d1}, spec, relaxed, nil, time.Now())
 	is.True(c.Expected < 100*time.Millisecond)
 }
 
@@ -79,7 +79,7 @@
 			observeAnswers(p, o, d1, 60, c.pause, c.stretch)
 			// The step limit that was observed before answers were known has expired by then.
 			later := time.Now().Add(time.Minute)
-			choice, _ := p.Read([]*fleet.Target{d1}, spec, longAnswerPrompt(), nil, later)
+			choice, _ := p.Prefill([]*fleet.Target{d1}, spec, longAnswerPrompt(), nil, later)
 			is.True(choice.Expected < 100*time.Millisecond)
 		})
 	}
@@ -127,7 +127,7 @@
 		for i := range 500 {
 			now = now.Add(40 * time.Millisecond)
 			q := sessionPrompt(uint64(5000 + i))
-			c, _ := p.Read([]*fleet.Target{d1, p1}, spec, q, nil, now)
+			c, _ := p.Prefill([]*fleet.Target{d1, p1}, spec, q, nil, now)
 			p.Commit(c, q, now)
 			if c.InPlace {
 				n++
@@ -165,23 +165,23 @@
 			for i := range running {
 				c, ok := p.Decode([]*fleet.Target{d1}, spec, longAnswerPrompt(), "a", nil, now)
 				is.True(ok)
-				c.Ticket.First(now)
-				c.Ticket.Events(1, now)
+				c.Ticket.FirstEvent(now)
+				c.Ticket.AddEvents(1, now)
 				running[i] = c.Ticket
 			}
 			o["d1"] = place.Work{Running: 60, Streams: 60}
 			for range 48 {
 				now = now.Add(eventGap)
 				for _, t := range running {
-					t.Events(1, now)
+					t.AddEvents(1, now)
 				}
 			}
 			q := longAnswerPrompt()
 			c, _ := p.Decode([]*fleet.Target{d1}, spec, q, "a", nil, now)
 			want := time.Duration(q.MaxOutput/59) * eventGap
-			t.Logf("the longest answer takes %s, estimated %s", want, c.Seat.Longest)
-			is.True(c.Seat.Longest > want*8/10)
-			is.True(c.Seat.Longest < want*12/10)
+			t.Logf("the longest answer takes %s, estimated %s", want, c.Seat.LongestAnswer)
+			is.True(c.Seat.LongestAnswer > want*8/10)
+			is.True(c.Seat.LongestAnswer < want*12/10)
 		})
 	}
 }
@@ -218,9 +218,9 @@
 			c, _ := p.Decode([]*fleet.Target{target}, spec, q, "a", nil, time.Now())
 			c.Ticket.End(place.Neutral, time.Now())
 			want := time.Duration(q.MaxOutput/59) * eventGap(target, running)
-			t.Logf("%s beside %d: estimated %s, actual %s", target.ID, running, c.Seat.Longest, want)
-			is.True(c.Seat.Longest > want*9/10)
-			is.True(c.Seat.Longest < want*11/10)
+			t.Logf("%s beside %d: estimated %s, actual %s", target.ID, running, c.Seat.LongestAnswer, want)
+			is.True(c.Seat.LongestAnswer > want*9/10)
+			is.True(c.Seat.LongestAnswer < want*11/10)
 		}
 	}
 }
@@ -249,15 +249,15 @@
 		run.Ticket.End(place.Good, now.Add(5*time.Second))
 	}
 	elsewhere := engine("p1", fleet.Prefill)
-	c, _ := p.Read([]*fleet.Target{elsewhere, slow}, spec, sessionPrompt(1), nil, now)
+	c, _ := p.Prefill([]*fleet.Target{elsewhere, slow}, spec, sessionPrompt(1), nil, now)
 	c.Ticket.End(place.Neutral, now)
 	countFast := func(q *place.Prompt) (n int) {
 		for i := range 200 {
 			q.Parts = []place.Part{{Hash: uint64(1000 + i), Tokens: q.Tokens}}
 			now = now.Add(10 * time.Millisecond)
 			// Other VMs place 40 ms of prefill work on another engine every 10 ms.
-			p.Observe([]place.Use{{Target: elsewhere.ID, Missing: 10000, Reads: true}}, now)
-			c, _ := p.Read(both, spec, q, nil, now)
+			p.Observe([]place.Use{{Target: elsewhere.ID, Missing: 10000, Prefills: true}}, now)
+			c, _ := p.Prefill(both, spec, q, nil, now)
 			if c.Target == fast {
 				n++
 			}
@@ -298,11 +298,11 @@
 	now := time.Now()
 	c, _ := p.Decode(targets, spec, longAnswerPrompt(), "a", nil, now)
 	c.Ticket.End(place.Neutral, now)
-	filled := p.Decoding(targets, spec, now)
+	filled := p.DecodeLoad(targets, spec, now)
 	t.Logf("40 running requests fill %.2f of an engine", filled)
 	is.True(filled > 0.9)
 	// Without long answers, the slots count.
-	is.True(p.Decoding(targets, spec, now.Add(time.Minute)) < 0.5)
+	is.True(p.DecodeLoad(targets, spec, now.Add(time.Minute)) < 0.5)
 }
 
 // A long answer that waited for a seat at the only target fast enough for it was overtaken by new
@@ -325,19 +325,19 @@
 		run.Ticket.End(place.Good, now.Add(5*time.Second))
 	}
 	read := func(q *place.Prompt) place.Choice {
-		c, ok := p.Read(both, spec, q, nil, now)
+		c, ok := p.Prefill(both, spec, q, nil, now)
 		is.True(ok)
 		c.Ticket.End(place.Neutral, now)
 		return c
 	}
-	admission := place.Asked{Objective: 200 * time.Millisecond, Left: 15 * time.Second, Patience: 2 * time.Second}
+	admission := place.AdmissionInput{Objective: 200 * time.Millisecond, TimeLeft: 15 * time.Second, Patience: 2 * time.Second}
 
 	running := 50
 	o["fast"], o["slow"] = place.Work{Running: running, Streams: running}, place.Work{Running: 80, Streams: 80}
 	first := read(longAnswerPrompt())
 	t.Logf("beside %d others the wait for a seat is %s", running, first.SeatWait)
-	is.Equal(place.Judge(first, admission).Reason, place.NoSeat)
-	waiting := p.Wait("m", first)
+	is.Equal(place.Admit(first, admission).Reason, place.NoSeat)
+	waiting := p.AddDeferred("m", first)
 
 	// Seats become free one by one.
 	for first.SeatWait > 0 {
@@ -347,7 +347,7 @@
 		again.Deferred = true
 		first = read(again)
 	}
-	is.Equal(place.Judge(first, admission).Verdict, place.Send)
+	is.Equal(place.Admit(first, admission).Verdict, place.Send)
 	newcomer := read(longAnswerPrompt())
 	is.Equal(newcomer.Target.ID, "fast")
 	is.True(newcomer.SeatWait > 0)
--- a/internal/place/stale_test.go
+++ b/internal/place/stale_test.go
@@ -193,25 +193,25 @@
 // place evaluates a prompt, runs its admission if enabled, and sends it.
 func (f *fleetSim) place(pending *pendingPrompt) {
 	p := f.placers[pending.vm]
-	admission := place.Asked{Objective: simObjective, Waited: f.now.Sub(pending.arrivedAt), Held: f.now.Sub(pending.arrivedAt), Left: simPatience - f.now.Sub(pending.arrivedAt), Random: f.random.Float64()}
+	admission := place.AdmissionInput{Objective: simObjective, Waited: f.now.Sub(pending.arrivedAt), HeldFor: f.now.Sub(pending.arrivedAt), TimeLeft: simPatience - f.now.Sub(pending.arrivedAt), Random: f.random.Float64()}
 	pending.prompt.MaxWait = admission.MaxWait()
 	engines := f.engines
 	if f.selectEngines != nil {
 		engines = f.selectEngines(f, pending.prompt.Parts[1].Hash)
 	}
-	choice, ok := p.Read(engines, spec, pending.prompt, nil, f.now)
+	choice, ok := p.Prefill(engines, spec, pending.prompt, nil, f.now)
 	if !ok {
 		f.t.Fatal("no target can be used")
 	}
 	if f.admits {
 		if pending.queued != nil && f.takeTurns {
-			admission.Queue, admission.Look = p.Waiting("m").Prefill, checkInterval
+			admission.QueuedPrefill, admission.CheckInterval = p.DeferredWork("m").Prefill, checkInterval
 		}
-		switch place.Judge(choice, admission).Verdict {
+		switch place.Admit(choice, admission).Verdict {
 		case place.Defer:
 			choice.Ticket.End(place.Neutral, f.now)
 			if pending.queued == nil {
-				pending.queued = p.Wait("m", choice)
+				pending.queued = p.AddDeferred("m", choice)
 			}
 			pending.nextCheck = f.now.Add(time.Duration((0.5 + f.random.Float64()) * float64(checkInterval)))
 			f.deferred = append(f.deferred, pending)
--- a/internal/place/ticket.go
+++ b/internal/place/ticket.go
@@ -136,8 +136,8 @@
 	s.retryAt = now.Add(min(wait, maxRetryDelay))
 }
 
-// Unreachable records that a target is known to be down, so that no request has to find out.
-func (p *Placer) Unreachable(target string, now time.Time) {
+// NoteUnreachable records that a target is known to be down, so that no request has to find out.
+func (p *Placer) NoteUnreachable(target string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.stateByID(target); s.reachable(now) {
@@ -145,16 +145,16 @@
 	}
 }
 
-// Blame records that a prompt which a target had prefilled could not be decoded, because its handle
+// NoteLostHandle records that a prompt which a target had prefilled could not be decoded, because its handle
 // was gone or could not be fetched.
-func (p *Placer) Blame(target string, now time.Time) {
+func (p *Placer) NoteLostHandle(target string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stateByID(target).noteRefusal(now)
 }
 
-// First records that the target has begun to answer, so that its prefill is done.
-func (t *Ticket) First(now time.Time) {
+// FirstEvent records that the target has begun to answer, so that its prefill is done.
+func (t *Ticket) FirstEvent(now time.Time) {
 	if t == nil || t.ended {
 		return
 	}
@@ -187,8 +187,8 @@
 // minObservedEvents is the number of events from which a whole answer is used to measure steps.
 const minObservedEvents = 4
 
-// Events records that n more events of the answer have come.
-func (t *Ticket) Events(n int, now time.Time) {
+// AddEvents records that n more events of the answer have come.
+func (t *Ticket) AddEvents(n int, now time.Time) {
 	if t == nil || t.ended || t.prompt == nil {
 		return
 	}
@@ -207,8 +207,8 @@
 	t.span = span{began: now, running: p.totalWork(t.id).Running - 1, inPlaceTokens: s.inPlaceTokens}
 }
 
-// Stream records a whole answer: the number of its events, and the time from the first to the last.
-func (t *Ticket) Stream(events int, took time.Duration) {
+// ObserveAnswer records a whole answer: the number of its events, and the time from the first to the last.
+func (t *Ticket) ObserveAnswer(events int, took time.Duration) {
 	if t == nil || t.ended || t.prompt == nil || t.placer.cfg.Off.Profile {
 		return
 	}
@@ -229,14 +229,14 @@
 	}
 	t.stepsObserved = true
 	f := p.profile(t.service)
-	b := profile.Beside{Running: (t.span.running + p.totalWork(t.id).Running - 1) / 2, Read: float64(s.inPlaceTokens-t.span.inPlaceTokens) / float64(events)}
+	b := profile.Load{Running: (t.span.running + p.totalWork(t.id).Running - 1) / 2, PrefillTokens: float64(s.inPlaceTokens-t.span.inPlaceTokens) / float64(events)}
 	if !p.cfg.Off.Slowdown {
-		s.stepSlowdown = adjustSlowdown(s.stepSlowdown, float64(took)/max(float64(events)*float64(f.PauseBeside(b)), 1))
+		s.stepSlowdown = adjustSlowdown(s.stepSlowdown, float64(took)/max(float64(events)*float64(f.LoadedInterval(b)), 1))
 		s.stepSlowdown = math.Pow(s.stepSlowdown, 1-stepSlowdownDecay)
 	}
 	// The slower targets of a service run smaller batches. Without the correction for their speed,
 	// steps would seem to grow less with the batch size, or not at all.
-	f.ObservePace(events, time.Duration(float64(took)/s.stepSlowdown), b)
+	f.ObserveEvents(events, time.Duration(float64(took)/s.stepSlowdown), b)
 }
 
 // stepSlowdownDecay is the part of its logarithm that a step slowdown loses with each sample. The
@@ -244,8 +244,8 @@
 // drift in opposite directions.
 const stepSlowdownDecay = 0.003
 
-// Length records how many events an answer had, whether it is complete or not.
-func (t *Ticket) Length(events int) {
+// ObserveLength records how many events an answer had, whether it is complete or not.
+func (t *Ticket) ObserveLength(events int) {
 	if t == nil || t.prompt == nil || t.placer.cfg.Off.Profile {
 		return
 	}
@@ -292,23 +292,23 @@
 	}
 	switch t.task {
 	case taskPrefill:
-		f.ObserveRead(t.prompt.Tokens, t.cached, t.prefillWait, took)
+		f.ObservePrefill(t.prompt.Tokens, t.cached, t.prefillWait, took)
 	case taskPrefillInPlace:
-		f.ObserveInPlace(t.prompt.Tokens, t.cached, t.prefillWait, took-f.HopTime(0))
+		f.ObserveInPlacePrefill(t.prompt.Tokens, t.cached, t.prefillWait, took-f.HandoffTime(0))
 	case taskDecode:
-		f.ObserveHop(t.prompt.Tokens, took)
+		f.ObserveHandoff(t.prompt.Tokens, took)
 	}
 }
 
 // observePrefillSlowdown compares the time that a prefill took with the estimate of the profile,
 // once the profile rests on enough samples. The caller holds p.mu.
 func (t *Ticket) observePrefillSlowdown(f *profile.Profile, s *state, took time.Duration) {
-	expected := f.ReadTime(t.prompt.Tokens, t.cached)
+	expected := f.PrefillTime(t.prompt.Tokens, t.cached)
 	if t.task == taskPrefillInPlace {
-		expected = f.InPlaceTime(t.prompt.Tokens, t.cached)
+		expected = f.InPlacePrefillTime(t.prompt.Tokens, t.cached)
 	}
 	expected += t.prefillWait
-	if t.task == taskDecode || expected < minPrefillSample || !f.KnowsReading() || t.placer.cfg.Off.Slowdown {
+	if t.task == taskDecode || expected < minPrefillSample || !f.PrefillKnown() || t.placer.cfg.Off.Slowdown {
 		return
 	}
 	s.prefillSlowdown = adjustSlowdown(s.prefillSlowdown, float64(took-t.overhead)/float64(expected))
--- a/internal/place/weigh.go
+++ b/internal/place/weigh.go
@@ -59,7 +59,7 @@
 	if e.spec.MaxGap <= 0 {
 		return math.MaxInt64
 	}
-	return max(e.spec.MaxGap-e.EventPause(), 0)
+	return max(e.spec.MaxGap-e.EventInterval(), 0)
 }
 
 // longStreams returns 1 if the answer to q lasts longer than the maximum gap between events, and
@@ -95,7 +95,7 @@
 // if t must not prefill it. The caller holds p.mu.
 func (p *Placer) evaluate(t *fleet.Target, req prefillRequest) (candidate, bool) {
 	s, load, model, q := p.stateOf(t), p.totalWork(t.RunID()), req.model, req.prompt
-	c := candidate{target: t, work: Work{Prefills: 1, Tokens: q.Tokens}, prefillWait: load.prefillWait(), running: load.Running, overhead: model.WayTime()}
+	c := candidate{target: t, work: Work{Prefills: 1, Tokens: q.Tokens}, prefillWait: load.prefillWait(), running: load.Running, overhead: model.OverheadTime()}
 	if !model.off.Cache {
 		c.cached = s.cache.cachedTokens(q, cacheShare*float64(model.spec.KVTokens-load.Tokens))
 	}
@@ -125,8 +125,8 @@
 // returns false if the hand-off takes more time than it saves. The caller holds p.mu.
 func (p *Placer) evaluatePrefill(c *candidate, req prefillRequest) (seat, bool) {
 	model, q := req.model, req.prompt
-	c.work.Prefill = model.ReadTime(q.Tokens, c.cached)
-	handOff := model.WayTime() + model.HopTime(q.Tokens) + p.linkTime(q)
+	c.work.Prefill = model.PrefillTime(q.Tokens, c.cached)
+	handOff := model.OverheadTime() + model.HandoffTime(q.Tokens) + p.linkTime(q)
 	if c.work.Prefill < time.Duration(minHandOffShare*float64(handOff)) {
 		return seat{}, false
 	}
@@ -137,15 +137,15 @@
 // false if streams there would be delayed too long.
 func (c *candidate) evaluateInPlace(t *fleet.Target, s *state, load Work, req prefillRequest) (seat, bool) {
 	model, q := req.model, req.prompt
-	c.work.Prefill = model.InPlaceTime(q.Tokens, c.cached)
+	c.work.Prefill = model.InPlacePrefillTime(q.Tokens, c.cached)
 	c.work.Running, c.work.Streams = 1, model.longStreams(q)
 	c.work.Tokens += q.Output / 2
 	if req.keepMaxGap && !(model.keepsMaxGap(load, c.work.Prefill) && model.leavesStepTime(s, load, c.work.Prefill, req.now)) {
 		return seat{}, false
 	}
-	c.overhead += model.HopTime(0)
+	c.overhead += model.HandoffTime(0)
 	extra := model.seat(t, s, load, req.now)
-	extra.cost += model.HopTime(0) + model.interferenceCost(load, c.work)
+	extra.cost += model.HandoffTime(0) + model.interferenceCost(load, c.work)
 	return extra, true
 }
 
--- a/internal/proc/failure_test.go
+++ b/internal/proc/failure_test.go
@@ -244,9 +244,9 @@
 	is := is.New(t)
 	w := newWorld(t, proc.Shape{Engines: 4, Plains: 1, VMs: 2, Steward: func(_ int, s *settings.Steward) {
 		s.RoleInterval = settings.Duration(500 * time.Millisecond)
-		s.Engine.Away = settings.Duration(200 * time.Millisecond)
+		s.Engine.RoleChangeTime = settings.Duration(200 * time.Millisecond)
 		// Engines so slow that a few streams are more than the fleet carries.
-		s.Engine.PrefillTokensPerS, s.Engine.DecodeTokensPerS, s.Engine.Mixed = 20, 400, 0.5
+		s.Engine.PrefillTokensPerS, s.Engine.DecodeTokensPerS, s.Engine.MixedFactor = 20, 400, 0.5
 	}})
 	w.serve("v1", "checked")
 	f := w.startFlow(6, 40)
--- a/internal/profile/profile.go
+++ b/internal/profile/profile.go
@@ -56,9 +56,9 @@
 	// priorStepGrowth is the fraction by which each concurrent request lengthens a decode step,
 	// which reads its context too. It differs between engines and is therefore learned.
 	priorStepGrowth = 0.008
-	// lengthQuantile is the share of answers that are no longer than Stretch says.
+	// lengthQuantile is the share of answers that are no longer than LengthRatio says.
 	lengthQuantile = 0.9
-	// priorLengthRatio is the value of Stretch before there are enough answers: callers'
+	// priorLengthRatio is the value of LengthRatio before there are enough answers: callers'
 	// estimates are often far off.
 	priorLengthRatio = 2
 )
@@ -110,34 +110,34 @@
 	return vector{missing, missing * float64(tokens+cached) / 2 / 1e6}
 }
 
-// WayTime returns the part of a measured prefill time that the engine does not take: the network
+// OverheadTime returns the part of a measured prefill time that the engine does not take: the network
 // round trip and the work of this VM.
-func (p *Profile) WayTime() time.Duration { return millis(p.prefill.at(vector{2: 1})) }
+func (p *Profile) OverheadTime() time.Duration { return millis(p.prefill.at(vector{2: 1})) }
 
-// ReadTime returns how long a prefill engine takes to prefill a prompt of which it has cached the
+// PrefillTime returns how long a prefill engine takes to prefill a prompt of which it has cached the
 // given number of tokens.
-func (p *Profile) ReadTime(tokens, cached int) time.Duration {
+func (p *Profile) PrefillTime(tokens, cached int) time.Duration {
 	return millis(p.prefill.at(prefillSize(tokens, cached)))
 }
 
-// InPlaceTime returns how long a decode engine takes to prefill the prompt in place, beside its
+// InPlacePrefillTime returns how long a decode engine takes to prefill the prompt in place, beside its
 // other work.
-func (p *Profile) InPlaceTime(tokens, cached int) time.Duration {
-	return inPlaceFactor * p.ReadTime(tokens, cached)
+func (p *Profile) InPlacePrefillTime(tokens, cached int) time.Duration {
+	return inPlaceFactor * p.PrefillTime(tokens, cached)
 }
 
-// KnowsReading reports whether ReadTime is based on enough samples.
-func (p *Profile) KnowsReading() bool { return p.prefill.seen >= reliableSamples }
+// PrefillKnown reports whether PrefillTime is based on enough samples.
+func (p *Profile) PrefillKnown() bool { return p.prefill.seen >= reliableSamples }
 
-// ObserveRead records that a prefill engine took a time for a prompt. ahead is the part of it in
+// ObservePrefill records that a prefill engine took a time for a prompt. ahead is the part of it in
 // which the engine was expected to work on prompts that it had received before.
-func (p *Profile) ObserveRead(tokens, cached int, ahead, took time.Duration) {
+func (p *Profile) ObservePrefill(tokens, cached int, ahead, took time.Duration) {
 	p.observePrefill(prefillSize(tokens, cached), 1, ahead, took)
 }
 
-// ObserveInPlace records the same as ObserveRead for a decode engine that prefilled a prompt in
+// ObserveInPlacePrefill records the same as ObservePrefill for a decode engine that prefilled a prompt in
 // place.
-func (p *Profile) ObserveInPlace(tokens, cached int, ahead, took time.Duration) {
+func (p *Profile) ObserveInPlacePrefill(tokens, cached int, ahead, took time.Duration) {
 	size := prefillSize(tokens, cached)
 	p.observePrefill(vector{inPlaceFactor * size[0], inPlaceFactor * size[1]}, inPlaceNoise, ahead, took)
 }
@@ -156,13 +156,13 @@
 	p.prefill.add(sample{size: size, value: own, noise: noise})
 }
 
-// HopTime returns the time from sending a prompt, which another engine has prefilled, to a decode
+// HandoffTime returns the time from sending a prompt, which another engine has prefilled, to a decode
 // engine until its first event. It includes the transfer of the KV cache of the given number of
 // tokens.
-func (p *Profile) HopTime(tokens int) time.Duration { return millis(p.handoff.at(kvSize(tokens))) }
+func (p *Profile) HandoffTime(tokens int) time.Duration { return millis(p.handoff.at(kvSize(tokens))) }
 
-// ObserveHop records one such time.
-func (p *Profile) ObserveHop(tokens int, took time.Duration) {
+// ObserveHandoff records one such time.
+func (p *Profile) ObserveHandoff(tokens int, took time.Duration) {
 	p.handoff.add(sample{size: kvSize(tokens), value: toMillis(took), noise: 1})
 }
 
@@ -170,8 +170,8 @@
 // thousands.
 func kvSize(tokens int) vector { return vector{1, float64(tokens) / 1e3} }
 
-// EventPause returns the usual time between two events of a stream.
-func (p *Profile) EventPause() time.Duration { return millis(p.eventInterval.at(unitSize)) }
+// EventInterval returns the usual time between two events of a stream.
+func (p *Profile) EventInterval() time.Duration { return millis(p.eventInterval.at(unitSize)) }
 
 // EventTokens returns the number of tokens in an event. It is the expected length of answers by
 // their number of events, but no more than lets every recent answer stay within its maximum
@@ -186,15 +186,15 @@
 // StepTime returns the time of a decode step of a request that runs beside the given number of
 // other requests.
 func (p *Profile) StepTime(beside int) time.Duration {
-	return millis(p.loadedInterval.at(Beside{Running: beside}.size()) / p.EventTokens())
+	return millis(p.loadedInterval.at(Load{Running: beside}.size()) / p.EventTokens())
 }
 
-// PauseBeside returns the time between two events of a stream, given the engine's other work.
-func (p *Profile) PauseBeside(b Beside) time.Duration { return millis(p.loadedInterval.at(b.size())) }
+// LoadedInterval returns the time between two events of a stream, given the engine's other work.
+func (p *Profile) LoadedInterval(b Load) time.Duration { return millis(p.loadedInterval.at(b.size())) }
 
-// MaxBeside returns how many other requests may run beside a request for its decode steps to take
+// MaxConcurrent returns how many other requests may run beside a request for its decode steps to take
 // no longer than step. It is negative if they take longer even without others.
-func (p *Profile) MaxBeside(step time.Duration) float64 {
+func (p *Profile) MaxConcurrent(step time.Duration) float64 {
 	ms := toMillis(step) * p.EventTokens()
 	return (ms - p.loadedInterval.at(unitSize)) / p.loadedInterval.at(vector{0, 1})
 }
@@ -212,21 +212,21 @@
 	}
 }
 
-// Beside is the work that an engine does beside a stream.
-type Beside struct {
+// Load is the work that an engine does beside a stream.
+type Load struct {
 	// Running is the number of other requests that the engine runs, and Read the number of prompt
 	// tokens that it prefills between two events of the stream.
-	Running int
-	Read    float64
+	Running       int
+	PrefillTokens float64
 }
 
 // size returns the size on which the time between two events depends: a constant, the concurrent
 // requests and the prefilled tokens.
-func (b Beside) size() vector { return vector{1, float64(max(b.Running, 0)), max(b.Read, 0)} }
+func (b Load) size() vector { return vector{1, float64(max(b.Running, 0)), max(b.PrefillTokens, 0)} }
 
-// Stretch returns the ratio of the actual to the expected length of an answer that a share
+// LengthRatio returns the ratio of the actual to the expected length of an answer that a share
 // lengthQuantile of the answers does not exceed.
-func (p *Profile) Stretch() float64 { return p.answerLengths.quantile }
+func (p *Profile) LengthRatio() float64 { return p.answerLengths.quantile }
 
 // ObserveAnswer records a complete answer: its number of events and the number of tokens that its
 // caller expected.
@@ -238,13 +238,13 @@
 	p.answerLengths.add(float64(events) * p.EventTokens() / float64(max(expected, 1)))
 }
 
-// ObservePace records the time that a number of consecutive events of a stream took, and the
+// ObserveEvents records the time that a number of consecutive events of a stream took, and the
 // engine's other work meanwhile.
 //
 // Concurrent prefill is a term of the model. When its estimated time was subtracted from the
 // sample instead, the rest was wrong for the steps of engines that prefill much: these steps
 // seemed slow and the engines were given still more to prefill.
-func (p *Profile) ObservePace(events int, took time.Duration, b Beside) {
+func (p *Profile) ObserveEvents(events int, took time.Duration, b Load) {
 	if events <= 0 {
 		return
 	}
--- a/internal/profile/profile_test.go
+++ b/internal/profile/profile_test.go
@@ -46,7 +46,7 @@
 	}
 	took := own*(1+0.15*r.Float64()) + ahead*(0.5+0.5*r.Float64()) + 2*r.Float64()
 	took *= slowdown(r)
-	p.ObserveRead(tokens, cached, ms(ahead), ms(took))
+	p.ObservePrefill(tokens, cached, ms(ahead), ms(took))
 	events := 1 + r.IntN(30)
 	span := float64(events-1) * e.eventTokens * e.stepMS * (1 + 0.1*r.Float64()) * slowdown(r)
 	expected := float64(events) * e.eventTokens * math.Exp(0.5*r.NormFloat64())
@@ -92,7 +92,7 @@
 func prefillError(e engine, p *profile.Profile) float64 {
 	sum := 0.0
 	for _, q := range [][2]int{{1500, 300}, {9000, 6000}, {17000, 0}} {
-		sum += math.Abs(inMS(p.ReadTime(q[0], q[1]))/e.prefillMS(q[0], q[1])-1) / 3
+		sum += math.Abs(inMS(p.PrefillTime(q[0], q[1]))/e.prefillMS(q[0], q[1])-1) / 3
 	}
 	return sum
 }
@@ -130,24 +130,24 @@
 func TestDistortedFirstSamplesAreOutweighed(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
-	p.ObserveRead(9000, 0, 0, 5*time.Second)
-	p.ObserveRead(9000, 0, 0, 5*time.Second)
+	p.ObservePrefill(9000, 0, 0, 5*time.Second)
+	p.ObservePrefill(9000, 0, 0, 5*time.Second)
 	for range 6 {
-		p.ObserveRead(9000, 0, 0, 40*time.Millisecond)
+		p.ObservePrefill(9000, 0, 0, 40*time.Millisecond)
 	}
-	is.True(p.KnowsReading())
-	is.True(p.ReadTime(9000, 0) < 60*time.Millisecond)
+	is.True(p.PrefillKnown())
+	is.True(p.PrefillTime(9000, 0) < 60*time.Millisecond)
 }
 
 // Samples without prefilled tokens, time of their own or events are ignored.
 func TestSamplesWithoutSizeAreIgnored(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
-	before := p.ReadTime(1000, 0)
-	p.ObserveRead(1000, 1000, 0, time.Second)
-	p.ObserveRead(1000, 0, time.Second, time.Second)
+	before := p.PrefillTime(1000, 0)
+	p.ObservePrefill(1000, 1000, 0, time.Second)
+	p.ObservePrefill(1000, 0, time.Second, time.Second)
 	observeStream(p, 0, time.Second, 10, 0)
-	is.Equal(p.ReadTime(1000, 0), before)
+	is.Equal(p.PrefillTime(1000, 0), before)
 }
 
 // A prefill in place takes twice as long, and its samples give the same estimate of the engine.
@@ -155,11 +155,11 @@
 	is := is.New(t)
 	p := profile.New()
 	for range 20 {
-		p.ObserveInPlace(2000, 0, 0, 80*time.Millisecond)
+		p.ObserveInPlacePrefill(2000, 0, 0, 80*time.Millisecond)
 	}
-	relErr := inMS(p.ReadTime(2000, 0))/40 - 1
+	relErr := inMS(p.PrefillTime(2000, 0))/40 - 1
 	is.True(math.Abs(relErr) < 0.1)
-	is.Equal(p.InPlaceTime(2000, 0), 2*p.ReadTime(2000, 0))
+	is.Equal(p.InPlacePrefillTime(2000, 0), 2*p.PrefillTime(2000, 0))
 }
 
 // The time of a handoff grows with the prompt; runs and plain requests have estimates of their own.
@@ -169,12 +169,12 @@
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		tokens := 1000 + r.IntN(20000)
-		p.ObserveHop(tokens, ms(7+0.0008*float64(tokens)))
+		p.ObserveHandoff(tokens, ms(7+0.0008*float64(tokens)))
 		p.ObserveRun(700 * time.Millisecond)
 		p.ObservePlain(30 * time.Millisecond)
 	}
-	is.True(math.Abs(inMS(p.HopTime(17000))/20.6-1) < 0.1)
-	is.True(math.Abs(inMS(p.HopTime(1000))/7.8-1) < 0.1)
+	is.True(math.Abs(inMS(p.HandoffTime(17000))/20.6-1) < 0.1)
+	is.True(math.Abs(inMS(p.HandoffTime(1000))/7.8-1) < 0.1)
 	is.True(math.Abs(inMS(p.RunTime())/700-1) < 0.05)
 	is.True(math.Abs(inMS(p.PlainTime())/30-1) < 0.05)
 }
@@ -197,7 +197,7 @@
 				t.Logf("beside %d requests: estimate is %.3f of the true time", beside, got/want)
 				is.True(math.Abs(got/want-1) < 0.1)
 			}
-			is.True(p.MaxBeside(ms(1.7)) < 0)
+			is.True(p.MaxConcurrent(ms(1.7)) < 0)
 		})
 	}
 }
@@ -206,15 +206,15 @@
 func TestLengthRatioIsEstimated(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
-	is.Equal(p.Stretch(), 2.0)
+	is.Equal(p.LengthRatio(), 2.0)
 	r := rand.New(rand.NewPCG(6, 6))
 	for range 400 {
 		expected := 1000.0
 		events := int(expected / 10 * math.Exp(0.5*r.NormFloat64()))
 		observeStream(p, events, time.Duration(events)*20*time.Millisecond, int(expected), 0)
 	}
-	is.True(p.Stretch() > 1.5)
-	is.True(p.Stretch() < 2.4)
+	is.True(p.LengthRatio() > 1.5)
+	is.True(p.LengthRatio() < 2.4)
 }
 
 // An event holds no more tokens than the maximum length of an answer allows, whatever its caller
@@ -237,7 +237,7 @@
 // observeStream records a complete stream: its events, the time from its first to its last event,
 // the tokens that its caller expected and the number of requests that ran beside it.
 func observeStream(p *profile.Profile, events int, took time.Duration, expected, beside int) {
-	p.ObservePace(events-1, took, profile.Beside{Running: beside})
+	p.ObserveEvents(events-1, took, profile.Load{Running: beside})
 	p.ObserveAnswer(events, expected)
 }
 
@@ -249,13 +249,13 @@
 			is := is.New(t)
 			r, p := rand.New(rand.NewPCG(7, 7)), profile.New()
 			for range 200 {
-				b := profile.Beside{Running: r.IntN(60), Read: 600 * r.Float64()}
-				pause := 40*(1+0.006*float64(b.Running)) + readMS*b.Read
-				p.ObservePace(16, ms(16*pause*(1+0.1*(r.Float64()-0.5))), b)
+				b := profile.Load{Running: r.IntN(60), PrefillTokens: 600 * r.Float64()}
+				pause := 40*(1+0.006*float64(b.Running)) + readMS*b.PrefillTokens
+				p.ObserveEvents(16, ms(16*pause*(1+0.1*(r.Float64()-0.5))), b)
 			}
-			for _, b := range []profile.Beside{{}, {Running: 60}, {Running: 30, Read: 500}} {
-				want := 40*(1+0.006*float64(b.Running)) + readMS*b.Read
-				got := inMS(p.PauseBeside(b))
+			for _, b := range []profile.Load{{}, {Running: 60}, {Running: 30, PrefillTokens: 500}} {
+				want := 40*(1+0.006*float64(b.Running)) + readMS*b.PrefillTokens
+				got := inMS(p.LoadedInterval(b))
 				t.Logf("%+v: estimate is %.3f of the true time", b, got/want)
 				is.True(math.Abs(got/want-1) < 0.1)
 			}
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -13,10 +13,10 @@
 	// With two, a request that twice happened to run beside the one at fault would be refused.
 	suspectCrashes    = 2
 	quarantineCrashes = 3
-	// Onset is how long after a request's first event a crash of its target may be blamed on it.
+	// BlameWindow is how long after a request's first event a crash of its target may be blamed on it.
 	// A request that runs for longer is not at fault, and a target that crashes later, with other
 	// requests running, says nothing about it.
-	Onset = 500 * time.Millisecond
+	BlameWindow = 500 * time.Millisecond
 	// othersFactor is how many times longer all other VMs wait than the VM that runs the trial:
 	// that VM may be down, or may not receive the request.
 	othersFactor = 12
@@ -30,12 +30,12 @@
 
 // ID identifies a request in the table.
 type ID struct {
-	Key   uint64
-	Print Fingerprint
+	Key         uint64
+	Fingerprint Fingerprint
 }
 
-// End describes the unexpected end of a target's run, soon after the target began to run a request.
-type End struct {
+// Crash describes the unexpected end of a target's run, soon after the target began to run a request.
+type Crash struct {
 	// Run identifies the target's run.
 	Run string
 	// Began is when the request was sent to the target, and At when the target crashed.
@@ -131,8 +131,8 @@
 type Verdict struct {
 	// ID is set only if the table has an entry of the request.
 	ID ID
-	// Ends is the number of targets that crashed as they began to run the request.
-	Ends int
+	// Crashes is the number of targets that crashed as they began to run the request.
+	Crashes int
 	// TrialAt is when the VM that runs the trial may send the request, and Until when all VMs
 	// may. Both are zero if the request is not quarantined.
 	TrialAt time.Time
@@ -141,7 +141,7 @@
 
 // Suspect returns whether the request may crash its target. A suspect is sent by itself, and this
 // system does not retry it.
-func (v Verdict) Suspect() bool { return v.Ends >= suspectCrashes }
+func (v Verdict) Suspect() bool { return v.Crashes >= suspectCrashes }
 
 // Quarantined returns whether the request must not be sent at now. tries says whether this VM is
 // the one that runs the trial.
@@ -153,7 +153,7 @@
 }
 
 func (e *entry) verdict() Verdict {
-	v := Verdict{ID: e.id, Ends: e.crashCount}
+	v := Verdict{ID: e.id, Crashes: e.crashCount}
 	if e.crashCount >= quarantineCrashes {
 		v.TrialAt, v.Until = e.trialAt(), e.quarantineEnd()
 	}
@@ -162,7 +162,7 @@
 
 // trialAt returns when one VM may try the request.
 func (e *entry) trialAt() time.Time {
-	return e.lastCrash.Add(min(jitter(trialTerm(e.crashCount), e.id.Print), term(e.crashCount)))
+	return e.lastCrash.Add(min(jitter(trialTerm(e.crashCount), e.id.Fingerprint), term(e.crashCount)))
 }
 
 // jitter lengthens a term by up to its own length, depending on the request's fingerprint:
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -26,7 +26,7 @@
 // storeRetry limits the calls to the store. A quarantine takes effect here and is sent to the
 // other VMs without the store: the stored record is for VMs that start when no other VM is left
 // to inform them.
-var storeRetry = kernel.Retrying{First: 300 * time.Millisecond, Most: 3 * time.Second,
+var storeRetry = kernel.RetryPolicy{InitialWait: 300 * time.Millisecond, MaxWait: 3 * time.Second,
 	Timeout: 2 * time.Second}
 
 // Keeper is a Table that also persists quarantines in the store, so that they outlive all
@@ -51,7 +51,7 @@
 // Start starts to load, save and expire the records in the background.
 func (k *Keeper) Start(context.Context) error {
 	k.Run(
-		func(ctx context.Context) { kernel.Until(ctx, storeRetry, k.load) },
+		func(ctx context.Context) { kernel.RetryUntilDone(ctx, storeRetry, k.load) },
 		k.saveLoop,
 		func(ctx context.Context) {
 			kernel.Every(ctx, expireInterval, func(context.Context) { k.Expire(k.clock()) })
@@ -60,27 +60,27 @@
 	return nil
 }
 
-// Ended records that a target crashed as it began to run a request.
-func (k *Keeper) Ended(r *Request, end End) {
-	v, starts := k.Table.Ended(r, end)
-	k.log.Warn(telemetry.EventTargetEnded, telemetry.F("target", end.Run),
-		telemetry.F("ran_ms", end.At.Sub(end.Began).Milliseconds()), telemetry.F("print", v.ID.Print),
-		telemetry.F("caller", r.Source), telemetry.F("ends", v.Ends))
+// RecordCrash records that a target crashed as it began to run a request.
+func (k *Keeper) RecordCrash(r *Request, end Crash) {
+	v, starts := k.Table.RecordCrash(r, end)
+	k.log.Warn(telemetry.EventTargetCrashed, telemetry.F("target", end.Run),
+		telemetry.F("ran_ms", end.At.Sub(end.Began).Milliseconds()), telemetry.F("print", v.ID.Fingerprint),
+		telemetry.F("caller", r.Source), telemetry.F("ends", v.Crashes))
 	if starts {
 		k.logQuarantined(v, "here")
 		k.queueSave(v.ID)
 	}
 }
 
-// Served records that a target has run a request successfully.
-func (k *Keeper) Served(r *Request) {
-	before := k.Judge(r, k.clock())
-	if !k.Table.Served(r) {
+// RecordSuccess records that a target has run a request successfully.
+func (k *Keeper) RecordSuccess(r *Request) {
+	before := k.Verdict(r, k.clock())
+	if !k.Table.RecordSuccess(r) {
 		return
 	}
-	k.log.Info(telemetry.EventCleared, telemetry.F("print", before.ID.Print),
-		telemetry.F("ends", before.Ends))
-	if before.Ends >= quarantineCrashes {
+	k.log.Info(telemetry.EventCleared, telemetry.F("print", before.ID.Fingerprint),
+		telemetry.F("ends", before.Crashes))
+	if before.Crashes >= quarantineCrashes {
 		k.queueSave(before.ID)
 	}
 }
@@ -93,7 +93,7 @@
 }
 
 func (k *Keeper) logQuarantined(v Verdict, from string) {
-	k.log.Warn(telemetry.EventQuarantined, telemetry.F("print", v.ID.Print), telemetry.F("ends", v.Ends),
+	k.log.Warn(telemetry.EventQuarantined, telemetry.F("print", v.ID.Fingerprint), telemetry.F("ends", v.Crashes),
 		telemetry.F("trial_s", int(v.TrialAt.Sub(k.clock()).Seconds())),
 		telemetry.F("until_s", int(v.Until.Sub(k.clock()).Seconds())), telemetry.F("from", from))
 }
@@ -116,7 +116,7 @@
 		case <-ctx.Done():
 			return
 		case id := <-k.unsaved:
-			kernel.Until(ctx, storeRetry, func(ctx context.Context) error { return k.saveRecord(ctx, id) })
+			kernel.RetryUntilDone(ctx, storeRetry, func(ctx context.Context) error { return k.saveRecord(ctx, id) })
 		}
 	}
 }
@@ -223,7 +223,7 @@
 // storeKey returns the key of the request's record: the prefix, then ID.Key and the fingerprint
 // in hexadecimal.
 func (id ID) storeKey() string {
-	return KeyPrefix + hex64(id.Key) + hex.EncodeToString(id.Print[:])
+	return KeyPrefix + hex64(id.Key) + hex.EncodeToString(id.Fingerprint[:])
 }
 
 func hex64(n uint64) string {
@@ -244,7 +244,7 @@
 	if id.Key, err = strconv.ParseUint(digits[:hashDigits], 16, 64); err != nil {
 		return ID{}, errors.Wrap(err, "key")
 	}
-	if _, err = hex.Decode(id.Print[:], []byte(digits[hashDigits:])); err != nil {
+	if _, err = hex.Decode(id.Fingerprint[:], []byte(digits[hashDigits:])); err != nil {
 		return ID{}, errors.Wrap(err, "print")
 	}
 	return id, nil
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -57,7 +57,7 @@
 	r := newRequest("a", 1)
 	for i := range 3 {
 		at := now.Add(time.Duration(i-3) * time.Second)
-		k.Ended(&r, quarantine.End{Run: fmt.Sprint("run", i), Began: at.Add(-time.Millisecond), At: at})
+		k.RecordCrash(&r, quarantine.Crash{Run: fmt.Sprint("run", i), Began: at.Add(-time.Millisecond), At: at})
 		if i < 2 {
 			is.Equal(countRecords(t, s), 0)
 		}
@@ -66,9 +66,9 @@
 
 	next := startKeeper(t, s, now)
 	eventually(t, "the next process loads the quarantine",
-		func() bool { return next.Judge(&r, now).Quarantined(now, true) })
-	is.Equal(next.Judge(&r, now).Ends, 3)
-	next.Served(&r)
+		func() bool { return next.Verdict(&r, now).Quarantined(now, true) })
+	is.Equal(next.Verdict(&r, now).Crashes, 3)
+	next.RecordSuccess(&r)
 	eventually(t, "the record is deleted", func() bool { return countRecords(t, s) == 0 })
 }
 
--- a/internal/quarantine/print.go
+++ b/internal/quarantine/print.go
@@ -38,8 +38,8 @@
 	Body []byte
 }
 
-// Print hashes the whole request. It takes about 30 µs for 40 KB.
-func (r *Request) Print() Fingerprint {
+// Fingerprint hashes the whole request. It takes about 30 µs for 40 KB.
+func (r *Request) Fingerprint() Fingerprint {
 	h := sha256.New()
 	r.writeHead(h)
 	// Write of a hash.Hash never returns an error.
@@ -56,7 +56,7 @@
 }
 
 // ID returns the request's ID. It hashes the whole body.
-func (r *Request) ID() ID { return ID{Key: r.Key(), Print: r.Print()} }
+func (r *Request) ID() ID { return ID{Key: r.Key(), Fingerprint: r.Fingerprint()} }
 
 // SourceKey returns a hash of Source.
 func (r *Request) SourceKey() uint64 {
--- a/internal/quarantine/print_test.go
+++ b/internal/quarantine/print_test.go
@@ -19,7 +19,7 @@
 func TestFingerprintTellsRequestsApart(t *testing.T) {
 	is := is.New(t)
 	first, again := request(), request()
-	is.Equal(first.Print(), again.Print())
+	is.Equal(first.Fingerprint(), again.Fingerprint())
 	is.Equal(first.Key(), again.Key())
 	changes := map[string]func(*quarantine.Request){
 		"account": func(r *quarantine.Request) { r.Account = "b" },
@@ -33,7 +33,7 @@
 	for name, change := range changes {
 		other := request()
 		change(&other)
-		if other.Print() == first.Print() {
+		if other.Fingerprint() == first.Fingerprint() {
 			t.Errorf("%s: changing it did not change the fingerprint", name)
 		}
 	}
@@ -54,7 +54,7 @@
 	r := request()
 	r.Body = bytes.Repeat([]byte("x"), 40<<10)
 	for b.Loop() {
-		r.Print()
+		r.Fingerprint()
 	}
 }
 
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -58,8 +58,8 @@
 	return t.entries[id], id
 }
 
-// Judge returns the verdict on a request, which is zero if the table has no valid entry of it.
-func (t *Table) Judge(r *Request, now time.Time) Verdict {
+// Verdict returns the verdict on a request, which is zero if the table has no valid entry of it.
+func (t *Table) Verdict(r *Request, now time.Time) Verdict {
 	e, _ := t.lookup(r)
 	if e == nil {
 		return Verdict{}
@@ -72,9 +72,9 @@
 	return e.verdict()
 }
 
-// Try starts the send of a suspect. It returns false while another send of the same request is in
+// BeginTrial starts the send of a suspect. It returns false while another send of the same request is in
 // progress, which could crash its target as well. If it returns true, Done must follow.
-func (t *Table) Try(id ID) bool {
+func (t *Table) BeginTrial(id ID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -88,8 +88,8 @@
 	return true
 }
 
-// Done ends a send that Try started.
-func (t *Table) Done(id ID) {
+// EndTrial ends a send that Try started.
+func (t *Table) EndTrial(id ID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[id]; e != nil && e.trials > 0 {
@@ -97,9 +97,9 @@
 	}
 }
 
-// Ended records that a target crashed as it began to run the request. It returns the verdict on
+// RecordCrash records that a target crashed as it began to run the request. It returns the verdict on
 // the request, and whether this crash started or extended its quarantine.
-func (t *Table) Ended(r *Request, end End) (v Verdict, starts bool) {
+func (t *Table) RecordCrash(r *Request, end Crash) (v Verdict, starts bool) {
 	id := r.ID()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,9 +110,9 @@
 	return e.verdict(), e.crashCount >= quarantineCrashes && e.crashCount > before
 }
 
-// Served records that a target has run the request successfully: the known crashes are not its
+// RecordSuccess records that a target has run the request successfully: the known crashes are not its
 // fault. It returns whether any crash was counted against the request.
-func (t *Table) Served(r *Request) bool {
+func (t *Table) RecordSuccess(r *Request) bool {
 	e, id := t.lookup(r)
 	if e == nil {
 		return false
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -27,25 +27,25 @@
 // crashedAt records a crash of a run to which the request was sent 100 ms before.
 func crashedAt(table *quarantine.Table, r *quarantine.Request, run string,
 	at time.Time) (quarantine.Verdict, bool) {
-	return table.Ended(r, quarantine.End{Run: run, Began: at.Add(-100 * time.Millisecond), At: at})
+	return table.RecordCrash(r, quarantine.Crash{Run: run, Began: at.Add(-100 * time.Millisecond), At: at})
 }
 
 func TestThirdEndBeginsTheQuarantine(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
 	r := newRequest("a", 1)
-	is.Equal(table.Judge(&r, start).Ends, 0)
+	is.Equal(table.Verdict(&r, start).Crashes, 0)
 	for i, want := range []bool{false, false, true} {
 		_, starts := crashed(table, &r, i)
 		is.Equal(starts, want)
 	}
-	v := table.Judge(&r, start)
+	v := table.Verdict(&r, start)
 	is.True(v.Suspect() && v.Quarantined(start, true) && v.Quarantined(start, false))
 	beside := newRequest("a", 2)
-	is.True(!table.Judge(&beside, start).Suspect())
+	is.True(!table.Verdict(&beside, start).Suspect())
 	// The account is part of a request's identity.
 	same := newRequest("b", 1)
-	is.True(!table.Judge(&same, start).Suspect())
+	is.True(!table.Verdict(&same, start).Suspect())
 }
 
 // A request that many callers send alike runs on all targets of a service. When these crash
@@ -57,11 +57,11 @@
 	for i := range 12 {
 		crashedAt(table, &r, fmt.Sprint("run", i), start.Add(time.Duration(i)*5*time.Millisecond))
 	}
-	is.Equal(table.Judge(&r, start).Ends, 1)
+	is.Equal(table.Verdict(&r, start).Crashes, 1)
 	// A run that began later counts as the second crash.
 	_, starts := crashedAt(table, &r, "next", start.Add(time.Second))
 	is.True(!starts)
-	is.Equal(table.Judge(&r, start).Ends, 2)
+	is.Equal(table.Verdict(&r, start).Crashes, 2)
 }
 
 // Several attempts of a request on one target crash with it. That counts as one crash.
@@ -72,7 +72,7 @@
 	for range 5 {
 		crashedAt(table, &r, "run", start)
 	}
-	is.Equal(table.Judge(&r, start).Ends, 1)
+	is.Equal(table.Verdict(&r, start).Crashes, 1)
 }
 
 // A prompt that many callers send alike is involved in many crashes that it does not cause. A
@@ -85,13 +85,13 @@
 		crashed(here, &r, i)
 	}
 	there.Merge(here.TakeChanged(start), start)
-	is.True(there.Served(&r))
+	is.True(there.RecordSuccess(&r))
 	here.Merge(there.TakeChanged(start), start)
-	is.True(!here.Judge(&r, start).Quarantined(start, false))
+	is.True(!here.Verdict(&r, start).Quarantined(start, false))
 	// A snapshot from before the clearing changes nothing.
 	is.Equal(len(here.Merge(there.Top(10, start), start)), 0)
-	is.Equal(here.Judge(&r, start).Ends, 0)
-	is.True(!here.Served(&r)) // there is nothing left to clear
+	is.Equal(here.Verdict(&r, start).Crashes, 0)
+	is.True(!here.RecordSuccess(&r)) // there is nothing left to clear
 }
 
 // A request that ran beside another one at three crashes is soon tried again by one VM. Each
@@ -104,7 +104,7 @@
 	for n, want := range []time.Duration{0, 0, 5 * time.Second, time.Minute, 10 * time.Minute,
 		24 * time.Hour, 24 * time.Hour} {
 		crashedAt(table, &r, fmt.Sprint("run", n), now)
-		v := table.Judge(&r, now)
+		v := table.Verdict(&r, now)
 		if want == 0 {
 			is.True(!v.Quarantined(now, true) && !v.Quarantined(now, false))
 			now = now.Add(time.Second)
@@ -127,11 +127,11 @@
 	id := r.ID()
 	crashed(table, &r, 0)
 	crashed(table, &r, 1)
-	is.True(table.Judge(&r, start).Suspect())
-	is.True(table.Try(id))
-	is.True(!table.Try(id))
-	table.Done(id)
-	is.True(table.Try(id))
+	is.True(table.Verdict(&r, start).Suspect())
+	is.True(table.BeginTrial(id))
+	is.True(!table.BeginTrial(id))
+	table.EndTrial(id)
+	is.True(table.BeginTrial(id))
 }
 
 func TestEndsAreForgotten(t *testing.T) {
@@ -140,7 +140,7 @@
 	r := newRequest("a", 1)
 	crashed(table, &r, 0)
 	later := start.Add(10 * time.Minute)
-	is.Equal(table.Judge(&r, later).Ends, 0)
+	is.Equal(table.Verdict(&r, later).Crashes, 0)
 	snapshots := table.Top(10, later)
 	table.Expire(later)
 	is.Equal(table.Size(), 0)
@@ -164,9 +164,9 @@
 		crashedAt(table, &other, "run", start.Add(time.Duration(i)*time.Millisecond))
 	}
 	is.True(table.Size() <= 1025)
-	is.Equal(table.Judge(&mine, start).Ends, 1)
+	is.Equal(table.Verdict(&mine, start).Crashes, 1)
 	// An account's harmless requests do not displace its own request that is at fault either.
-	is.Equal(table.Judge(&deadly, start).Ends, 2)
+	is.Equal(table.Verdict(&deadly, start).Crashes, 2)
 	for i := range 9 {
 		for j := range 1000 {
 			other := newRequest(fmt.Sprint("c", i), j)
@@ -174,7 +174,7 @@
 		}
 	}
 	is.True(table.Size() <= 8192)
-	is.Equal(table.Judge(&mine, start).Ends, 1)
+	is.Equal(table.Verdict(&mine, start).Crashes, 1)
 }
 
 // VMs that merge each other's snapshots in any order, late or twice reach the same state.
@@ -191,7 +191,7 @@
 			case 0:
 				crashedAt(table, &r, fmt.Sprint("run", rapid.IntRange(0, 5).Draw(t, "run")), now)
 			case 1:
-				table.Served(&r)
+				table.RecordSuccess(&r)
 			case 2:
 				snapshots = append(snapshots, table.Top(10, now)...)
 			}
@@ -206,9 +206,9 @@
 				}
 			}
 		}
-		first := tables[0].Judge(&r, now)
+		first := tables[0].Verdict(&r, now)
 		for _, table := range tables[1:] {
-			if v := table.Judge(&r, now); v.Ends != first.Ends || !v.Until.Equal(first.Until) {
+			if v := table.Verdict(&r, now); v.Crashes != first.Crashes || !v.Until.Equal(first.Until) {
 				t.Fatalf("%+v and %+v", first, v)
 			}
 		}
@@ -220,7 +220,7 @@
 	r := newRequest("a", 1)
 	r.Body = make([]byte, 40<<10)
 	for b.Loop() {
-		table.Judge(&r, start)
+		table.Verdict(&r, start)
 	}
 }
 
@@ -233,6 +233,6 @@
 	r := newRequest("a", 1)
 	r.Body = make([]byte, 40<<10)
 	for b.Loop() {
-		table.Judge(&r, start)
+		table.Verdict(&r, start)
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -17,8 +17,8 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// Need describes the attempt for which a Router chooses a target.
-type Need struct {
+// RouteRequest describes the attempt for which a Router chooses a target.
+type RouteRequest struct {
 	// Service is the service that the request is for.
 	Service string
 	// Role is the role that the target must have.
@@ -27,8 +27,8 @@
 	Prefix uint64
 	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int
-	// Avoid names targets on which this request has already failed.
-	Avoid []string
+	// Exclude names targets on which this request has already failed.
+	Exclude []string
 	// Retry marks a further attempt of a request that was already admitted.
 	Retry bool
 }
@@ -60,12 +60,12 @@
 // Router chooses targets.
 type Router interface {
 	// Route chooses a target for an attempt. Its error is an *errkind.Error.
-	Route(Need) (Route, error)
+	Route(RouteRequest) (Route, error)
 	// Find returns the address of the target called name, and whether that target is known.
 	Find(name string) (address string, ok bool)
-	// Split reports whether the service has separate prefill and decode engines, so that a
+	// HasSeparatePrefill reports whether the service has separate prefill and decode engines, so that a
 	// request should use one of each.
-	Split(service string) bool
+	HasSeparatePrefill(service string) bool
 }
 
 // Config holds the relay's limits.
@@ -156,13 +156,13 @@
 	return r.http.Do(req)
 }
 
-// Whole serves a non-streaming request. The response is buffered until it is complete, so a
+// ServeBuffered serves a non-streaming request. The response is buffered until it is complete, so a
 // request that fails on one engine can be retried on another. Its error is an *errkind.Error;
 // nothing has been written to w then.
-func (r *Relay) Whole(ctx context.Context, w http.ResponseWriter, c *Call) error {
+func (r *Relay) ServeBuffered(ctx context.Context, w http.ResponseWriter, c *Call) error {
 	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
-	need := Need{Service: c.Service, Role: target.RoleBoth, Prefix: c.Chat.Prefix, PromptTokens: c.Chat.PromptTokens}
+	need := RouteRequest{Service: c.Service, Role: target.RoleBoth, Prefix: c.Chat.Prefix, PromptTokens: c.Chat.PromptTokens}
 	var targetErr error
 	for {
 		route, err := r.router.Route(need)
@@ -177,7 +177,7 @@
 			return contextError(ctx, err)
 		}
 		targetErr = err
-		need.Avoid = append(need.Avoid, route.Name)
+		need.Exclude = append(need.Exclude, route.Name)
 		need.Retry = true
 		if resp.final || !c.takeRetry(time.Now()) {
 			return targetErr
@@ -251,7 +251,7 @@
 func (r *Relay) classifyResponse(resp *http.Response, body []byte, route Route) (response, error) {
 	whole := response{status: resp.StatusCode, header: resp.Header, body: body}
 	switch {
-	case target.VouchesNotRun(ErrorCode(body)):
+	case target.MeansNotRun(ErrorCode(body)):
 		route.Done(OutcomeRefused)
 		e := errkind.New(errkind.TargetFailed, "the engine refused the request: %s", ErrorCode(body))
 		e.Outcome = errkind.NotRun
@@ -337,7 +337,7 @@
 // prefill processes the prompt on a prefill engine and returns a reference to the resulting KV
 // cache. After an error, the request falls back to a single engine for prefill and decode.
 func (r *Relay) prefill(ctx context.Context, c *Call) (target.KVTransfer, error) {
-	route, err := r.router.Route(Need{
+	route, err := r.router.Route(RouteRequest{
 		Service: c.Service, Role: target.RolePrefill, Prefix: c.Chat.Prefix, PromptTokens: c.Chat.PromptTokens,
 	})
 	if err != nil {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -124,11 +124,11 @@
 }
 
 // Route implements Router.
-func (f *fakeRouter) Route(n Need) (Route, error) {
+func (f *fakeRouter) Route(n RouteRequest) (Route, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range f.engines {
-		if slices.Contains(n.Avoid, e.Name) || (f.split && strings.HasPrefix(e.Name, "p") != (n.Role == target.RolePrefill)) {
+		if slices.Contains(n.Exclude, e.Name) || (f.split && strings.HasPrefix(e.Name, "p") != (n.Role == target.RolePrefill)) {
 			continue
 		}
 		e.Done = func(o Outcome) {
@@ -151,8 +151,8 @@
 	return "", false
 }
 
-// Split implements Router.
-func (f *fakeRouter) Split(string) bool { return f.split }
+// HasSeparatePrefill implements Router.
+func (f *fakeRouter) HasSeparatePrefill(string) bool { return f.split }
 
 // fixture is a relay with engines behind proxies and an HTTP server for callers.
 type fixture struct {
@@ -213,9 +213,9 @@
 	}
 	tracker := &headerTrackingWriter{ResponseWriter: w}
 	if chat.Stream {
-		err = f.relay.Stream(r.Context(), tracker, call)
+		err = f.relay.ServeStream(r.Context(), tracker, call)
 	} else {
-		err = f.relay.Whole(r.Context(), tracker, call)
+		err = f.relay.ServeBuffered(r.Context(), tracker, call)
 	}
 	f.errs <- err
 	if err != nil && !tracker.headerSent {
