--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -68,10 +68,10 @@
 // errCallerGone: writing to the caller failed.
 var errCallerGone = errors.New("relay: caller closed the connection")
 
-// Stream serves a streaming request. A failure before the first event is returned and nothing
+// ServeStream serves a streaming request. A failure before the first event is returned and nothing
 // has been written to w. Once the first event has been written, a failure is also reported in
 // the stream, and an incomplete stream never ends with the [DONE] event.
-func (r *Relay) Stream(ctx context.Context, w http.ResponseWriter, c *Call) error {
+func (r *Relay) ServeStream(ctx context.Context, w http.ResponseWriter, c *Call) error {
 	s := &streamState{replayable: c.Chat.singleChoice}
 	out := newEventWriter(w)
 	defer out.release()
@@ -121,12 +121,12 @@
 // marks a further attempt of the request.
 func (r *Relay) chooseRoute(c *Call, avoid []string, retry bool) (Route, error) {
 	role := target.RoleBoth
-	if r.router.Split(c.Service) {
+	if r.router.HasSeparatePrefill(c.Service) {
 		role = target.RoleDecode
 	}
-	return r.router.Route(Need{
+	return r.router.Route(RouteRequest{
 		Service: c.Service, Role: role, Prefix: c.Chat.Prefix, PromptTokens: c.Chat.PromptTokens,
-		Avoid: avoid, Retry: retry,
+		Exclude: avoid, Retry: retry,
 	})
 }
 
@@ -216,7 +216,7 @@
 		return OutcomeOK
 	case errors.Is(err, errCallerGone):
 		return OutcomeAbandoned
-	case errors.As(err, &e) && e.Answer().Outcome == errkind.NotRun && !NeverSent(err):
+	case errors.As(err, &e) && e.Response().Outcome == errkind.NotRun && !NeverSent(err):
 		return OutcomeRefused
 	}
 	return OutcomeFailed
@@ -232,7 +232,7 @@
 		}
 		return c.Chat.continueBody(s.text, s.base)
 	}
-	if s.kvImportFailed || !r.router.Split(c.Service) {
+	if s.kvImportFailed || !r.router.HasSeparatePrefill(c.Service) {
 		return c.Chat.body, nil
 	}
 	kv, err := r.prefill(ctx, c)
@@ -330,7 +330,7 @@
 	switch {
 	case resuming && resp.StatusCode == http.StatusNotFound:
 		return recoverable(errUnknownStream)
-	case target.VouchesNotRun(code):
+	case target.MeansNotRun(code):
 		s.kvImportFailed = s.kvImportFailed || code == target.CodeTransferFailed
 		e := errkind.New(errkind.TargetFailed, "the engine refused the request: %s", code)
 		e.Outcome = errkind.NotRun
--- a/internal/roles/replay_test.go
+++ b/internal/roles/replay_test.go
@@ -240,7 +240,7 @@
 // towards another.
 func limitChanges(from, to Split) Split {
 	for range maxChanges {
-		take, give, ok := Step(from, to)
+		take, give, ok := NextChange(from, to)
 		if !ok {
 			return from
 		}
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -227,11 +227,11 @@
 	return best
 }
 
-// Step returns the next single role change on the way from one split to another:
+// NextChange returns the next single role change on the way from one split to another:
 // the role to take an engine from and the role to give it. ok is false if the
 // splits are equal, or if the change would take away the last engine that does
 // prefill or decode.
-func Step(from, to Split) (take, give Role, ok bool) {
+func NextChange(from, to Split) (take, give Role, ok bool) {
 	for _, r := range allRoles {
 		if from.count(r) > to.count(r) {
 			take = r
--- a/internal/roles/roles_test.go
+++ b/internal/roles/roles_test.go
@@ -32,13 +32,13 @@
 
 func TestStepNeverTakesTheLastEngine(t *testing.T) {
 	is := is.New(t)
-	_, _, ok := Step(Split{Prefill: 1, Decode: 3}, Split{Prefill: 0, Decode: 3, Both: 1})
+	_, _, ok := NextChange(Split{Prefill: 1, Decode: 3}, Split{Prefill: 0, Decode: 3, Both: 1})
 	is.True(!ok) // no engine would do prefill during the change
-	take, give, ok := Step(Split{Prefill: 2, Decode: 3}, Split{Prefill: 1, Decode: 4})
+	take, give, ok := NextChange(Split{Prefill: 2, Decode: 3}, Split{Prefill: 1, Decode: 4})
 	is.True(ok)
 	is.Equal(take, RolePrefill)
 	is.Equal(give, RoleDecode)
-	_, _, ok = Step(Split{Both: 1}, Split{Prefill: 1})
+	_, _, ok = NextChange(Split{Both: 1}, Split{Prefill: 1})
 	is.True(!ok)
 }
 
@@ -51,7 +51,7 @@
 		to := rapid.SampledFrom(all).Draw(rt, "to")
 		want := from.Changes(to)
 		for i := range want {
-			take, give, ok := Step(from, to)
+			take, give, ok := NextChange(from, to)
 			if !ok {
 				return
 			}
--- a/internal/route/busy.go
+++ b/internal/route/busy.go
@@ -9,11 +9,11 @@
 	maxWorkSamples = 16
 )
 
-// Busy measures how much work a target did per second over the last
+// WorkRate measures how much work a target did per second over the last
 // workWindow, from its reports of the total work done so far. With work counted
 // in seconds the result is the share of the time in which the target was busy.
 // It is not safe for concurrent use.
-type Busy struct {
+type WorkRate struct {
 	samples []workSample
 }
 
@@ -26,7 +26,7 @@
 // Report records that the target had done work in total by time at, in
 // seconds. A total below the last one, as after a restart of the target,
 // discards all samples. A report no newer than the last is ignored.
-func (b *Busy) Report(at, work float64) {
+func (b *WorkRate) Report(at, work float64) {
 	n := len(b.samples)
 	switch {
 	case n > 0 && at <= b.samples[n-1].at:
@@ -44,8 +44,8 @@
 	}
 }
 
-// Share returns the work done per second, or zero before the second report.
-func (b *Busy) Share() float64 {
+// PerSecond returns the work done per second, or zero before the second report.
+func (b *WorkRate) PerSecond() float64 {
 	n := len(b.samples)
 	if n < 2 {
 		return 0
--- a/internal/route/heat.go
+++ b/internal/route/heat.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Heat estimates the arrival rate of each prefix at this entry, by counts that
+// Rates estimates the arrival rate of each prefix at this entry, by counts that
 // decay exponentially. It is a hash table of fixed size; of the prefixes that
 // share a slot, the one in it stays while its decayed count is at least 1. It is
 // not safe for concurrent use.
-type Heat struct {
+type Rates struct {
 	slots []rateSlot
 	// window is the time constant of the counts, in seconds.
 	window float64
@@ -23,14 +23,14 @@
 	since float64
 }
 
-// NewHeat returns an estimator with size slots, which must be a power of two,
+// NewRates returns an estimator with size slots, which must be a power of two,
 // whose counts decay with the time constant window, in seconds.
-func NewHeat(size int, window float64) *Heat {
-	return &Heat{slots: make([]rateSlot, size), window: window}
+func NewRates(size int, window float64) *Rates {
+	return &Rates{slots: make([]rateSlot, size), window: window}
 }
 
 // Add counts an arrival of the prefix at time now, in seconds.
-func (h *Heat) Add(prefix uint64, now float64) {
+func (h *Rates) Add(prefix uint64, now float64) {
 	s := &h.slots[mix(prefix)&uint64(len(h.slots)-1)]
 	count := s.count * math.Exp((s.at-now)/h.window)
 	switch {
@@ -49,7 +49,7 @@
 // arrival gives no rate, so it counts as zero. A second one shortly after gives
 // a high rate at once, so that a prefix that suddenly becomes hot is spread over
 // more targets within moments.
-func (h *Heat) Rate(prefix uint64, now float64) float64 {
+func (h *Rates) Rate(prefix uint64, now float64) float64 {
 	s := &h.slots[mix(prefix)&uint64(len(h.slots)-1)]
 	if s.key != prefix {
 		return 0
--- a/internal/route/load.go
+++ b/internal/route/load.go
@@ -50,10 +50,10 @@
 	l.busyUntil = max(l.busyUntil, at) + seconds
 }
 
-// Reported returns the wait at the time of the last report, in seconds. While
+// ReportedWait returns the wait at the time of the last report, in seconds. While
 // requests keep arriving it estimates the present wait better than the time from
 // busyUntil, which does not include what other entries have sent since then.
-func (l *Load) Reported() float64 { return max(l.reportedUntil-l.reportedAt, 0) }
+func (l *Load) ReportedWait() float64 { return max(l.reportedUntil-l.reportedAt, 0) }
 
-// Until returns the estimated time at which the target finishes its queued work.
-func (l *Load) Until() float64 { return l.busyUntil }
+// BusyUntil returns the estimated time at which the target finishes its queued work.
+func (l *Load) BusyUntil() float64 { return l.busyUntil }
--- a/internal/route/replay_test.go
+++ b/internal/route/replay_test.go
@@ -89,8 +89,8 @@
 type entryView struct {
 	targets []Target
 	loads   []Load
-	busy    []Busy
-	memory  *Memory
+	busy    []WorkRate
+	memory  *State
 	read    []int // how many reports of each engine's history have arrived
 	next    int   // the next engine of the round-robin policy
 }
@@ -98,9 +98,9 @@
 // newEntryView returns the view of an entry that has no reports yet.
 // newEntryView returns the view of an entry that has no reports yet.
 func newEntryView(s scenario) *entryView {
-	v := &entryView{targets: make([]Target, s.engines), loads: make([]Load, s.engines), busy: make([]Busy, s.engines), read: make([]int, s.engines), memory: &Memory{Seen: NewSeen(1<<14, 300), Heat: NewHeat(1<<12, 10)}}
+	v := &entryView{targets: make([]Target, s.engines), loads: make([]Load, s.engines), busy: make([]WorkRate, s.engines), read: make([]int, s.engines), memory: &State{Caches: NewCaches(1<<14, 300), Rates: NewRates(1<<12, 10)}}
 	for i := range v.targets {
-		v.targets[i] = Target{Hash: mix(uint64(i) + 1), Roles: Whole}
+		v.targets[i] = Target{Hash: mix(uint64(i) + 1), Roles: EndToEnd}
 	}
 	return v
 }
@@ -122,7 +122,7 @@
 		if n := v.read[i]; n > 0 {
 			v.busy[i].Report(now-age, e.history[n-1].work)
 		}
-		v.targets[i].Until, v.targets[i].Busy = v.loads[i].Until(), v.busy[i].Share()
+		v.targets[i].BusyUntil, v.targets[i].Busy = v.loads[i].BusyUntil(), v.busy[i].PerSecond()
 	}
 }
 
@@ -156,14 +156,14 @@
 			v = views[rnd.IntN(s.entries)]
 		}
 		v.refresh(engines, now, s)
-		v.memory.Heat.Add(prefix, now)
-		r := Request{Now: now, Role: Whole, Prefix: prefix, Entries: s.views(), Seconds: seconds, CachedSeconds: seconds * cachedShare, Random: rnd.Uint64()}
+		v.memory.Rates.Add(prefix, now)
+		r := Request{Now: now, Role: EndToEnd, Prefix: prefix, Entries: s.views(), Seconds: seconds, CachedSeconds: seconds * cachedShare, Random: rnd.Uint64()}
 		i := choose(v, r, rnd)
 		work := seconds
-		if v.memory.Seen.Has(prefix, v.targets[i].Hash, now) {
+		if v.memory.Caches.Has(prefix, v.targets[i].Hash, now) {
 			work *= 1 - cachedShare
 		}
-		v.memory.Seen.Set(prefix, v.targets[i].Hash, now)
+		v.memory.Caches.Set(prefix, v.targets[i].Hash, now)
 		v.loads[i].Sent(now, work)
 		wait, hit := engines[i].run(now, seconds, prefix)
 		if n < s.requests/2 {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -16,18 +16,18 @@
 const (
 	Prefill Roles = 1 << iota
 	Decode
-	// Whole is the role of serving a request from the prompt to the last token.
-	Whole
+	// EndToEnd is the role of serving a request from the prompt to the last token.
+	EndToEnd
 )
 
 // Target is one candidate with its state as this entry knows it.
 type Target struct {
 	// Hash identifies the target for rendezvous hashing.
 	Hash uint64
-	// Until is when the target will have finished the queued prefill work, in
+	// BusyUntil is when the target will have finished the queued prefill work, in
 	// seconds on the clock of Request.Now: the work last reported plus the work
 	// that this entry has sent since.
-	Until float64
+	BusyUntil float64
 	// Busy is the share of recent time that the target spent on prefill. It
 	// changes slowly, so an outdated report matters less than for the wait.
 	Busy float64
@@ -104,13 +104,13 @@
 	missCost = 3
 )
 
-// Memory is what an entry remembers about prefixes for its choices in one
+// State is what an entry remembers about prefixes for its choices in one
 // service. It is not safe for concurrent use.
-type Memory struct {
-	// Seen records which targets have which prefixes cached.
-	Seen *Seen
-	// Heat estimates how often each prefix arrives at this entry.
-	Heat *Heat
+type State struct {
+	// Caches records which targets have which prefixes cached.
+	Caches *Caches
+	// Rates estimates how often each prefix arrives at this entry.
+	Rates *Rates
 }
 
 // Pick chooses one of the targets. A prefix has as many homes as its arrival
@@ -118,7 +118,7 @@
 // as the rate at this entry times the number of entries, so spreading a hot
 // prefix needs no reports. Of two homes the one with the lower cost is chosen:
 // the wait, the load, and the extra work if the prefix is not cached there.
-func Pick(targets []Target, r Request, m *Memory) Choice {
+func Pick(targets []Target, r Request, m *State) Choice {
 	var top [maxTopHomes]int
 	remote := false
 	n := rendezvous(targets, r, remote, top[:])
@@ -129,7 +129,7 @@
 	if n == 0 {
 		return Choice{Index: -1, Reason: ReasonNone}
 	}
-	homeCount := homesFor(r, m.Heat)
+	homeCount := homesFor(r, m.Rates)
 	a, b := top[0], top[min(1, n-1)]
 	switch {
 	case homeCount > n && n == maxTopHomes:
@@ -144,7 +144,7 @@
 }
 
 // homesFor returns how many homes the prefix of r needs.
-func homesFor(r Request, rates *Heat) int {
+func homesFor(r Request, rates *Rates) int {
 	if r.Prefix == 0 {
 		return 1
 	}
@@ -174,9 +174,9 @@
 
 // pickCheaper chooses the cheaper of the targets a and b, which are homes of the
 // request's prefix if it has homeCount of them. first is the first home.
-func pickCheaper(targets []Target, r Request, m *Memory, a, b, homeCount, first int) Choice {
-	costA := targets[a].cost(r, homeCount > 1 || a == first, m.Seen)
-	costB := targets[b].cost(r, homeCount > 1 || b == first, m.Seen)
+func pickCheaper(targets []Target, r Request, m *State, a, b, homeCount, first int) Choice {
+	costA := targets[a].cost(r, homeCount > 1 || a == first, m.Caches)
+	costB := targets[b].cost(r, homeCount > 1 || b == first, m.Caches)
 	i := a
 	if costB < costA {
 		i = b
@@ -198,11 +198,11 @@
 }
 
 // wait returns the estimated time until prefill starts, in seconds.
-func (t *Target) wait(now float64) float64 { return max(t.Until-now, 0) }
+func (t *Target) wait(now float64) float64 { return max(t.BusyUntil-now, 0) }
 
 // cost returns the cost of sending r to t, in seconds. home means that t is a
 // home of the prefix, which is then assumed to be cached.
-func (t *Target) cost(r Request, home bool, caches *Seen) float64 {
+func (t *Target) cost(r Request, home bool, caches *Caches) float64 {
 	p := t.wait(r.Now) + busyCost*t.Busy
 	if t.Slots > 0 {
 		p += batchCost * t.Running / t.Slots
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -9,20 +9,20 @@
 	"pgregory.net/rapid"
 )
 
-func newMemory() *Memory { return &Memory{Seen: NewSeen(1<<14, 300), Heat: NewHeat(1<<12, 10)} }
+func newState() *State { return &State{Caches: NewCaches(1<<14, 300), Rates: NewRates(1<<12, 10)} }
 
 // newTargets returns n idle targets.
 func newTargets(n int) []Target {
 	out := make([]Target, n)
 	for i := range out {
-		out[i] = Target{Hash: mix(uint64(i) + 1), Roles: Whole, Slots: 32}
+		out[i] = Target{Hash: mix(uint64(i) + 1), Roles: EndToEnd, Slots: 32}
 	}
 	return out
 }
 
 // newRequest returns a request of a prefix, half of whose prefill a cache saves.
 func newRequest(prefix uint64) Request {
-	return Request{Now: 1, Role: Whole, Prefix: prefix, Entries: 8, Seconds: 0.1, CachedSeconds: 0.05, Random: 42}
+	return Request{Now: 1, Role: EndToEnd, Prefix: prefix, Entries: 8, Seconds: 0.1, CachedSeconds: 0.05, Random: 42}
 }
 
 // Pick never chooses a blocked target, one of another role, or a remote one
@@ -30,13 +30,13 @@
 func TestPickChoosesEligible(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		targets := newTargets(rapid.IntRange(1, 30).Draw(rt, "n"))
-		m := newMemory()
+		m := newState()
 		local, remote := 0, 0
 		for i := range targets {
 			targets[i].Blocked = rapid.Bool().Draw(rt, "blocked")
 			targets[i].Remote = rapid.Bool().Draw(rt, "remote")
 			targets[i].Roles = Roles(rapid.IntRange(1, 7).Draw(rt, "roles"))
-			targets[i].Until = rapid.Float64Range(0, 9).Draw(rt, "until")
+			targets[i].BusyUntil = rapid.Float64Range(0, 9).Draw(rt, "until")
 			if targets[i].Blocked || targets[i].Roles&Decode == 0 {
 				continue
 			}
@@ -49,7 +49,7 @@
 		r := newRequest(rapid.Uint64().Draw(rt, "prefix"))
 		r.Role, r.Random = Decode, rapid.Uint64().Draw(rt, "random")
 		for range rapid.IntRange(0, 50).Draw(rt, "arrivals") {
-			m.Heat.Add(r.Prefix, 1)
+			m.Rates.Add(r.Prefix, 1)
 		}
 		c := Pick(targets, r, m)
 		if c.Index < 0 {
@@ -70,30 +70,30 @@
 func TestSamePrefixSameHome(t *testing.T) {
 	is := is.New(t)
 	targets := newTargets(12)
-	first := Pick(targets, newRequest(77), newMemory())
+	first := Pick(targets, newRequest(77), newState())
 	is.Equal(first.Reason, ReasonPrefix)
 	other := newRequest(77)
 	other.Random = 4711
-	is.Equal(Pick(targets, other, newMemory()).Index, first.Index) // another entry's choice
+	is.Equal(Pick(targets, other, newState()).Index, first.Index) // another entry's choice
 	targets[first.Index].Blocked = true
-	second := Pick(targets, newRequest(77), newMemory())
+	second := Pick(targets, newRequest(77), newState())
 	is.True(second.Index != first.Index)
 	targets[first.Index].Blocked = false
-	targets[first.Index].Until = 1.1 // a short queue costs less than a cache miss
-	is.Equal(Pick(targets, newRequest(77), newMemory()).Index, first.Index)
-	targets[first.Index].Until = 60
-	is.Equal(Pick(targets, newRequest(77), newMemory()).Index, second.Index) // a long one costs more
+	targets[first.Index].BusyUntil = 1.1 // a short queue costs less than a cache miss
+	is.Equal(Pick(targets, newRequest(77), newState()).Index, first.Index)
+	targets[first.Index].BusyUntil = 60
+	is.Equal(Pick(targets, newRequest(77), newState()).Index, second.Index) // a long one costs more
 }
 
 // A hot prefix is spread over many targets without any report.
 func TestHotPrefixIsSpread(t *testing.T) {
 	is := is.New(t)
-	targets, m := newTargets(12), newMemory()
+	targets, m := newTargets(12), newState()
 	used := map[int]int{}
 	for i := range 200 {
 		r := newRequest(77)
 		r.Now, r.Random = float64(i)*0.05, mix(uint64(i))
-		m.Heat.Add(77, r.Now)
+		m.Rates.Add(77, r.Now)
 		used[Pick(targets, r, m).Index]++
 	}
 	is.True(len(used) > 6)
@@ -108,13 +108,13 @@
 	var l Load
 	l.Report(10, 12)
 	l.Sent(11, 0.5)
-	is.Equal(l.Until(), 12.5)
+	is.Equal(l.BusyUntil(), 12.5)
 	l.Report(10.5, 11.5) // made before the work was sent: both count
-	is.Equal(l.Until(), 12.0)
+	is.Equal(l.BusyUntil(), 12.0)
 	l.Report(11.2, 11.9) // made after the work was sent: it includes it
-	is.Equal(l.Until(), 11.9)
+	is.Equal(l.BusyUntil(), 11.9)
 	l.Report(10.8, 99) // arrives out of order and is ignored
-	is.Equal(l.Until(), 11.9)
+	is.Equal(l.BusyUntil(), 11.9)
 }
 
 // A target is set aside after two failures, for a time that doubles, and then gets
@@ -147,7 +147,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{12, 217} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			targets, m := newTargets(n), newMemory()
+			targets, m := newTargets(n), newState()
 			b.ReportAllocs()
 			i := uint64(0)
 			for b.Loop() {
@@ -162,35 +162,35 @@
 
 func TestBusyShare(t *testing.T) {
 	is := is.New(t)
-	var b Busy
-	is.Equal(b.Share(), 0.0)
+	var b WorkRate
+	is.Equal(b.PerSecond(), 0.0)
 	for i := range 200 { // half busy, then idle
 		at := float64(i)
 		b.Report(at, min(at, 100)/2)
 		is.True(len(b.samples) <= maxWorkSamples+2)
 		if i == 90 {
-			is.True(b.Share() > 0.49 && b.Share() < 0.51)
+			is.True(b.PerSecond() > 0.49 && b.PerSecond() < 0.51)
 		}
 	}
-	is.True(b.Share() < 0.01) // the busy time has left the window
-	b.Report(150, 20)         // out of order: ignored
+	is.True(b.PerSecond() < 0.01) // the busy time has left the window
+	b.Report(150, 20)             // out of order: ignored
 	is.True(len(b.samples) > 2)
 	b.Report(300, 0) // the target restarted: the samples are discarded
-	is.Equal(b.Share(), 0.0)
+	is.Equal(b.PerSecond(), 0.0)
 	b.Report(299, 7) // out of order: ignored
-	is.Equal(b.Share(), 0.0)
+	is.Equal(b.PerSecond(), 0.0)
 }
 
 // Of two homes with equal waits the less busy one is chosen once the prefix is
 // cached at both.
 func TestLessBusyHomeIsChosen(t *testing.T) {
 	is := is.New(t)
-	targets, m := newTargets(12), newMemory()
+	targets, m := newTargets(12), newState()
 	first := Pick(targets, newRequest(77), m).Index
 	targets[first].Blocked = true
 	second := Pick(targets, newRequest(77), m).Index
 	targets[first].Blocked = false
-	m.Seen.Set(77, targets[second].Hash, 1)
+	m.Caches.Set(77, targets[second].Hash, 1)
 	is.Equal(Pick(targets, newRequest(77), m).Index, first)
 	targets[first].Busy = 0.9
 	is.Equal(Pick(targets, newRequest(77), m).Index, second)
--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -203,7 +203,7 @@
 	planned := Plan(PlanInput{
 		Need: need, Min: s.Min, Max: s.Max, SpotPrice: s.SpotPrice, Idle: now.Sub(c.lastBusyAt[name]) > idleTimeout, DataCentres: dataCentres,
 	})
-	due := c.dueOrders(name, dataCentres, planned, s.Boot, now)
+	due := c.dueOrders(name, dataCentres, planned, s.BootTime, now)
 	if len(due) == 0 || !c.writeJournal(ctx, t, name, need, due) {
 		return
 	}
--- a/internal/scaling/controller_test.go
+++ b/internal/scaling/controller_test.go
@@ -75,7 +75,7 @@
 	t.Cleanup(s.time.Restore)
 	keeper := fleet.NewKeeper()
 	keeper.SetConfig(fleet.NewConfig(1, nil, []*fleet.Service{{Name: "m", Scaling: &fleet.Scaling{
-		Min: 1, Max: 20, Boot: time.Second, SpotPrice: 0.2, Prices: map[string]float64{"a": 1, "b": 1},
+		Min: 1, Max: 20, BootTime: time.Second, SpotPrice: 0.2, Prices: map[string]float64{"a": 1, "b": 1},
 	}}}, fleet.Limits{}))
 	s.platform = &fakePlatform{keeper: keeper}
 	s.platform.set("a", false, 10)
--- a/internal/scaling/series_test.go
+++ b/internal/scaling/series_test.go
@@ -111,7 +111,7 @@
 	t.Cleanup(sim.Restore)
 	keeper := fleet.NewKeeper()
 	keeper.SetConfig(fleet.NewConfig(1, nil, []*fleet.Service{{Name: "m", Scaling: &fleet.Scaling{
-		Min: 1, Max: maxPerDataCentre, Boot: boot, SpotPrice: 0.15, Prices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1},
+		Min: 1, Max: maxPerDataCentre, BootTime: boot, SpotPrice: 0.15, Prices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1},
 	}}}, fleet.Limits{}))
 	p := &simulatedPlatform{keeper: keeper, serving: make(map[pool]int), booting: make(map[pool]bootingEngines)}
 	for _, dataCentre := range []string{"a", "b", "c"} {
--- a/internal/settings/programs.go
+++ b/internal/settings/programs.go
@@ -125,12 +125,12 @@
 	PrefillTokensPerS float64 `json:"prefill_tokens_per_s"`
 	// DecodeTokensPerS is the throughput of an engine that does only decode.
 	DecodeTokensPerS float64 `json:"decode_tokens_per_s"`
-	// Mixed is the throughput of an engine that does both, as a fraction of that of an engine
+	// MixedFactor is the throughput of an engine that does both, as a fraction of that of an engine
 	// that does only one; above 0 and at most 1.
-	Mixed float64 `json:"mixed"`
-	// Away is the working time that an engine loses with a change of its role, including the
+	MixedFactor float64 `json:"mixed"`
+	// RoleChangeTime is the working time that an engine loses with a change of its role, including the
 	// drain before it and the cold cache after it.
-	Away Duration `json:"away"`
+	RoleChangeTime Duration `json:"away"`
 }
 
 // DefaultSteward returns the default settings of garnet-steward.
@@ -144,7 +144,7 @@
 		EngineReadTimeout: Duration(5 * time.Second),
 		RoleInterval:      Duration(5 * time.Second),
 		Engine: EngineSpeed{
-			PrefillTokensPerS: 20000, DecodeTokensPerS: 2500, Mixed: 0.8, Away: Duration(8 * time.Second),
+			PrefillTokensPerS: 20000, DecodeTokensPerS: 2500, MixedFactor: 0.8, RoleChangeTime: Duration(8 * time.Second),
 		},
 	}
 }
@@ -174,10 +174,10 @@
 	if !(e.DecodeTokensPerS > 0) {
 		dec.addProblem("engine.decode_tokens_per_s", "must be above zero")
 	}
-	if !(e.Mixed > 0 && e.Mixed <= 1) {
+	if !(e.MixedFactor > 0 && e.MixedFactor <= 1) {
 		dec.addProblem("engine.mixed", "must be above 0 and at most 1")
 	}
-	dec.requirePositive("engine.away", int64(e.Away))
+	dec.requirePositive("engine.away", int64(e.RoleChangeTime))
 }
 
 // Standin holds the settings of garnet-standin, which simulates a platform or a target.
--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -16,11 +16,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Probes configures keep-alive probes on a connection that has been idle for a second, the shortest
+// KeepAlive configures keep-alive probes on a connection that has been idle for a second, the shortest
 // time that the kernel supports. Together with a limit on unacknowledged data, the second probe
 // ends the connection two seconds after the peer became silent. This is before interactive callers
 // give up a stream, which they do after two seconds at the earliest.
-var Probes = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 1}
+var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 1}
 
 // acceptedProbeCount is the number of unanswered probes after which an accepted connection ends.
 const acceptedProbeCount = 3
@@ -37,9 +37,9 @@
 	return lc.Listen(ctx, "tcp", address)
 }
 
-// SetUnacked limits how long data written to c may remain unacknowledged, and how long the peer may
+// SetUnackedTimeout limits how long data written to c may remain unacknowledged, and how long the peer may
 // keep its receive window closed. It has no effect on connections other than TCP.
-func SetUnacked(c net.Conn, d time.Duration) error {
+func SetUnackedTimeout(c net.Conn, d time.Duration) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return nil
@@ -55,7 +55,7 @@
 // unacknowledged. timeout limits the time to connect.
 func Dialer(timeout, unacked time.Duration) *net.Dialer {
 	return &net.Dialer{
-		Timeout: timeout, KeepAliveConfig: Probes,
+		Timeout: timeout, KeepAliveConfig: KeepAlive,
 		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, unacked) },
 	}
 }
--- a/internal/soak/accounts.go
+++ b/internal/soak/accounts.go
@@ -122,7 +122,7 @@
 	if w.keys == nil {
 		return
 	}
-	for _, what := range w.cloud.Broken() {
+	for _, what := range w.cloud.Violations() {
 		w.check.Duty(false, what, w.now())
 	}
 	reports := w.cloud.Reports()
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -89,7 +89,7 @@
 			kind := kindsOfCall[r.IntN(len(kindsOfCall))]
 			reply := w.ask(c, v, ids.next(), kind)
 			kernel.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(think)))
-			if reply.Err != nil || reply.Last || ctx.Err() != nil {
+			if reply.Err != nil || reply.Closes || ctx.Err() != nil {
 				break
 			}
 		}
@@ -122,7 +122,7 @@
 	}
 	w.check.Sent(id, v.name, kind.once, w.now())
 	w.check.Named(id, account, key)
-	reply := c.Ask(platformtest.Call{ID: id, Path: "/" + kind.route + "/x", Tokens: kind.tokens, Body: soundBody(id), Timeout: callTimeout, Key: key})
+	reply := c.Do(platformtest.Call{ID: id, Path: "/" + kind.route + "/x", Tokens: kind.tokens, Body: soundBody(id), Timeout: callTimeout, Key: key})
 	a := answerOf(id, kind, reply)
 	w.check.Answered(id, a, w.now())
 	w.count(kind.name() + " " + outcome(a, reply))
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -39,7 +39,7 @@
 		}
 		id := fmt.Sprint(deadlyPrefix, kind.route, "-", deadlyIDs.Add(1))
 		w.check.Sent(id, v.name, kind.once, w.now())
-		reply := c.Ask(platformtest.Call{ID: id, Path: "/" + kind.route + "/x", Tokens: kind.tokens, Body: deadlyBody, Timeout: callTimeout})
+		reply := c.Do(platformtest.Call{ID: id, Path: "/" + kind.route + "/x", Tokens: kind.tokens, Body: deadlyBody, Timeout: callTimeout})
 		a := answerOf(id, kind, reply)
 		w.check.Answered(id, a, w.now())
 		w.count("deadly " + kind.route + " " + outcome(a, reply))
--- a/internal/soak/deal.go
+++ b/internal/soak/deal.go
@@ -222,7 +222,7 @@
 	s.mu.Unlock()
 	e.SetFault(f)
 	kernel.Sleep(ctx, d)
-	e.SetFault(platformtest.EngineSound)
+	e.SetFault(platformtest.EngineHealthy)
 }
 
 // take marks a slot's target as going, unless it goes already or the service
@@ -256,7 +256,7 @@
 	if e == nil {
 		return
 	}
-	w.store.Put(platformtest.TableTargets, e.ID, platformtest.Leaving(platformtest.At(e.Row(s.service, s.dataCentre()), s.link.Addr())))
+	w.store.Put(platformtest.TableTargets, e.ID, platformtest.WithLeaving(platformtest.WithAddress(e.Row(s.service, s.dataCentre()), s.link.Addr())))
 	w.check.Leaves(e.ID, w.now())
 	kernel.Sleep(ctx, leaveTakes)
 	w.store.Remove(platformtest.TableTargets, e.ID)
@@ -295,7 +295,7 @@
 func (w *world) foreign(ctx context.Context, s *slot) {
 	s.mu.Lock()
 	e := s.engine
-	sound := platformtest.At(e.Row(s.service, s.dataCentre()), s.link.Addr())
+	sound := platformtest.WithAddress(e.Row(s.service, s.dataCentre()), s.link.Addr())
 	s.mu.Unlock()
 	for i, entry := range platformtest.ForeignEntries(sound) {
 		w.store.PutBytes(platformtest.TableTargets, fmt.Sprintf("foreign-%d", i), entry)
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -186,7 +186,7 @@
 }
 
 func (w *world) list(s *slot, e *platformtest.Engine) {
-	w.store.Put(platformtest.TableTargets, e.ID, platformtest.At(e.Row(s.service, s.dataCentre()), s.link.Addr()))
+	w.store.Put(platformtest.TableTargets, e.ID, platformtest.WithAddress(e.Row(s.service, s.dataCentre()), s.link.Addr()))
 }
 
 func (w *world) addVM(i int) error {
@@ -321,7 +321,7 @@
 	for _, s := range w.slots {
 		s.link.Heal()
 		s.mu.Lock()
-		s.engine.SetFault(platformtest.EngineSound)
+		s.engine.SetFault(platformtest.EngineHealthy)
 		s.mu.Unlock()
 	}
 }
@@ -338,12 +338,12 @@
 	if request, ok := deadlyRequest(id); ok {
 		o.w.check.Killed(request, e.ID, o.w.now(), o.w.now()+settled)
 	}
-	o.w.check.Ran(id, e.ID, platformtest.HandleRequest(source), o.w.now())
+	o.w.check.Ran(id, e.ID, platformtest.RequestOfHandle(source), o.w.now())
 }
 
 // endings maps the stand-in's endings.
 var endings = map[platformtest.Ending]Ending{
-	platformtest.Whole: Written, platformtest.HungUp: HungUp, platformtest.Spoiled: Spoiled,
+	platformtest.EndedComplete: Written, platformtest.EndedByPeer: HungUp, platformtest.EndedByFault: Spoiled,
 }
 
 func (o observer) Ended(_ *platformtest.Engine, id string, how platformtest.Ending) {
--- a/internal/stages/controller.go
+++ b/internal/stages/controller.go
@@ -82,8 +82,8 @@
 	ErrUnknown = errors.New("stages: outcome of the order unknown")
 )
 
-// Engines reads the reports of engines and sends them orders.
-type Engines interface {
+// EngineClient reads the reports of engines and sends them orders.
+type EngineClient interface {
 	// Report returns the current state of engine t.
 	Report(ctx context.Context, t *fleet.Target) (Report, error)
 	// Order sends o at most once. It calls stillHeld immediately before it writes the first byte
@@ -95,11 +95,11 @@
 type Config struct {
 	// VM is the name of this VM.
 	VM string
-	// Share is the share of engines that prefill, from 0 to 1.
-	Share float64
-	// Gap is the minimum time between one lease holder's last order and the first order of the
+	// PrefillShare is the share of engines that prefill, from 0 to 1.
+	PrefillShare float64
+	// HandoverGap is the minimum time between one lease holder's last order and the first order of the
 	// next holder.
-	Gap time.Duration
+	HandoverGap time.Duration
 }
 
 // Controller plans the stages of all model engines and, while this VM holds the lease, orders the
@@ -109,7 +109,7 @@
 	cfg     Config
 	keeper  *fleet.Keeper
 	table   store.Table
-	engines Engines
+	engines EngineClient
 	lease   *lease.Lease
 	clock   lease.Clock
 	log     *telemetry.Logger
@@ -144,7 +144,7 @@
 
 // New returns a controller that does nothing until Start. The clock must also count the time for
 // which the machine is suspended.
-func New(cfg Config, keeper *fleet.Keeper, table store.Table, engines Engines, clock lease.Clock, incarnation uint64, log *telemetry.Logger) *Controller {
+func New(cfg Config, keeper *fleet.Keeper, table store.Table, engines EngineClient, clock lease.Clock, incarnation uint64, log *telemetry.Logger) *Controller {
 	lc := lease.Config{DataCentre: "all", Service: "stages", Holder: cfg.VM, Incarnation: incarnation, TTL: leaseTTL}
 	return &Controller{
 		cfg: cfg, keeper: keeper, table: table, engines: engines, clock: clock, log: log,
@@ -155,19 +155,19 @@
 	}
 }
 
-// SetView sets the functions that return the streams at an engine and whether another VM has
+// SetEngineState sets the functions that return the streams at an engine and whether another VM has
 // ordered an engine to change its stage. It must be called before Start.
-func (c *Controller) SetView(load Load, changing func(engine string) bool) {
+func (c *Controller) SetEngineState(load Load, changing func(engine string) bool) {
 	c.load, c.changingElsewhere = load, changing
 }
 
-// SetDemand sets the function that returns how many decode engines the running requests of a
+// SetDecodeDemand sets the function that returns how many decode engines the running requests of a
 // service fill. It must be called before Start.
-func (c *Controller) SetDemand(demand func([]*fleet.Target) float64) { c.decodeDemand = demand }
+func (c *Controller) SetDecodeDemand(demand func([]*fleet.Target) float64) { c.decodeDemand = demand }
 
-// SetPressed sets the function that reports whether prompts queue at the prefill engines of a
+// SetPrefillBacklog sets the function that reports whether prompts queue at the prefill engines of a
 // service. It must be called before Start.
-func (c *Controller) SetPressed(f func([]*fleet.Target) bool) { c.prefillBacklogged = f }
+func (c *Controller) SetPrefillBacklog(f func([]*fleet.Target) bool) { c.prefillBacklogged = f }
 
 // SetCandidate sets the function that reports whether this VM may contend for the lease; in a
 // large group a few candidates are enough. It must be called before Start.
@@ -232,7 +232,7 @@
 		c.journalFence = t.Fence
 	}
 	c.removeClosedOrders(ctx, t, v)
-	if t.Fence > 1 && c.clock()-t.Since < c.cfg.Gap+propagationDelay {
+	if t.Fence > 1 && c.clock()-t.Since < c.cfg.HandoverGap+propagationDelay {
 		// The previous holder may have sent an order until the end of its tenure.
 		return
 	}
@@ -257,7 +257,7 @@
 // no more than the engines that decoding does not need.
 func (c *Controller) prefillCount(targets []*fleet.Target) int {
 	staying, _ := countEngines(targets)
-	share := int(math.Round(c.cfg.Share * float64(staying)))
+	share := int(math.Round(c.cfg.PrefillShare * float64(staying)))
 	return min(share, staying-c.minDecodeCount(targets))
 }
 
--- a/internal/stages/stages_test.go
+++ b/internal/stages/stages_test.go
@@ -199,7 +199,7 @@
 
 // newController returns a controller that plans half of the engines to prefill.
 func newController(vm string, k *fleet.Keeper, table store.Table, e *engines, c lease.Clock) *stages.Controller {
-	return stages.New(stages.Config{VM: vm, Share: 0.5, Gap: gap}, k, table, e, c, 1, telemetry.Discard())
+	return stages.New(stages.Config{VM: vm, PrefillShare: 0.5, HandoverGap: gap}, k, table, e, c, 1, telemetry.Discard())
 }
 
 // start starts a controller and stops it at the end of the test.
@@ -287,7 +287,7 @@
 	}
 	k.ApplyTargets(changes, 1)
 	e := &engines{keepers: []*fleet.Keeper{k}}
-	start(t, stages.New(stages.Config{VM: "a", Share: 0.5, Gap: gap}, k, table, e, bootClock, 1, telemetry.Discard()))
+	start(t, stages.New(stages.Config{VM: "a", PrefillShare: 0.5, HandoverGap: gap}, k, table, e, bootClock, 1, telemetry.Discard()))
 	eventually(t, "half of the engines are ordered to change", func() bool { return len(e.sent()) == count/2 })
 	eventually(t, "the journal is empty", func() bool {
 		rows, err := table.List(context.Background(), stages.KeyPrefix)
@@ -308,9 +308,9 @@
 	}
 	k.ApplyTargets(changes, 1)
 	e := &engines{keepers: []*fleet.Keeper{k}}
-	c := stages.New(stages.Config{VM: "a", Share: 0.8, Gap: gap}, k, store.NewMemory(), e, bootClock, 1, telemetry.Discard())
+	c := stages.New(stages.Config{VM: "a", PrefillShare: 0.8, HandoverGap: gap}, k, store.NewMemory(), e, bootClock, 1, telemetry.Discard())
 	var asked atomic.Int64
-	c.SetDemand(func([]*fleet.Target) float64 {
+	c.SetDecodeDemand(func([]*fleet.Target) float64 {
 		if asked.Add(1) > 3 {
 			return 0
 		}
@@ -430,7 +430,7 @@
 	k := newKeeper()
 	c := newController("a", k, store.NewMemory(), &engines{keepers: []*fleet.Keeper{k}}, bootClock)
 	var asked, blocked atomic.Bool
-	c.SetDemand(func([]*fleet.Target) float64 {
+	c.SetDecodeDemand(func([]*fleet.Target) float64 {
 		answered := make(chan struct{})
 		go func() {
 			c.Changing(engine("1", "a", fleet.Decode))
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -51,7 +51,7 @@
 		return
 	}
 	v, err := p.Memory.Commit(r.Context(), txn)
-	answer(w, httpstore.CommitAnswer{Version: v}, err)
+	answer(w, httpstore.CommitResponse{Version: v}, err)
 }
 
 func (p *Platform) putObject(w http.ResponseWriter, r *http.Request) {
@@ -78,7 +78,7 @@
 
 func (p *Platform) vms(w http.ResponseWriter, r *http.Request) {
 	l, err := p.Memory.VMs(r.Context(), noRevision)
-	tag := httpstore.Revision(l.Revision)
+	tag := httpstore.RevisionETag(l.Revision)
 	if err == nil && r.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
 		return
@@ -94,7 +94,7 @@
 		return
 	}
 	wait, err := p.Memory.Reserve(r.Context(), req.Model, req.Bytes)
-	answer(w, httpstore.ReserveAnswer{WaitMS: int64(wait / time.Millisecond)}, err)
+	answer(w, httpstore.ReserveResponse{WaitMS: int64(wait / time.Millisecond)}, err)
 }
 
 func (p *Platform) setFault(_ http.ResponseWriter, r *http.Request) {
--- a/internal/steward/controller.go
+++ b/internal/steward/controller.go
@@ -98,7 +98,7 @@
 		c.drain = drain{}
 		c.plan = newRolePlan(c.cfg)
 		c.store.Merge([]*api.Item{gossip.LeaseItem(c.gossip.Self().DataCentre, c.service, c.gossip.Self().VM, t.Fence)}, "")
-		c.gossip.Spread()
+		c.gossip.RequestUrgentRound()
 		c.log.Info(telemetry.EventLeaseAcquired, telemetry.F("service", c.service), telemetry.F("fence", t.Fence))
 	case !held && c.holding:
 		c.lostAt = c.clock()
@@ -224,7 +224,7 @@
 // that is being drained already is preferred to the first one by name. The only engine
 // that serves the row's model is skipped, so that it does not block the change of the
 // others.
-func (c *controller) chooseEngine(row table.Row, targets []gossip.TargetView) (tv gossip.TargetView, want target.Want, ok bool) {
+func (c *controller) chooseEngine(row table.Row, targets []gossip.TargetView) (tv gossip.TargetView, want target.DesiredState, ok bool) {
 	for _, t := range targets {
 		w, due := c.pendingChange(row, t)
 		if !due || (servesModel(t, row.Model) && !otherServesModel(t.Name, row.Model, targets)) {
@@ -243,25 +243,25 @@
 // pendingChange returns the configuration that an engine is to have, and whether the
 // engine has another one and can be changed now. An engine whose last order was just
 // done is left alone for maxViewLag.
-func (c *controller) pendingChange(row table.Row, t gossip.TargetView) (target.Want, bool) {
+func (c *controller) pendingChange(row table.Row, t gossip.TargetView) (target.DesiredState, bool) {
 	if t.Status == nil || !t.Status.GetReachable() || t.Leaving() || t.Status.GetChanging() {
-		return target.Want{}, false
+		return target.DesiredState{}, false
 	}
 	if at, ok := c.orderDoneAt[t.Name]; ok && c.clock()-at < c.maxViewLag() {
-		return target.Want{}, false
+		return target.DesiredState{}, false
 	}
-	want := target.Want{Role: c.plan.desiredRole(t), Model: row.Model, Version: row.Version, Adapters: row.Adapters}
+	want := target.DesiredState{Role: c.plan.desiredRole(t), Model: row.Model, Version: row.Version, Adapters: row.Adapters}
 	return want, !reportedConfig(t.Status).Equal(want)
 }
 
 // reportedConfig returns the configuration that an engine's gossiped report shows.
-func reportedConfig(s *api.Target) target.Want {
-	return target.Want{Role: target.Role(s.GetRole()), Model: s.GetModel(), Version: s.GetVersion(), Adapters: s.GetAdapters()}
+func reportedConfig(s *api.Target) target.DesiredState {
+	return target.DesiredState{Role: target.Role(s.GetRole()), Model: s.GetModel(), Version: s.GetVersion(), Adapters: s.GetAdapters()}
 }
 
 // statusConfig returns the configuration that an engine's own status shows.
-func statusConfig(s target.Status) target.Want {
-	return target.Want{Role: s.Role, Model: s.Model, Version: s.Version, Adapters: s.Adapters}
+func statusConfig(s target.Status) target.DesiredState {
+	return target.DesiredState{Role: s.Role, Model: s.Model, Version: s.Version, Adapters: s.Adapters}
 }
 
 // maxViewLag returns how far the view of an engine may lag behind the engine: the time
@@ -273,7 +273,7 @@
 // drainAndOrder drains an engine and, once it is idle and the weight store allows the
 // load, sends it an order to take the configuration want. Each call advances this as
 // far as possible without waiting.
-func (c *controller) drainAndOrder(ctx context.Context, t lease.Tenure, row table.Row, tv gossip.TargetView, want target.Want) error {
+func (c *controller) drainAndOrder(ctx context.Context, t lease.Tenure, row table.Row, tv gossip.TargetView, want target.DesiredState) error {
 	if servesModel(tv, row.Model) {
 		if settled, err := c.ensureDrained(tv.Name); err != nil || !settled {
 			return err
@@ -294,7 +294,7 @@
 	if err != nil || wait > 0 {
 		return errors.Wrap(err, "reserve a load from the weight store")
 	}
-	err = c.sender.Give(ctx, tv.Name, tv.Address, row.Fencing, want)
+	err = c.sender.Issue(ctx, tv.Name, tv.Address, row.Fencing, want)
 	c.log.Info(telemetry.EventOrderSent, telemetry.F("service", c.service), telemetry.F("target", tv.Name),
 		telemetry.F("role", want.Role), telemetry.F("version", want.Version), telemetry.F("fence", t.Fence), telemetry.F("err", err))
 	c.decisions.recordOrder(c.service, tv.Name, want, err)
@@ -373,6 +373,6 @@
 		seq = last.GetSeq() + 1
 	}
 	c.store.Merge([]*api.Item{gossip.DrainItem(name, on, c.fence, seq)}, "")
-	c.gossip.Spread()
+	c.gossip.RequestUrgentRound()
 	return nil
 }
--- a/internal/steward/grants.go
+++ b/internal/steward/grants.go
@@ -36,7 +36,7 @@
 // fence.
 type tenureAllocator struct {
 	fence     uint64
-	allocator *limit.Book
+	allocator *limit.Allocator
 }
 
 // newGrantAllocators returns allocators without grants.
@@ -52,11 +52,11 @@
 	defer g.mu.Unlock()
 	alloc, ok := g.byService[row.Service]
 	if !ok || alloc.fence != t.Fence {
-		alloc = &tenureAllocator{fence: t.Fence, allocator: limit.NewBook(t.Since + grantTTL + grantMargin)}
+		alloc = &tenureAllocator{fence: t.Fence, allocator: limit.NewAllocator(t.Since + grantTTL + grantMargin)}
 		g.byService[row.Service] = alloc
 	}
 	pool := limit.Pool(limit.Limits{RatePerS: row.RatePerS, InFlight: row.InFlight}, len(row.Engines))
-	return alloc.allocator.Grant(pool, limit.Ask{
+	return alloc.allocator.Grant(pool, limit.Demand{
 		VM:   req.GetVm(),
 		Want: limit.Limits{RatePerS: req.GetWantPerS(), InFlight: int(req.GetWantInFlight())},
 		// The holder counts a grant for longer than the entry may use it, so that no
--- a/internal/steward/poller.go
+++ b/internal/steward/poller.go
@@ -140,10 +140,10 @@
 // publish puts an item into the store. If it changes more than the target's load, it
 // is logged and spread by gossip at once.
 func (p *poller) publish(t gossip.TargetView, it *api.Item) {
-	if len(p.store.Merge([]*api.Item{it}, "")) == 0 || !p.store.IsState(it.GetKey()) {
+	if len(p.store.Merge([]*api.Item{it}, "")) == 0 || !p.store.LastChangeIsState(it.GetKey()) {
 		return
 	}
-	p.gossip.Spread()
+	p.gossip.RequestUrgentRound()
 	p.log.Info(telemetry.EventTargetState, telemetry.F("target", t.Name), telemetry.F("state", StateName(it.GetTarget(), t)),
 		telemetry.F("role", it.GetTarget().GetRole()))
 }
--- a/internal/steward/records.go
+++ b/internal/steward/records.go
@@ -57,7 +57,7 @@
 
 // recordOrder records that an engine was sent an order, or the error of sending it,
 // and returns the record's id.
-func (h *decisionHistory) recordOrder(service, engine string, want target.Want, err error) string {
+func (h *decisionHistory) recordOrder(service, engine string, want target.DesiredState, err error) string {
 	cause := "the engine's configuration was not that of the service's row"
 	if err != nil {
 		cause = err.Error()
--- a/internal/steward/roleplan.go
+++ b/internal/steward/roleplan.go
@@ -123,7 +123,7 @@
 	p.engines = engines
 	p.pendingRoles = map[string]roles.Role{}
 	p.planner = roles.NewPlanner(roles.Config{
-		Engines: engines, Mixed: p.speed.Mixed, Away: p.speed.Away.D().Seconds(), ChangeCost: row.ChangeCost,
+		Engines: engines, Mixed: p.speed.MixedFactor, Away: p.speed.RoleChangeTime.D().Seconds(), ChangeCost: row.ChangeCost,
 	}, current)
 }
 
@@ -168,7 +168,7 @@
 // with the fewest running requests among those of the role that has too many. The
 // decision is recorded and logged.
 func (c *controller) beginRoleChange(row table.Row, serving []gossip.TargetView, current roles.Split, d roles.Decision, mix roles.Mix) {
-	from, to, ok := roles.Step(current, d.Target)
+	from, to, ok := roles.NextChange(current, d.Target)
 	if !ok {
 		return
 	}
--- a/internal/steward/server.go
+++ b/internal/steward/server.go
@@ -191,8 +191,8 @@
 
 // applyErrorKind returns the error kind for an error of tableSync.applyEdit.
 func applyErrorKind(err error) errkind.Kind {
-	var conflict *table.Conflict
-	var invalid table.Invalid
+	var conflict *table.ConflictError
+	var invalid table.InvalidError
 	switch {
 	case errors.As(err, &conflict):
 		return errkind.TableConflict
--- a/internal/steward/tablesync.go
+++ b/internal/steward/tablesync.go
@@ -104,7 +104,7 @@
 // merge puts items into the store and, if any is new, spreads them by gossip at once.
 func (t *tableSync) merge(items []*api.Item) {
 	if len(t.store.Merge(items, "")) > 0 {
-		t.gossip.Spread()
+		t.gossip.RequestUrgentRound()
 	}
 }
 
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -25,8 +25,8 @@
 type Rows struct {
 	Rows     []Row
 	Revision uint64
-	// Now is the reading of the store's monotonic clock when it responded; 0 means unknown.
-	Now time.Duration
+	// StoreTime is the reading of the store's monotonic clock when it responded; 0 means unknown.
+	StoreTime time.Duration
 }
 
 // Delta is the changes to a table after revision From, which one VM forwards to others.
@@ -35,11 +35,11 @@
 	From uint64
 	// Rows holds the changes, and the revision that they lead to.
 	Rows Rows
-	// WasAway is true if the store had been unreachable before the changes were read.
-	WasAway bool
-	// SinceBack is how long the store had been reachable again when the changes were read; 0
-	// if it was still unreachable. It is set only with WasAway.
-	SinceBack time.Duration
+	// AfterOutage is true if the store had been unreachable before the changes were read.
+	AfterOutage bool
+	// SinceRecovery is how long the store had been reachable again when the changes were read; 0
+	// if it was still unreachable. It is set only with AfterOutage.
+	SinceRecovery time.Duration
 }
 
 // Feed reads a table of the store and its changes.
--- a/internal/store/httpstore/client.go
+++ b/internal/store/httpstore/client.go
@@ -94,8 +94,8 @@
 	return rs, err
 }
 
-// CommitAnswer is the body of the response to a commit.
-type CommitAnswer struct {
+// CommitResponse is the body of the response to a commit.
+type CommitResponse struct {
 	Version uint64 `json:"version"`
 }
 
@@ -105,7 +105,7 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "encode transaction")
 	}
-	var a CommitAnswer
+	var a CommitResponse
 	err = c.write(ctx, http.MethodPost, PathCommit, body, &a)
 	return a.Version, err
 }
@@ -124,7 +124,7 @@
 // VMs implements store.VMList.
 func (c *Client) VMs(ctx context.Context, known uint64) (store.VMListing, error) {
 	var l store.VMListing
-	data, err := c.getIfChanged(ctx, PathVMs, Revision(known))
+	data, err := c.getIfChanged(ctx, PathVMs, RevisionETag(known))
 	if err != nil || data == nil {
 		return store.VMListing{Revision: known}, err
 	}
@@ -134,11 +134,11 @@
 	return l, nil
 }
 
-// Revision returns the ETag of a revision of the VM list.
-func Revision(r uint64) string { return `"` + strconv.FormatUint(r, 10) + `"` }
+// RevisionETag returns the ETag of a revision of the VM list.
+func RevisionETag(r uint64) string { return `"` + strconv.FormatUint(r, 10) + `"` }
 
-// ReserveAnswer is the body of the weight store's response. WaitMS is 0 if the load is granted.
-type ReserveAnswer struct {
+// ReserveResponse is the body of the weight store's response. WaitMS is 0 if the load is granted.
+type ReserveResponse struct {
 	WaitMS int64 `json:"wait_ms"`
 }
 
@@ -154,7 +154,7 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "encode reservation")
 	}
-	var a ReserveAnswer
+	var a ReserveResponse
 	err = c.write(ctx, http.MethodPost, PathWeights, body, &a)
 	return time.Duration(a.WaitMS) * time.Millisecond, err
 }
--- a/internal/table/check.go
+++ b/internal/table/check.go
@@ -14,7 +14,7 @@
 // centre.
 func ValidName(s string) bool { return namePattern.MatchString(s) }
 
-// Check returns an Invalid that lists every invalid cell of t, or nil.
+// Check returns an InvalidError that lists every invalid cell of t, or nil.
 func (t Table) Check() error {
 	c := tableChecker{assigned: map[string]string{}, services: map[string]bool{}}
 	for i := range t.Rows {
@@ -28,7 +28,7 @@
 
 // tableChecker checks the rows of a table and collects the errors.
 type tableChecker struct {
-	errs Invalid
+	errs InvalidError
 	// services is the set of services that have a row.
 	services map[string]bool
 	// assigned maps each named target to its service.
--- a/internal/table/csv.go
+++ b/internal/table/csv.go
@@ -40,11 +40,11 @@
 	return where + ": " + e.Message
 }
 
-// Invalid is an error that lists every invalid cell.
-type Invalid []CellError
+// InvalidError is an error that lists every invalid cell.
+type InvalidError []CellError
 
 // Error returns the errors of the cells, one on each line.
-func (es Invalid) Error() string {
+func (es InvalidError) Error() string {
 	lines := make([]string, len(es))
 	for i, e := range es {
 		lines[i] = e.String()
@@ -67,7 +67,7 @@
 }
 
 // DecodeCSV parses a file that EncodeCSV wrote and someone may have edited, and
-// checks the table. The error is an Invalid that lists every invalid cell.
+// checks the table. The error is an InvalidError that lists every invalid cell.
 func DecodeCSV(data []byte) (Table, error) {
 	var t Table
 	rest, err := t.decodeVersion(data)
@@ -78,12 +78,12 @@
 	r.FieldsPerRecord = -1
 	header, err := r.Read()
 	if err != nil {
-		return Table{}, Invalid{{Line: 2, Message: "no header line"}}
+		return Table{}, InvalidError{{Line: 2, Message: "no header line"}}
 	}
 	if len(header) != len(Columns) || strings.Join(header, ",") != strings.Join(Columns, ",") {
-		return Table{}, Invalid{{Line: 2, Message: "the header must be " + strings.Join(Columns, ",")}}
+		return Table{}, InvalidError{{Line: 2, Message: "the header must be " + strings.Join(Columns, ",")}}
 	}
-	var invalid Invalid
+	var invalid InvalidError
 	for {
 		cells, err := r.Read()
 		if err == io.EOF {
@@ -114,11 +114,11 @@
 	text := strings.Trim(string(line), ",\r\" ")
 	text, ok := strings.CutPrefix(text, strings.TrimSpace(versionPrefix))
 	if !ok {
-		return nil, Invalid{{Line: 1, Message: "the first line must be \"# version N\", as table get wrote it"}}
+		return nil, InvalidError{{Line: 1, Message: "the first line must be \"# version N\", as table get wrote it"}}
 	}
 	v, err := strconv.ParseUint(strings.TrimSpace(text), 10, 64)
 	if err != nil {
-		return nil, Invalid{{Line: 1, Message: "the version is not a number"}}
+		return nil, InvalidError{{Line: 1, Message: "the version is not a number"}}
 	}
 	t.Version = v
 	return rest, nil
@@ -136,11 +136,11 @@
 }
 
 // decodeRow decodes the cells of one line, and returns the errors of all of them.
-func decodeRow(line int, cells []string) (Row, Invalid) {
+func decodeRow(line int, cells []string) (Row, InvalidError) {
 	var r Row
 	if len(cells) != len(Columns) {
 		msg := fmt.Sprintf("has %d cells, want %d", len(cells), len(Columns))
-		return r, Invalid{{Line: line, Service: cells[0], Message: msg}}
+		return r, InvalidError{{Line: line, Service: cells[0], Message: msg}}
 	}
 	d := rowDecoder{line: line, service: cells[0], cells: cells}
 	r.Service = d.text("service")
@@ -166,7 +166,7 @@
 	line    int
 	service string
 	cells   []string
-	errs    Invalid
+	errs    InvalidError
 }
 
 // text returns the cell of a column without surrounding space.
--- a/internal/table/store.go
+++ b/internal/table/store.go
@@ -68,9 +68,9 @@
 	Changes []Change  `json:"changes"`
 }
 
-// Conflict is the error for an edited row that another edit has changed since the
+// ConflictError is the error for an edited row that another edit has changed since the
 // base version.
-type Conflict struct {
+type ConflictError struct {
 	Service string
 	// Theirs is the row as it is now, and Yours the row as edited. Either is nil
 	// for a removed row.
@@ -83,7 +83,7 @@
 }
 
 // Error returns a message with both values of each cell that differs.
-func (c *Conflict) Error() string {
+func (c *ConflictError) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "row %q changed in version %d, after version %d that your table was taken from:", c.Service, c.Now, c.Base)
 	for _, cell := range (Change{Service: c.Service, Before: c.Theirs, After: c.Yours}).Cells() {
@@ -162,7 +162,7 @@
 
 // Apply applies the changes that e makes to its base version, and returns a
 // table version in which they are in force. An edit is not applied again under
-// the same token. The error is an Invalid, a Conflict, or wraps one of the
+// the same token. The error is an InvalidError, a ConflictError, or wraps one of the
 // platform's; store.ErrUnknown means that the edit may still take effect.
 func (s *Store) Apply(ctx context.Context, e Edit) (uint64, error) {
 	for range maxAttempts {
@@ -233,7 +233,7 @@
 
 // changes returns the changes that e makes to the current table. If both e and
 // another edit since its base have changed a row in different ways, the error is
-// a Conflict. Rows that only other edits changed stay as they are now.
+// a ConflictError. Rows that only other edits changed stay as they are now.
 func (s *Store) changes(ctx context.Context, current Table, e Edit) ([]Change, error) {
 	base := current
 	if e.Base != current.Version {
@@ -254,7 +254,7 @@
 			continue
 		}
 		if !equalOptionalRows(theirs, c.Before) {
-			return nil, &Conflict{Service: c.Service, Theirs: theirs, Yours: c.After, Base: e.Base, Now: current.Version}
+			return nil, &ConflictError{Service: c.Service, Theirs: theirs, Yours: c.After, Base: e.Base, Now: current.Version}
 		}
 		out = append(out, Change{Service: c.Service, Before: theirs, After: c.After})
 	}
--- a/internal/table/store_test.go
+++ b/internal/table/store_test.go
@@ -49,7 +49,7 @@
 	is.NoErr(err)
 
 	_, err = s.Apply(t.Context(), Edit{Token: "b", Base: base.Version, Table: withWeight(base, "hints", 9)})
-	var conflict *Conflict
+	var conflict *ConflictError
 	is.True(errors.As(err, &conflict))
 	is.True(strings.Contains(err.Error(), `column "weight": theirs "5", yours "9"`)) // shows both values
 
@@ -79,7 +79,7 @@
 	_, err := s.Apply(t.Context(), Edit{Token: "a", Base: base.Version, Table: add("clues")})
 	is.NoErr(err)
 	_, err = s.Apply(t.Context(), Edit{Token: "b", Base: base.Version, Table: add("judge")})
-	var invalid Invalid
+	var invalid InvalidError
 	is.True(errors.As(err, &invalid)) // the engine is already assigned
 }
 
@@ -91,7 +91,7 @@
 	_, err := s.Apply(t.Context(), Edit{Token: "a", Base: base.Version, Table: removed})
 	is.NoErr(err)
 	_, err = s.Apply(t.Context(), Edit{Token: "b", Base: base.Version, Table: withWeight(base, "hints", 3)})
-	var conflict *Conflict
+	var conflict *ConflictError
 	is.True(errors.As(err, &conflict))
 }
 
@@ -222,7 +222,7 @@
 				_, err = s.Apply(t.Context(), Edit{
 					Token: fmt.Sprintf("%d-%d", client, i), Base: base.Version, Table: withWeight(base, "hints", to),
 				})
-				var conflict *Conflict
+				var conflict *ConflictError
 				if err != nil && !errors.As(err, &conflict) {
 					t.Error(err)
 					return
--- a/internal/target/client_test.go
+++ b/internal/target/client_test.go
@@ -33,7 +33,7 @@
 
 // newOrder returns an order to serve a version of the model m in both roles.
 func newOrder(id string, fence uint64, version string) target.Order {
-	return target.Order{ID: id, Fence: fence, Want: target.Want{Role: target.RoleBoth, Model: "m", Version: version}}
+	return target.Order{ID: id, Fence: fence, Want: target.DesiredState{Role: target.RoleBoth, Model: "m", Version: version}}
 }
 
 // TestEngineContract checks the protocol of orders and status with an engine that checks fencing
--- a/internal/target/engine.go
+++ b/internal/target/engine.go
@@ -56,9 +56,9 @@
 	CodeTransferFailed: true, CodeChanging: true, CodeLeaving: true, CodeUnknownStream: true,
 }
 
-// VouchesNotRun reports whether an error code guarantees that the target did not run the
+// MeansNotRun reports whether an error code guarantees that the target did not run the
 // request.
-func VouchesNotRun(code string) bool { return notRunCodes[code] }
+func MeansNotRun(code string) bool { return notRunCodes[code] }
 
 // Errors of requests to a target.
 var (
@@ -105,8 +105,8 @@
 	DecodeTokens  uint64 `json:"decode_tokens"`
 }
 
-// Want is the state of an engine that an order asks for.
-type Want struct {
+// DesiredState is the state of an engine that an order asks for.
+type DesiredState struct {
 	Role     Role     `json:"role"`
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
@@ -114,7 +114,7 @@
 }
 
 // Equal reports whether w and o ask for the same state. The order of adapters counts.
-func (w Want) Equal(o Want) bool {
+func (w DesiredState) Equal(o DesiredState) bool {
 	if w.Role != o.Role || w.Model != o.Model || w.Version != o.Version || len(w.Adapters) != len(o.Adapters) {
 		return false
 	}
@@ -131,8 +131,8 @@
 type Order struct {
 	ID string `json:"id"`
 	// Fence is the fencing number of the lease under which the order is sent.
-	Fence uint64 `json:"fence"`
-	Want  Want   `json:"want"`
+	Fence uint64       `json:"fence"`
+	Want  DesiredState `json:"want"`
 }
 
 // ErrorBody is the body of a target's error response.
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -113,14 +113,14 @@
 }
 
 // StdLogger returns a standard logger for libraries that require one. Each of its lines is logged
-// to l as an EventServer.
+// to l as an EventHTTPServer.
 func StdLogger(l *Logger) *stdlog.Logger { return stdlog.New(lineWriter{l}, "", 0) }
 
-// lineWriter logs each line that is written to it as an EventServer.
+// lineWriter logs each line that is written to it as an EventHTTPServer.
 type lineWriter struct{ log *Logger }
 
 // Write logs p as one line.
 func (w lineWriter) Write(p []byte) (int, error) {
-	w.log.Warn(EventServer, F("cause", string(p)))
+	w.log.Warn(EventHTTPServer, F("cause", string(p)))
 	return len(p), nil
 }
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -101,9 +101,9 @@
 // SetGroup sets the group. It must be called before Start.
 func (r *Reporter) SetGroup(g Group) { r.group = g }
 
-// Hear merges another VM's answer. If the answer says that there is more, the VM is asked again
+// HandleAnswer merges another VM's answer. If the answer says that there is more, the VM is asked again
 // at once.
-func (r *Reporter) Hear(vm string, a Answer) {
+func (r *Reporter) HandleAnswer(vm string, a Answer) {
 	if r.tally.Merge(vm, a) && a.More {
 		r.group.AskUsage(vm, r.tally.NextQuestion(vm, a.Number))
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -127,13 +127,13 @@
 	h := &holder{fence: fence}
 	r := NewReporter(Config{VM: "own", Length: length}, NewCounter(length, 1), s.table, s.platform, h, telemetry.NewLogger(&bytes.Buffer{}, "test", "own"))
 	r.SetGroup(s.group)
-	s.group.hear = r.Hear
+	s.group.hear = r.HandleAnswer
 	return r, h
 }
 
 // run calls the reporter's step at its usual interval for a span of simulated time.
 func (s *fixture) run(r *Reporter, span time.Duration) {
-	s.group.hear = r.Hear
+	s.group.hear = r.HandleAnswer
 	for range int(span / stepInterval) {
 		s.time.Suspend(stepInterval)
 		r.step(context.Background())
--- a/internal/watch/current.go
+++ b/internal/watch/current.go
@@ -37,18 +37,18 @@
 	return at
 }
 
-// ReadClock returns ReadAt on the store's clock, or 0 if the store does not state its clock. Call
+// ReadStoreTime returns ReadAt on the store's clock, or 0 if the store does not state its clock. Call
 // it before Newest too.
-func (t *Table) ReadClock() time.Duration {
+func (t *Table) ReadStoreTime() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.readStoreTime
 }
 
-// Heard records that another VM's copy, whose highest row version is version, held all rows of
+// ObservePeer records that another VM's copy, whose highest row version is version, held all rows of
 // the store at asOf, when the store's clock read storeTime. The same then holds for this copy if
 // it has reached that version.
-func (t *Table) Heard(version uint64, asOf time.Time, storeTime time.Duration) {
+func (t *Table) ObservePeer(version uint64, asOf time.Time, storeTime time.Duration) {
 	if version <= t.sharedRevision.Load() {
 		t.raiseStoreTime(storeTime)
 		t.raiseAsOf(asOf)
--- a/internal/watch/entries_test.go
+++ b/internal/watch/entries_test.go
@@ -61,8 +61,8 @@
 		invalid := store.Rows{Revision: 2, Rows: []store.Row{{Key: "a", Value: []byte("\xff{")},
 			{Key: "b", Value: []byte(entryValue(1))}, {Key: "c", Value: nil}}}
 		f.ApplyTargets(invalid, full)
-		is.Equal(k.Listed(), []string{"b"})
+		is.Equal(k.TargetIDs(), []string{"b"})
 		f.ApplyTargets(entryRows("a", entryValue(1), 3), false)
-		is.Equal(len(k.Listed()), 2)
+		is.Equal(len(k.TargetIDs()), 2)
 	}
 }
--- a/internal/watch/fleet.go
+++ b/internal/watch/fleet.go
@@ -75,7 +75,7 @@
 		}
 	}
 	if full {
-		for _, id := range f.keeper.Listed() {
+		for _, id := range f.keeper.TargetIDs() {
 			if !present[id] {
 				changes = f.remove(changes, id)
 			}
--- a/internal/watch/keys_test.go
+++ b/internal/watch/keys_test.go
@@ -40,7 +40,7 @@
 		return store.Rows{}, store.ErrUnavailable
 	}
 	rows := stepAt(5).rows
-	rows.Now = c.now()
+	rows.StoreTime = c.now()
 	return rows, nil
 }
 
@@ -51,14 +51,14 @@
 }
 
 // startCutOff returns the state of a VM that has read the store once, before the store went down.
-func startCutOff(t *testing.T) (*watch.Table, *watch.Knowledge, *timeStore, *clock.Simulated) {
+func startCutOff(t *testing.T) (*watch.Table, *watch.Freshness, *timeStore, *clock.Simulated) {
 	t.Helper()
 	sim := clock.Simulate()
 	t.Cleanup(sim.Restore)
 	c := newTimeStore()
-	config, a := startTable(t, c, &largeGroup{}, (*watch.Table).SetWhole)
+	config, a := startTable(t, c, &largeGroup{}, (*watch.Table).SetListOnPoll)
 	eventually(t, func() bool { return a.last() == 5 })
-	known := watch.NewKnowledge(config, bound)
+	known := watch.NewFreshness(config, bound)
 	known.SetRevokeBound(revokeBound)
 	eventually(t, known.KeysCurrent)
 	c.down.Store(true)
@@ -74,10 +74,10 @@
 	is.True(known.KeysCurrent())
 	sim.Suspend(time.Second)
 	is.True(!known.KeysCurrent())
-	config.Heard(5, clock.Now(), c.now())
+	config.ObservePeer(5, clock.Now(), c.now())
 	is.True(known.KeysCurrent())
 	sim.Suspend(revokeBound)
-	config.Heard(6, clock.Now(), c.now()) // another VM has a newer configuration
+	config.ObservePeer(6, clock.Now(), c.now()) // another VM has a newer configuration
 	is.True(!known.KeysCurrent())
 }
 
@@ -89,10 +89,10 @@
 	config, known, c, sim := startCutOff(t)
 	reported := c.now()
 	sim.Suspend(10 * time.Second)
-	config.Heard(5, clock.Now(), reported)
+	config.ObservePeer(5, clock.Now(), reported)
 	is.True(known.Confirmed(context.Background())) // by the age that the datagram states
 	is.True(!known.KeysCurrent())
-	config.Heard(5, clock.Now(), 0) // from a VM that does not know the store's clock
+	config.ObservePeer(5, clock.Now(), 0) // from a VM that does not know the store's clock
 	is.True(!known.KeysCurrent())
 }
 
@@ -102,7 +102,7 @@
 	is := is.New(t)
 	config, known, c, sim := startCutOff(t)
 	sim.Suspend(10 * time.Second)
-	config.Heard(5, clock.Now(), c.now()+time.Hour)
+	config.ObservePeer(5, clock.Now(), c.now()+time.Hour)
 	is.True(!known.KeysCurrent())
 	c.set(time.Minute)
 	c.down.Store(false)
--- a/internal/watch/knowledge.go
+++ b/internal/watch/knowledge.go
@@ -17,8 +17,8 @@
 	confirmWait = 150 * time.Millisecond
 )
 
-// Knowledge tells whether this VM's copy of the configuration is recent enough to act on.
-type Knowledge struct {
+// Freshness tells whether this VM's copy of the configuration is recent enough to act on.
+type Freshness struct {
 	config *Table
 	// maxAge is the age up to which the copy is taken to be the current configuration.
 	maxAge time.Duration
@@ -26,10 +26,10 @@
 	keysMaxAge time.Duration
 }
 
-// NewKnowledge returns the Knowledge of the configuration table. bound is the time within which a
+// NewFreshness returns the Freshness of the configuration table. bound is the time within which a
 // change must take effect on every VM.
-func NewKnowledge(config *Table, bound time.Duration) *Knowledge {
-	return &Knowledge{config: config, maxAge: max(bound-reportDelay, bound/2)}
+func NewFreshness(config *Table, bound time.Duration) *Freshness {
+	return &Freshness{config: config, maxAge: max(bound-reportDelay, bound/2)}
 }
 
 const (
@@ -44,13 +44,13 @@
 
 // SetRevokeBound sets the time after which no request with a removed key may be served; 0 means
 // no bound. It must be called before the first request.
-func (k *Knowledge) SetRevokeBound(bound time.Duration) {
+func (k *Freshness) SetRevokeBound(bound time.Duration) {
 	k.keysMaxAge = time.Duration((1 - inFlightShare) * float64(bound))
 }
 
 // KeysCurrent returns whether the configuration was known to be the newest recently enough to
 // serve the keys in it. If that was long ago, it requests a call to the store.
-func (k *Knowledge) KeysCurrent() bool {
+func (k *Freshness) KeysCurrent() bool {
 	if k.keysMaxAge == 0 {
 		return true
 	}
@@ -65,7 +65,7 @@
 // be required to have taken effect. If that has not been known recently, it asks the store and
 // waits for at most confirmWait. A view that is read after Confirmed contains the confirmed
 // configuration.
-func (k *Knowledge) Confirmed(ctx context.Context) bool {
+func (k *Freshness) Confirmed(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, confirmWait)
 	defer cancel()
 	for !k.recent() {
@@ -79,9 +79,9 @@
 }
 
 // recent returns whether the copy is no older than maxAge.
-func (k *Knowledge) recent() bool { return clock.Since(k.config.AsOf()) <= k.maxAge }
+func (k *Freshness) recent() bool { return clock.Since(k.config.AsOf()) <= k.maxAge }
 
 // Behind returns whether other VMs, which reach the store, have read a configuration that must
 // have taken effect by now and that this VM lacks: they serve callers better. While no VM can
 // reach the store, none is behind, and all keep serving with the configuration that they have.
-func (k *Knowledge) Behind() bool { return k.config.behind(k.maxAge) }
+func (k *Freshness) Behind() bool { return k.config.behind(k.maxAge) }
--- a/internal/watch/knowledge_test.go
+++ b/internal/watch/knowledge_test.go
@@ -38,12 +38,12 @@
 }
 
 // startIdle returns the state of a VM that reads the store only on request.
-func startIdle(t *testing.T) (*watch.Table, *watch.Knowledge, *fakeStore) {
+func startIdle(t *testing.T) (*watch.Table, *watch.Freshness, *fakeStore) {
 	t.Helper()
 	f := &fakeStore{}
-	config, a := startTable(t, f, &largeGroup{}, (*watch.Table).SetWhole)
+	config, a := startTable(t, f, &largeGroup{}, (*watch.Table).SetListOnPoll)
 	eventually(t, func() bool { return a.last() == 5 })
-	return config, watch.NewKnowledge(config, bound), f
+	return config, watch.NewFreshness(config, bound), f
 }
 
 // An old copy is confirmed by the store, with one call for all concurrent requests. Without the
@@ -69,10 +69,10 @@
 	config, known, f := startIdle(t)
 	f.down.Store(true)
 	time.Sleep(bound)
-	config.Heard(4, time.Now(), 0)
+	config.ObservePeer(4, time.Now(), 0)
 	is.True(known.Confirmed(context.Background()))
 	time.Sleep(bound)
-	config.Heard(6, time.Now(), 0) // newer than this VM's copy
+	config.ObservePeer(6, time.Now(), 0) // newer than this VM's copy
 	is.True(!known.Confirmed(context.Background()))
 }
 
@@ -82,16 +82,16 @@
 	is := is.New(t)
 	config, known, f := startIdle(t)
 	f.down.Store(true)
-	config.Heard(6, time.Now(), 0)
+	config.ObservePeer(6, time.Now(), 0)
 	is.True(!known.Behind()) // the change is recent
 	time.Sleep(bound)
 	is.True(!known.Behind()) // no VM has reached the store recently
-	config.Heard(6, time.Now(), 0)
+	config.ObservePeer(6, time.Now(), 0)
 	is.True(known.Behind())
 	config.Offer(delta(5, 6))
 	eventually(t, func() bool { return !known.Behind() })
 	time.Sleep(bound)
-	config.Heard(6, time.Now(), 0)
+	config.ObservePeer(6, time.Now(), 0)
 	is.True(!known.Behind())
 }
 
@@ -102,10 +102,10 @@
 	config, known, f := startIdle(t)
 	f.down.Store(true)
 	time.Sleep(bound)
-	config.Heard(6, time.Now(), 0)
+	config.ObservePeer(6, time.Now(), 0)
 	is.True(!known.Behind())
 	time.Sleep(bound)
-	config.Heard(6, time.Now(), 0)
+	config.ObservePeer(6, time.Now(), 0)
 	is.True(known.Behind())
 }
 
@@ -119,14 +119,14 @@
 
 func (l *delayedStore) ListRows(context.Context, string) (store.Rows, error) {
 	rows := stepAt(5).rows
-	rows.Now = time.Since(l.started)
+	rows.StoreTime = time.Since(l.started)
 	return rows, nil
 }
 
 func (l *delayedStore) Changes(context.Context, string, uint64, time.Duration) (store.Rows, error) {
 	rows := stepAt(6).rows
-	rows.Now = time.Since(l.started)
-	l.made.Store(int64(rows.Now))
+	rows.StoreTime = time.Since(l.started)
+	l.made.Store(int64(rows.StoreTime))
 	time.Sleep(l.delay)
 	return rows, nil
 }
@@ -137,7 +137,7 @@
 	f := &delayedStore{started: time.Now().Add(-time.Hour), delay: 400 * time.Millisecond}
 	table, a := startTable(t, f, &largeGroup{})
 	eventually(t, func() bool { return a.last() == 5 })
-	table.Newer(6)
+	table.NotifyNewer(6)
 	eventually(t, func() bool { return a.last() == 6 })
 	made := f.started.Add(time.Duration(f.made.Load()))
 	eventually(t, func() bool { return table.AsOf().Sub(made).Abs() < 50*time.Millisecond })
@@ -151,7 +151,7 @@
 	config, _, _ := startIdle(t)
 	read := config.ReadAt()
 	heard := time.Now().Add(time.Second)
-	config.Heard(5, heard, 0)
+	config.ObservePeer(5, heard, 0)
 	is.Equal(config.AsOf(), heard)
 	is.Equal(config.ReadAt(), read)
 }
--- a/internal/watch/offer.go
+++ b/internal/watch/offer.go
@@ -22,7 +22,7 @@
 	select {
 	case t.offers <- d:
 	default:
-		t.Newer(d.Rows.Revision)
+		t.NotifyNewer(d.Rows.Revision)
 	}
 }
 
@@ -62,13 +62,13 @@
 	case d.Rows.Revision <= t.revision:
 		return
 	case d.From > t.revision:
-		t.Newer(d.Rows.Revision)
+		t.NotifyNewer(d.Rows.Revision)
 		return
 	}
-	t.log.Info(telemetry.EventPassedOn, telemetry.F("table", t.name), telemetry.F("from", d.From),
+	t.log.Info(telemetry.EventChangesForwarded, telemetry.F("table", t.name), telemetry.F("from", d.From),
 		telemetry.F("revision", d.Rows.Revision))
-	if d.WasAway {
-		t.link.peerRegained(d.SinceBack)
+	if d.AfterOutage {
+		t.link.peerRegained(d.SinceRecovery)
 	}
 	t.lastChange = d.Rows.Revision
 	t.raiseNewest(d.Rows)
@@ -79,6 +79,6 @@
 // publish forwards changes to the idle VMs. from is the revision of the last change before them.
 func (t *Table) publish(from uint64, rows store.Rows) {
 	d := store.Delta{From: from, Rows: rows}
-	d.SinceBack, d.WasAway = t.link.SinceBack()
+	d.SinceRecovery, d.AfterOutage = t.link.SinceBack()
 	t.group.Publish(t.name, d)
 }
--- a/internal/watch/offer_test.go
+++ b/internal/watch/offer_test.go
@@ -23,9 +23,9 @@
 
 func (*largeGroup) Joined() <-chan struct{} { return joined }
 
-func (g *largeGroup) Sentinel() bool { return g.sentinel.Load() }
-func (g *largeGroup) Size() int      { return 1 }
-func (g *largeGroup) PassesOn() bool { return true }
+func (g *largeGroup) Sentinel() bool        { return g.sentinel.Load() }
+func (g *largeGroup) Size() int             { return 1 }
+func (g *largeGroup) ForwardsChanges() bool { return true }
 
 func (g *largeGroup) Publish(_ string, d store.Delta) {
 	g.mu.Lock()
@@ -125,7 +125,7 @@
 	f := &feed{steps: []step{stepAt(5), stepAt(6), stepAt(7)}}
 	table, a := startTable(t, f, g)
 	eventually(t, func() bool { return a.last() == 5 })
-	table.Newer(6)
+	table.NotifyNewer(6)
 	eventually(t, func() bool { return a.last() == 6 })
 	g.sentinel.Store(true)
 	eventually(t, func() bool { return a.last() == 7 })
@@ -142,7 +142,7 @@
 		stepAt(8)}}
 	table, a := startTable(t, f, &largeGroup{})
 	eventually(t, func() bool { return a.last() == 5 })
-	table.Newer(8)
+	table.NotifyNewer(8)
 	eventually(t, func() bool { return a.last() == 8 })
 }
 
@@ -187,11 +187,11 @@
 	f := &slowFeed{feed: feed{steps: []step{stepAt(5), stepAt(6)}}, takes: 200 * time.Millisecond}
 	table, a := startTable(t, f, &largeGroup{})
 	eventually(t, func() bool { return a.last() == 5 })
-	table.Newer(6)
+	table.NotifyNewer(6)
 	end := time.Now().Add(2 * time.Second)
 	for a.last() != 6 && time.Now().Before(end) {
 		time.Sleep(50 * time.Millisecond)
-		table.Newer(6)
+		table.NotifyNewer(6)
 	}
 	is.New(t).Equal(a.last(), uint64(6))
 }
@@ -214,7 +214,7 @@
 	table, a := startTable(t, f, &largeGroup{})
 	eventually(t, func() bool { return a.last() == 5 })
 	for range 40 {
-		table.Newer(9)
+		table.NotifyNewer(9)
 		time.Sleep(50 * time.Millisecond)
 	}
 	n := f.calls.Load()
@@ -228,9 +228,9 @@
 	is := is.New(t)
 	g := &largeGroup{}
 	f := &feed{steps: []step{stepAt(5), stepAt(9), stepAt(10)}}
-	table, a := startTable(t, f, g, (*watch.Table).SetWhole)
+	table, a := startTable(t, f, g, (*watch.Table).SetListOnPoll)
 	eventually(t, func() bool { return a.last() == 5 })
-	table.Newer(8)
+	table.NotifyNewer(8)
 	eventually(t, func() bool { return a.last() == 9 })
 	g.sentinel.Store(true) // now it waits for changes itself
 	eventually(t, func() bool { return a.last() == 10 })
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -75,7 +75,7 @@
 	// sharedRevision is revision, for use by other goroutines.
 	sharedRevision atomic.Uint64
 
-	// listOnPoll says that polls list the table, see SetWhole.
+	// listOnPoll says that polls list the table, see SetListOnPoll.
 	listOnPoll bool
 
 	// offers are the changes that sentinels have forwarded. wake signals that a poll is due.
@@ -123,9 +123,9 @@
 	Sentinel() bool
 	// Size returns the number of VMs.
 	Size() int
-	// PassesOn returns whether sentinels forward the changes that they read, so that other VMs
+	// ForwardsChanges returns whether sentinels forward the changes that they read, so that other VMs
 	// need not call the store.
-	PassesOn() bool
+	ForwardsChanges() bool
 	// Publish forwards changes of a table to other VMs if this VM is a sentinel and the group
 	// forwards changes.
 	Publish(table string, d store.Delta)
@@ -141,10 +141,10 @@
 	}
 }
 
-// SetWhole makes polls list the whole table. It is meant for tables of few, large rows: changes
+// SetListOnPoll makes polls list the whole table. It is meant for tables of few, large rows: changes
 // contain every version of a row, and on a narrow link several versions take longer to transfer
 // than a change may take. It must be called before Start.
-func (t *Table) SetWhole() { t.listOnPoll = true }
+func (t *Table) SetListOnPoll() { t.listOnPoll = true }
 
 // Name returns the table's name.
 func (t *Table) Name() string { return t.name }
@@ -152,10 +152,10 @@
 // Newest returns the highest version of an applied row.
 func (t *Table) Newest() uint64 { return t.newest.Load() }
 
-// Newer reports that another VM has read a row of the given version. If this copy has not reached
+// NotifyNewer reports that another VM has read a row of the given version. If this copy has not reached
 // it, the table polls as soon as pollGap allows. A long poll is cancelled, because it may be on a
 // dead connection; a poll is not, because it ends by itself.
-func (t *Table) Newer(version uint64) {
+func (t *Table) NotifyNewer(version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.wantedVersion = max(t.wantedVersion, version)
@@ -357,7 +357,7 @@
 }
 
 // watchesStore returns whether this VM long-polls the store itself.
-func (t *Table) watchesStore() bool { return t.group.Sentinel() || !t.group.PassesOn() }
+func (t *Table) watchesStore() bool { return t.group.Sentinel() || !t.group.ForwardsChanges() }
 
 // list reads and applies the whole table.
 func (t *Table) list(ctx context.Context) error {
@@ -380,19 +380,19 @@
 // recordAnswer records the time of an answer that has been applied. began is when its call began.
 func (t *Table) recordAnswer(rows store.Rows, began time.Time) {
 	at := began
-	if rows.Now > 0 {
-		at = t.link.clock.observe(rows.Now, began, clock.Now())
-		t.raiseStoreTime(rows.Now)
+	if rows.StoreTime > 0 {
+		at = t.link.clock.observe(rows.StoreTime, began, clock.Now())
+		t.raiseStoreTime(rows.StoreTime)
 	}
 	t.mu.Lock()
 	if at.After(t.readAt) {
 		t.readAt = at
 	}
-	if rows.Now < t.readStoreTime {
+	if rows.StoreTime < t.readStoreTime {
 		// The store's clock has been set back.
-		t.asOfStoreTime = rows.Now
+		t.asOfStoreTime = rows.StoreTime
 	}
-	t.readStoreTime = rows.Now
+	t.readStoreTime = rows.StoreTime
 	t.lastCallBegan = began
 	t.mu.Unlock()
 	t.raiseAsOf(at)
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -81,9 +81,9 @@
 
 func (soloGroup) Joined() <-chan struct{} { return joined }
 
-func (soloGroup) Sentinel() bool { return true }
-func (soloGroup) Size() int      { return 1 }
-func (soloGroup) PassesOn() bool { return false }
+func (soloGroup) Sentinel() bool        { return true }
+func (soloGroup) Size() int             { return 1 }
+func (soloGroup) ForwardsChanges() bool { return false }
 
 func (soloGroup) Publish(string, store.Delta) {}
 
