--- a/internal/gateway/account.go
+++ b/internal/gateway/account.go
@@ -15,7 +15,8 @@
 }
 
 // identifyAccount looks up the client account that the request's key belongs to and fails if the
-// route requires one and there is none.
+// route requires one and there is none. A key that is unknown to the current view is looked up
+// again in the newest configuration; see confirmedByNewest.
 func (x *exchange) identifyAccount() error { return x.confirmedByNewest(x.identifyAccountInView) }
 
 // identifyAccountInView is identifyAccount for the configuration in x.view. Keys are accepted only
@@ -50,7 +51,7 @@
 	return account.Name
 }
 
-// keyStillValid reports whether the key still belongs to the account that the attempt was made for.
+// keyStillValid reports whether the key still belongs to the account that the attempt is made for.
 // It is checked right before the first byte is sent, because the process may have been paused since
 // the account was looked up.
 func (x *exchange) keyStillValid() bool {
--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -10,7 +10,8 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// fakeFreshness is an up-to-date VM whose keys may or may not be accepted.
+// fakeFreshness is the ConfigFreshness of a VM that has the newest configuration. current says
+// whether it may accept the keys.
 type fakeFreshness struct {
 	upToDate
 	current bool
@@ -18,8 +19,9 @@
 
 func (k *fakeFreshness) KeysCurrent() bool { return k.current }
 
-// keyedExchange returns a request with the given key on a route, under a configuration with one
-// account that has the key "k".
+// keyedExchange returns a request with the given key, and the ConfigFreshness of its gateway. The
+// configuration has one account "a" with the key "k". anonymous says that the route requires no
+// key.
 func keyedExchange(t *testing.T, key string, anonymous bool) (*exchange, *fakeFreshness) {
 	t.Helper()
 	config := fleet.NewConfig(1, nil, nil, fleet.Limits{})
@@ -28,11 +30,11 @@
 	}
 	keeper := fleet.NewKeeper()
 	keeper.SetConfig(config)
-	known := &fakeFreshness{current: true}
-	g := &Gateway{keeper: keeper, freshness: known}
+	freshness := &fakeFreshness{current: true}
+	g := &Gateway{keeper: keeper, freshness: freshness}
 	return &exchange{
 		g: g, r: httptest.NewRequest("GET", "/", nil), view: keeper.View(), route: &fleet.Route{Anonymous: anonymous}, meta: Meta{Key: key},
-	}, known
+	}, freshness
 }
 
 // A plain request is sent to a second target while the response of the first is overdue. Both
@@ -62,12 +64,12 @@
 // An attempt must not be sent if the key was revoked after the attempt was decided on.
 func TestAttemptIsWithheldAfterKeyRevocation(t *testing.T) {
 	is := is.New(t)
-	x, known := keyedExchange(t, "k", false)
+	x, freshness := keyedExchange(t, "k", false)
 	is.NoErr(x.identifyAccount())
 	is.True(x.keyStillValid())
-	known.current = false
+	freshness.current = false
 	is.True(!x.keyStillValid())
-	known.current = true
+	freshness.current = true
 	next := fleet.NewConfig(2, nil, nil, fleet.Limits{})
 	is.NoErr(next.SetAccounts(nil))
 	x.g.keeper.SetConfig(next)
@@ -78,13 +80,15 @@
 	is.True(!x.keyStillValid()) // the attempt names the account that had the key before
 }
 
+// On a route that requires no key, a request with an unknown key, or with one that this VM may not
+// accept at present, is anonymous.
 func TestAnonymousRequestsNeedNoKey(t *testing.T) {
 	is := is.New(t)
 	for key, name := range map[string]string{"": "", "other": "", "k": "a"} {
-		x, known := keyedExchange(t, key, true)
+		x, freshness := keyedExchange(t, key, true)
 		is.NoErr(x.identifyAccount())
 		is.Equal(x.accountName(), name)
-		known.current = false
+		freshness.current = false
 		is.NoErr(x.identifyAccount())
 		is.Equal(x.accountName(), "")
 		is.True(x.keyStillValid())
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -6,34 +6,35 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// admission is the last admission decision for a generation request.
+// admission is the last admission decision for a generation request, and the choice of target that
+// it was made on.
 type admission struct {
-	ruling place.Decision
-	choice place.Choice
+	decision place.Decision
+	choice   place.Choice
 	// callerRetry says that the caller has sent this request before and was refused.
 	callerRetry bool
 }
 
 // recordAdmission stores and counts the admission decision when the request is first sent to a
 // target or is refused. Later attempts are not counted.
-func (x *exchange) recordAdmission(r place.Decision, c place.Choice) {
+func (x *exchange) recordAdmission(d place.Decision, c place.Choice) {
 	if x.attempts.arrivals > 0 {
 		return
 	}
 	again := x.g.callerWaits.sinceFirstTry(x.route.Name, x.meta.Timeout) > 0
-	x.admission = &admission{ruling: r, choice: c, callerRetry: again}
-	x.g.sizes.Count(x.route.Name, x.size(), !again, r.Verdict == place.Send)
+	x.admission = &admission{decision: d, choice: c, callerRetry: again}
+	x.g.sizes.Count(x.route.Name, x.size(), !again, d.Verdict == place.Send)
 	x.g.stats.Admission(x.route.Name, x.size(), x.admission, x.deferredFor > 0)
 }
 
-// size returns the size class of the request's prompt and expected response, relative to the latest
-// requests of its route.
+// size returns the size class of the request's prompt and expected answer among the latest requests
+// of its route.
 func (x *exchange) size() fair.Size {
-	if x.sizeBands == nil {
+	if x.sizeClass == nil {
 		b := x.g.sizes.Classify(x.route.Name, x.meta.Prompt.Tokens, x.meta.Prompt.Output)
-		x.sizeBands = &b
+		x.sizeClass = &b
 	}
-	return *x.sizeBands
+	return *x.sizeClass
 }
 
 // logFields returns the admission decision as log fields.
@@ -43,8 +44,8 @@
 		telemetry.F("own_ms", a.choice.OwnPrefill.Milliseconds()),
 		telemetry.F("seat_ms", a.choice.SeatWait.Milliseconds()),
 	}
-	if a.ruling.Reason != "" {
-		fields = append(fields, telemetry.F("reason", a.ruling.Reason))
+	if a.decision.Reason != "" {
+		fields = append(fields, telemetry.F("reason", a.decision.Reason))
 	}
 	if a.callerRetry {
 		fields = append(fields, telemetry.F("again", true))
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -9,10 +9,12 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
+// The log line states the time that the request would wait for other work, its own prefill, the
+// wait for a seat in a batch, the reason of the verdict, and whether the caller was refused before.
 func TestAdmissionLogFields(t *testing.T) {
 	is := is.New(t)
 	a := &admission{
-		ruling:      place.Decision{Verdict: place.Refuse, Reason: place.NoSeat},
+		decision:    place.Decision{Verdict: place.Refuse, Reason: place.NoSeat},
 		choice:      place.Choice{Expected: 90 * time.Millisecond, OwnPrefill: 20 * time.Millisecond, SeatWait: 60 * time.Millisecond},
 		callerRetry: true,
 	}
@@ -25,5 +27,5 @@
 	is.Equal(line["seat_ms"], int64(60))
 	is.Equal(line["reason"], place.NoSeat)
 	is.Equal(line["again"], true)
-	is.Equal(verdictName(a.ruling.Verdict), "refused")
+	is.Equal(verdictName(a.decision.Verdict), "refused")
 }
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -10,8 +10,9 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// admit decides whether the request is sent to the chosen target, deferred or refused. Requests
-// that were sent to a target before, and requests on routes without an objective, are always sent.
+// admit decides whether the request is sent to the chosen target, deferred or refused. A deferred
+// request waits at this VM until it is decided on again; see waitDeferred. Requests that were sent
+// to a target before, and requests on routes without an objective, are always sent.
 func (x *exchange) admit(c place.Choice) place.Decision {
 	if x.attempts.arrivals > 0 || x.mayHaveRun || x.route.Objective <= 0 {
 		return place.Decision{Verdict: place.Send}
@@ -36,9 +37,9 @@
 	return in
 }
 
-// addQueueState adds what is deferred on all VMs. A new request gets the time that all engines
-// together need for the deferred requests; a request that is itself deferred gets the length of the
-// queue it is in.
+// addQueueState adds the state of the queue of requests that are deferred on all VMs. For a new
+// request this is the time that all engines together need for the queue. For a request that is
+// deferred itself it is the total prefill time of the queue, its own included.
 func (x *exchange) addQueueState(in *place.AdmissionInput, c place.Choice) {
 	waiting := x.g.placer.DeferredWork(x.service).Prefill
 	if x.queueTicket == nil {
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -73,6 +73,8 @@
 	is.Equal(b.takeAll(), 0) // it is granted once
 }
 
+// A VM that does not know the other VMs yet has no retries of the burst; otherwise it would take
+// the share of all.
 func TestVMWithUnknownGroupHasNoBurstYet(t *testing.T) {
 	is := is.New(t)
 	var now time.Duration
--- a/internal/gateway/budgets.go
+++ b/internal/gateway/budgets.go
@@ -20,8 +20,8 @@
 	Joined() <-chan struct{}
 }
 
-// retryBudgets holds the retry budget of each service. The burst allowance is set for all VMs
-// together; each budget holds this VM's share of it. It is safe for concurrent use.
+// retryBudgets holds the retry budget of each service. The burst allowance, Limits.RetryBurst, is
+// set for all VMs together; each budget holds this VM's share of it. It is safe for concurrent use.
 type retryBudgets struct {
 	limits *atomic.Pointer[Limits]
 	group  Group
--- a/internal/gateway/callerconn.go
+++ b/internal/gateway/callerconn.go
@@ -27,8 +27,8 @@
 	once   sync.Once
 }
 
-// newCallerListener returns a listener that accepts from l and registers connections with conns. limits
-// returns the current limits of the configuration.
+// newCallerListener returns a listener that accepts from l and registers connections with conns.
+// limits returns the current limits of the configuration.
 func newCallerListener(l net.Listener, limits func() fleet.Limits, conns *callerConns) *callerListener {
 	return &callerListener{Listener: l, limits: limits, conns: conns, closed: make(chan struct{})}
 }
@@ -104,8 +104,8 @@
 
 	conns *callerConns
 	// idleElem is the connection's element in conns.idle, or nil; idleSince is when it began to
-	// wait for a request. unused is true until its first request, and removed once it is closed.
-	// Guarded by conns.mu.
+	// wait for a request. unused is true until its first request. removed is true once it is
+	// closed. Guarded by conns.mu.
 	idleElem  *list.Element
 	idleSince time.Time
 	unused    bool
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -47,9 +47,9 @@
 	// newConnGrace is how long a new connection may have no request before it counts as idle.
 	// Callers give up on a request that has not been read after 1 s.
 	newConnGrace = time.Second
-	// acceptRetryInterval is how often a full VM checks whether it can accept again, and how long
-	// it pauses after an accept that failed for lack of a descriptor. The pause of net/http would
-	// grow to 1 s.
+	// acceptRetryInterval is how often a VM that has reached stopAcceptShare checks whether it can
+	// accept again, and how long it pauses after an accept that failed for lack of a descriptor.
+	// The pause of net/http would grow to 1 s.
 	acceptRetryInterval = 10 * time.Millisecond
 	// shortagePeriod is how long the VM reports not ready after an accept that failed for lack of a
 	// descriptor.
@@ -202,7 +202,7 @@
 	}
 	last := cs.lastShortage.Load()
 	if cs.full.Load() || (last != nil && clock.Since(*last) < shortagePeriod) {
-		return "connections near the file descriptor limit"
+		return "connections near the limit of file descriptors"
 	}
 	return ""
 }
--- a/internal/gateway/conns_test.go
+++ b/internal/gateway/conns_test.go
@@ -11,8 +11,8 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// newTestConns returns a table with room for the given number of sockets, and the number of
-// connections to targets, which tests set.
+// newTestConns returns a table with room for the given number of connections, and a pointer to the
+// number of connections to targets, which tests set.
 func newTestConns(sockets int) (*callerConns, *int) {
 	targets := new(int)
 	log := telemetry.NewLogger(io.Discard, "test", "vm-1")
@@ -44,6 +44,8 @@
 	return cc, caller
 }
 
+// The VM is not ready from 7/8 of its connections until they are below 3/4, and for shortagePeriod
+// after an accept that failed for lack of a descriptor.
 func TestReadinessFollowsConnectionCount(t *testing.T) {
 	is := is.New(t)
 	conns, targets := newTestConns(100)
@@ -100,6 +102,7 @@
 	is.Equal(conns.idle.Len(), 0)
 }
 
+// A setting of 0 means the limit of the kernel.
 func TestDescriptorsFromSettingOrKernel(t *testing.T) {
 	is := is.New(t)
 	n, err := Descriptors(4100)
--- a/internal/gateway/deferral.go
+++ b/internal/gateway/deferral.go
@@ -10,7 +10,7 @@
 
 const (
 	// minRecheck and maxRecheck limit the time between two checks of the engines for a deferred
-	// request. Other VMs report their load every 10 ms at most.
+	// request. Other VMs report their load at most once every 10 ms.
 	minRecheck = 20 * time.Millisecond
 	maxRecheck = 100 * time.Millisecond
 )
@@ -23,7 +23,7 @@
 	}
 }
 
-// dequeue ends the deferral, if there is one.
+// dequeue stops counting the request as deferred, if it is counted.
 func (x *exchange) dequeue() {
 	x.queueTicket.End(place.Neutral, clock.Now())
 	x.queueTicket = nil
@@ -32,7 +32,8 @@
 // recheckDelay returns the mean time between two checks of the engines for a deferred request.
 func recheckDelay(c place.Choice) time.Duration { return min(max(c.Wait()/4, minRecheck), maxRecheck) }
 
-// waitDeferred waits for a random time around recheckDelay, or until ctx is done.
+// waitDeferred counts the request as deferred and waits for a random time, from half of
+// recheckDelay to one and a half times it, or until ctx is done.
 func (x *exchange) waitDeferred(ctx context.Context, c place.Choice) {
 	x.enqueue(c)
 	began := clock.Now()
--- a/internal/gateway/deferral_test.go
+++ b/internal/gateway/deferral_test.go
@@ -22,7 +22,7 @@
 func (soloGroup) Owns([]byte) bool        { return true }
 func (soloGroup) Joined() <-chan struct{} { return nil }
 
-// busyOthers reports the load that other VMs put on the target "d".
+// busyOthers is a place.PeerWork that reports the given load of other VMs on the target "d".
 type busyOthers struct {
 	mu   sync.Mutex
 	work place.Work
@@ -45,7 +45,8 @@
 
 func (*busyOthers) Age() time.Duration { return 0 }
 
-// lateExchange returns a request for an engine that the given other VMs may keep busy.
+// lateExchange returns a request to a service that has one engine, the target "d". others reports
+// the load of other VMs on it.
 func lateExchange(others place.PeerWork) *exchange {
 	k := fleet.NewKeeper()
 	k.SetConfig(fleet.NewConfig(1, nil, []*fleet.Service{{Name: "m", Engine: &fleet.EngineSpec{Slots: 8, KVTokens: 100000}}}, fleet.Limits{}))
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -17,7 +17,9 @@
 func TestStoppingGatewayAcceptsOnlyWhatItCanFinish(t *testing.T) {
 	now := time.Now()
 	cases := []struct {
-		name    string
+		name string
+		// longest is the time until the request's deadline, and left the time until the gateway
+		// ends.
 		longest time.Duration
 		left    time.Duration
 		taken   bool
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -20,20 +20,22 @@
 	"garnethoist.org/garnethoist/internal/retry"
 )
 
-// exchange is one caller's request and its response. It is used by one
-// goroutine, except that concurrent attempts of a plain request read it and change account and
-// trace.
+// exchange is one caller's request and its response. It is used by one goroutine, except that
+// concurrent attempts of a plain request read it and change account and trace.
 type exchange struct {
 	g       *Gateway
 	w       http.ResponseWriter
 	r       *http.Request
 	arrived time.Time
-	view    *fleet.View
+	// view is the configuration and the targets as of the latest decision on the request.
+	view *fleet.View
 
-	meta     Meta
-	route    *fleet.Route
-	service  string
-	body     []byte
+	meta  Meta
+	route *fleet.Route
+	// service is the one of the route's services that serves the request.
+	service string
+	body    []byte
+	// deadline is when the response must be complete.
 	deadline time.Time
 
 	// account is nil for an anonymous request. It is atomic because each attempt looks it up again,
@@ -41,12 +43,12 @@
 	account atomic.Pointer[fleet.Account]
 	// tried holds the targets that must not be chosen again.
 	tried place.Tried
-	// attempts counts the attempts at targets and takes them from the retry budget.
+	// attempts counts the attempts at targets and takes retries from the budget.
 	attempts attemptTracker
 	// sentAt is when the latest attempt at a model engine began.
 	sentAt time.Time
-	// quarantineReq identifies the request on all VMs. trial is set while the request is suspected
-	// of crashing targets and this VM is trying it.
+	// quarantineReq identifies the request on all VMs. trial is set while this exchange makes the
+	// trial of a suspect: the only attempt on this VM of a request that may crash its target.
 	quarantineReq quarantine.Request
 	trial         *quarantine.ID
 	// unreachable counts the targets that could not be reached, except those whose host refused the
@@ -73,12 +75,12 @@
 	deferredFor time.Duration
 	// longestGap is the longest time between two writes of events to the caller.
 	longestGap time.Duration
-	// admission is set once the request was sent to an engine or refused. sizeBands caches the
-	// result of size.
+	// admission is set once the request was sent to an engine, or refused because it could not be
+	// on time. sizeClass caches the result of size.
 	admission *admission
-	sizeBands *fair.Size
-	// seat is the load estimate that the choice of the decode engine was based on. eventInterval is
-	// the measured mean time between the events of its response.
+	sizeClass *fair.Size
+	// seat is the estimate with which the request was placed in the batch of its decode engine.
+	// eventInterval is the measured mean time between the events of that engine's response.
 	seat          *place.Seat
 	eventInterval time.Duration
 	// lastEventID is the id of the last event that the caller received.
@@ -186,14 +188,14 @@
 // since the last one.
 func (x *exchange) reloadView() { x.view = x.g.keeper.View() }
 
-// callerWaiting reports whether the caller is still connected and the deadline has not passed, so
-// that the request should be sent to a target.
+// callerWaiting reports whether the request should still be sent to a target: the caller is
+// connected, the deadline has not passed and the gateway has not aborted its requests.
 func (x *exchange) callerWaiting(ctx context.Context) bool {
 	return ctx.Err() == nil && !callerGone(x.r.Context())
 }
 
-// reserveRetry reports whether a further attempt may be made. If so, the attempt is taken from the
-// retry budget.
+// reserveRetry reports whether a further attempt may be made. If so, a retry is reserved for it in
+// the retry budget.
 func (x *exchange) reserveRetry(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
@@ -231,8 +233,8 @@
 // writeError sends e to the caller as the response.
 func (x *exchange) writeError(e *errkind.Error) {
 	x.responseStarted = true
-	a := e.Response()
-	x.status = a.Status
+	resp := e.Response()
+	x.status = resp.Status
 	if e.Kind == errkind.ClientGone {
 		// If the caller closed only its sending side, net/http would send it a default response.
 		x.abortConn = true
@@ -240,11 +242,11 @@
 	}
 	h := x.w.Header()
 	h.Set("Content-Type", "application/json")
-	h.Set(errkind.HeaderOutcome, string(a.Outcome))
-	if a.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
+	h.Set(errkind.HeaderOutcome, string(resp.Outcome))
+	if resp.RetryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(resp.RetryAfter.Seconds(), 'f', -1, 64))
 	}
-	x.writeHeader(a.Status)
+	x.writeHeader(resp.Status)
 	// A failed write means that the caller has closed its connection.
 	_, _ = x.w.Write(errkind.Body(e))
 }
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -15,6 +15,7 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
+// A timeout of 0 means defaultTimeout for a route, and no timeout for a caller.
 func TestEffectiveTimeoutIsTheShorter(t *testing.T) {
 	is := is.New(t)
 	is.Equal(effectiveTimeout(2*time.Second, 0), 2*time.Second)
@@ -32,16 +33,19 @@
 		name      string
 		objective time.Duration
 		patience  time.Duration
-		expected  time.Duration
-		own       time.Duration
-		arrivals  int
+		// expected is the estimated time until the answer begins, and own the part of it that the
+		// prefill of this request takes.
+		expected time.Duration
+		own      time.Duration
+		// arrivals is the number of targets that the request has reached before.
+		arrivals int
 		// waited is how long ago the caller first sent the request.
 		waited time.Duration
 		want   place.Verdict
 	}{
 		{"on time", ms(200), 0, ms(100), ms(20), 0, 0, place.Send},
 		{"too late", ms(200), 0, ms(260), ms(20), 0, 0, place.Defer},
-		{"long by itself", ms(200), 0, ms(380), ms(350), 0, 0, place.Send},
+		{"long prefill of its own", ms(200), 0, ms(380), ms(350), 0, 0, place.Send},
 		{"sent before", ms(200), 0, ms(380), ms(20), 1, 0, place.Send},
 		{"no objective", 0, 0, ms(900), ms(20), 0, 0, place.Send},
 		{"retry within the objective, on time", ms(200), 0, ms(100), ms(20), 0, ms(40), place.Send},
@@ -67,9 +71,9 @@
 			}
 			err := x.refuseLate(c)
 			is.True(errkind.Is(err, errkind.CannotFinish))
-			a := errkind.From(err).Response()
-			is.Equal(a.Outcome, errkind.NotRun)
-			is.True(a.RetryAfter > 0 && a.RetryAfter <= 2*time.Second/3)
+			resp := errkind.From(err).Response()
+			is.Equal(resp.Outcome, errkind.NotRun)
+			is.True(resp.RetryAfter > 0 && resp.RetryAfter <= 2*time.Second/3)
 		})
 	}
 }
@@ -109,6 +113,8 @@
 	}
 }
 
+// An event counts as complete only with the blank line that ends it, and an id only at the start of
+// a line.
 func TestCompleteEventsLenAndLastEventID(t *testing.T) {
 	cases := []struct {
 		text string
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -84,14 +84,17 @@
 	Listen string
 	// Descriptors is how many file descriptors the process may open.
 	Descriptors int
-	Keeper      *fleet.Keeper
-	Placer      *place.Placer
-	Protocol    Protocol
-	Group       Group
-	Freshness   ConfigFreshness
-	Quarantine  Quarantine
-	Usage       Usage
-	Client      *httpsend.Client
+	// Keeper supplies the configuration and the targets.
+	Keeper *fleet.Keeper
+	// Placer chooses the target of each attempt.
+	Placer     *place.Placer
+	Protocol   Protocol
+	Group      Group
+	Freshness  ConfigFreshness
+	Quarantine Quarantine
+	Usage      Usage
+	// Client sends the requests to targets.
+	Client *httpsend.Client
 	// FirstStart says that the whole group of VMs starts for the first time, so that no earlier
 	// process has used up retries.
 	FirstStart bool
@@ -108,8 +111,8 @@
 	proto     Protocol
 	group     Group
 	freshness ConfigFreshness
-	// quarantine records requests that crash targets; exitChecks merges concurrent checks of
-	// whether a target has exited.
+	// quarantine records the requests that crash targets. exitChecks merges concurrent checks of
+	// whether the process of a target has exited.
 	quarantine Quarantine
 	usage      Usage
 	exitChecks singleflight.Group
@@ -118,7 +121,8 @@
 	stats      *Stats
 
 	server *http.Server
-	wg     sync.WaitGroup
+	// wg counts the goroutines of the server and of calls that no request waits for.
+	wg sync.WaitGroup
 	// listening is true while the server accepts callers.
 	listening atomic.Bool
 	conns     *callerConns
@@ -126,11 +130,14 @@
 	drain     drainState
 	// abortCtx is canceled by abort when the drain time is over. Requests that are still in flight
 	// then stop waiting for their targets and get an error that says what is known.
-	abortCtx    context.Context
-	abort       context.CancelFunc
-	inFlight    atomic.Int64
+	abortCtx context.Context
+	abort    context.CancelFunc
+	// inFlight counts the requests of callers that are being served.
+	inFlight atomic.Int64
+	// callerWaits estimates how long ago callers first sent a request.
 	callerWaits waitEstimator
-	sizes       fair.Sizes
+	// sizes classifies requests by their size among the latest of their route.
+	sizes fair.Sizes
 
 	retryBudgets *retryBudgets
 
@@ -203,8 +210,8 @@
 	return fleet.Limits{}
 }
 
-// prune closes connections to targets that are no longer listed and, if there are too many
-// connections, those of idle callers.
+// prune closes connections to targets that are no longer listed and drops the placer's data about
+// them. If there are too many connections, it also closes those of idle callers.
 func (g *Gateway) prune() {
 	g.conns.makeRoom()
 	v := g.keeper.View()
--- a/internal/gateway/generate.go
+++ b/internal/gateway/generate.go
@@ -96,9 +96,9 @@
 	return x.decodePrefilled(ctx, s, choice, &prefilledPrompt{target: choice.Target, handle: handle})
 }
 
-// decodePrefilled sends a prompt that was prefilled elsewhere to decode targets until one can be
-// reached. The handle stays valid until a target uses it, so the prompt need not be prefilled again
-// for the next one.
+// decodePrefilled makes the handoff: it sends a prompt that was prefilled separately to decode
+// targets until one can be reached. The handle stays valid until a target uses it, so the prompt
+// need not be prefilled again for the next one.
 func (x *exchange) decodePrefilled(ctx context.Context, s *stream, prefillChoice place.Choice, p *prefilledPrompt) (outcome, *fleet.Target, error) {
 	for {
 		x.reloadView()
@@ -133,8 +133,8 @@
 	return x.view.Config.Services[x.service].Engine
 }
 
-// choosePrefill chooses the target that prefills the prompt. If the request would be late,
-// choosePrefill waits until the request may be sent, or refuses it.
+// choosePrefill chooses the target that prefills the prompt. While the request is deferred, it
+// waits; it returns an error if the request is refused, or if the caller leaves meanwhile.
 func (x *exchange) choosePrefill(ctx context.Context) (place.Choice, error) {
 	defer x.dequeue()
 	for {
@@ -148,15 +148,15 @@
 		if !ok {
 			return c, errkind.New(errkind.NoTarget, "no engine can take the request")
 		}
-		ruling := x.admit(c)
-		if ruling.Verdict == place.Send {
-			x.recordAdmission(ruling, c)
+		decision := x.admit(c)
+		if decision.Verdict == place.Send {
+			x.recordAdmission(decision, c)
 			return c, nil
 		}
 		c.Ticket.End(place.Neutral, clock.Now())
-		if ruling.Verdict == place.Refuse || x.g.limits.Load().NoDeferral {
-			ruling.Verdict = place.Refuse
-			x.recordAdmission(ruling, c)
+		if decision.Verdict == place.Refuse || x.g.limits.Load().NoDeferral {
+			decision.Verdict = place.Refuse
+			x.recordAdmission(decision, c)
 			return c, x.refuseLate(c)
 		}
 		x.waitDeferred(ctx, c)
@@ -171,8 +171,8 @@
 }
 
 // excludedForPrefill returns the targets that must not be chosen to prefill the prompt. A prompt
-// that a prefill target has processed before is only prefilled again in place, at the target that
-// then decodes it: that makes one arrival at a target, not two.
+// that was prefilled separately before is prefilled again in place only, at the target that then
+// decodes it: the request then arrives at one more target, not at two.
 func (x *exchange) excludedForPrefill() place.Tried {
 	if x.attempts.prefills == 0 {
 		return x.excludeForTrial(x.tried)
@@ -201,8 +201,8 @@
 	return step + "~" + strconv.FormatInt(c.Expected.Milliseconds(), 10) + "c" + strconv.Itoa(c.Cached)
 }
 
-// prefill has a target prefill the prompt and returns the handle of its KV cache. Whatever its
-// outcome, the request has not run: outcomeUnknown is returned as outcomeRefused.
+// prefill has a target prefill the prompt and returns the handle of its KV cache. A prefill does
+// not run the request, whatever its outcome: outcomeUnknown is returned as outcomeRefused.
 func (x *exchange) prefill(ctx context.Context, c place.Choice) (*Handle, outcome, error) {
 	resp, out, err := x.send(ctx, c.Target, Directive{Engine: true, PrefillOnly: true, Priority: x.account.Load().RequestPriority(x.route)}, c.Ticket)
 	if err != nil {
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -34,7 +34,7 @@
 }
 
 // overdueDivisor sets when a response to an idempotent request is overdue and a second target is
-// tried: after this fraction of the remaining time. The first target may hang, or its connection
+// tried: after 1/overdueDivisor of the remaining time. The first target may hang, or its connection
 // may be dead although the request was acknowledged. Nearly all responses come sooner.
 const overdueDivisor = 3
 
@@ -49,7 +49,7 @@
 	err    error
 }
 
-// plainCalls are the attempts of one plain request: one after the other, or two at once if the
+// plainCalls holds the attempts of one plain request: one after the other, or two at once if the
 // first response is overdue. It is used by one goroutine only.
 type plainCalls struct {
 	x       *exchange
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -45,7 +45,7 @@
 	Engine bool
 	// Account is the name of the client account; empty means an anonymous request.
 	Account string
-	// PrefillOnly asks for a handle instead of a generated response.
+	// PrefillOnly asks for a handle instead of an answer.
 	PrefillOnly bool
 	// Handle is the prefilled prompt to decode, or nil if the target prefills the prompt itself.
 	Handle *Handle
@@ -73,8 +73,8 @@
 	Meta(h http.Header) (Meta, error)
 	// TargetHeader returns the request header for a target, from the caller's header and d.
 	TargetHeader(in http.Header, d Directive) http.Header
-	// BelongsTo reports whether a response with this status and header belongs to the request with the
-	// given id.
+	// BelongsTo reports whether a response with this status and header belongs to the request with
+	// the given id.
 	BelongsTo(id string, status int, h http.Header) bool
 	// Verdict classifies a response by its status and header. prefill says that the request was a
 	// prefill, whose response has no signature.
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -21,18 +21,21 @@
 // faster than they restart. What is known of such a request is therefore kept for the request, not
 // for one exchange, and is shared with all VMs.
 
-// Quarantine records the requests that were running when targets exited. Its methods are safe for
-// concurrent use.
+// Quarantine records the requests that targets began to run right before they crashed. A request is
+// a suspect after two such crashes and quarantined after three, that is, kept from all targets
+// until one VM may try it again. The methods are safe for concurrent use.
 type Quarantine interface {
 	// Verdict returns what is known of a request.
 	Verdict(r *quarantine.Request, now time.Time) quarantine.Verdict
-	// BeginTrial begins the only attempt of a suspect that may be in flight, and reports false if there is
-	// one already. Done ends the attempt.
+	// BeginTrial begins the trial of a suspect: the only attempt of it that may be in flight on
+	// this VM. It returns false if there is one already.
 	BeginTrial(id quarantine.ID) bool
+	// EndTrial ends the trial.
 	EndTrial(id quarantine.ID)
-	// RecordCrash records that a target exited as it began to run a request.
-	RecordCrash(r *quarantine.Request, end quarantine.Crash)
-	// RecordSuccess records that a target has run a request, which therefore does not crash targets.
+	// RecordCrash records that a target crashed as it began to run a request.
+	RecordCrash(r *quarantine.Request, crash quarantine.Crash)
+	// RecordSuccess records that a target has run a request, which therefore does not crash
+	// targets.
 	RecordSuccess(r *quarantine.Request)
 }
 
@@ -48,8 +51,8 @@
 )
 
 // checkQuarantine refuses a request that is quarantined. A suspect is sent one attempt at a time
-// from this VM, and after three exits one VM of the group tries it before the others may. It is
-// called before each attempt, because other VMs may have reported exits meanwhile.
+// from this VM, and after three crashes one VM of the group tries it before the others may. It is
+// called before each attempt, because other VMs may have reported crashes meanwhile.
 func (x *exchange) checkQuarantine() error {
 	now := clock.Now()
 	v := x.g.quarantine.Verdict(&x.quarantineReq, now)
@@ -73,7 +76,7 @@
 	return nil
 }
 
-// endTrial allows other attempts of a suspect on this VM.
+// endTrial ends the trial of a suspect, so that this VM may make another one.
 func (x *exchange) endTrial() {
 	if x.trial != nil {
 		x.g.quarantine.EndTrial(*x.trial)
@@ -90,7 +93,7 @@
 		return attempt{}, err
 	}
 	if x.trial != nil && x.attempts.arrivals > 0 {
-		// Another attempt of a suspect, even if the first one is overdue, could crash a second
+		// A further attempt, even one made because the first is overdue, could crash a second
 		// target.
 		return attempt{}, errNoAttemptLeft
 	}
@@ -106,18 +109,18 @@
 func (x *exchange) noteServed() { x.g.quarantine.RecordSuccess(&x.quarantineReq) }
 
 // checkTargetExit checks in the background whether a target that closed the connection has exited,
-// and if so records it for the quarantine. sentAt is when the request was sent to the target.
-// ranFor is how long the target had run the request, or 0 if it had not begun to.
+// and if so records the crash for the quarantine. sentAt is when the request was sent to the
+// target. ranFor is how long the target had run the request, or 0 if it had not begun to.
 func (x *exchange) checkTargetExit(t *fleet.Target, err error, sentAt time.Time, ranFor time.Duration) {
 	if x.endedLocally() || !closedByTarget(err) {
 		return
 	}
 	x.targetClosed = true
 	g, request := x.g, x.quarantineReq
-	end := quarantine.Crash{Run: t.RunID(), Began: sentAt, At: clock.Now()}
+	crash := quarantine.Crash{Run: t.RunID(), Began: sentAt, At: clock.Now()}
 	g.wg.Go(func() {
 		if g.hasExited(t) && ranFor <= quarantine.BlameWindow {
-			g.quarantine.RecordCrash(&request, end)
+			g.quarantine.RecordCrash(&request, crash)
 		}
 	})
 }
@@ -160,8 +163,8 @@
 	}
 }
 
-// excludeForTrial returns the targets that must not be chosen. For a suspect these are all but one,
-// which other suspects are not sent to.
+// excludeForTrial returns the targets that must not be chosen: tried or, for a suspect, all targets
+// but one that other suspects are not sent to.
 func (x *exchange) excludeForTrial(tried place.Tried) place.Tried {
 	if x.trial == nil {
 		return tried
--- a/internal/gateway/ready_test.go
+++ b/internal/gateway/ready_test.go
@@ -15,7 +15,7 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// soloVM is a group that consists of this VM only, with no load of other VMs.
+// soloVM is the Group and the place.PeerWork of a VM without other VMs.
 type soloVM struct{}
 
 func (soloVM) Size() int               { return 1 }
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -9,8 +9,8 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// addTrace adds a step of an attempt at t, with the time since the request arrived in ms, to the
-// trace for the log line.
+// addTrace appends a step of an attempt to the trace that is logged with the request: the id of the
+// target, the step, the milliseconds since the request arrived, and err unless it is nil.
 func (x *exchange) addTrace(t *fleet.Target, step string, err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -75,8 +75,8 @@
 	if p := x.meta.Prompt; p != nil {
 		fields = append(fields, telemetry.F("prompt", p.Tokens), telemetry.F("output", p.Output), telemetry.F("max_output", p.MaxOutput))
 	}
-	if b := x.sizeBands; b != nil {
-		fields = append(fields, telemetry.F("prompt_size", b.Prompt), telemetry.F("answer_size", b.Answer))
+	if size := x.sizeClass; size != nil {
+		fields = append(fields, telemetry.F("prompt_size", size.Prompt), telemetry.F("answer_size", size.Answer))
 	}
 	if a := x.admission; a != nil {
 		fields = append(fields, a.logFields()...)
@@ -114,9 +114,9 @@
 	return fields
 }
 
-// lateReason returns why the response is late so far: "first" if its first byte came after the
-// route's objective, "pause" if the time between two events was too long. It returns "" if the
-// response is on time or has not begun.
+// lateReason returns why the answer is late: "first" if its first byte came after the route's
+// objective, "pause" if the time between two events was too long. It returns "" if the answer has
+// been on time so far or has not begun.
 func (x *exchange) lateReason() string {
 	if x.route == nil || x.firstByteAt.IsZero() {
 		return ""
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -51,13 +51,15 @@
 
 // maxStreamConnIdle is how long a kept-alive connection may have been idle to be used for a stream
 // that must not be sent twice. If a connection dies, only the requests of the next half second meet
-// it. Using new connections for all of these streams opened three times as many
-// connections on a day without faults.
+// it. Using new connections for all of these streams opened three times as many connections on a
+// day without faults.
 const maxStreamConnIdle = 500 * time.Millisecond
 
-// destination returns the connection settings for an attempt at t. A request that must not run
-// twice must not be lost on a kept-alive connection that is dead or that the target is closing, nor
-// a request whose previous attempt was lost. A prefill may always be repeated.
+// destination returns the connection settings for an attempt at t. A kept-alive connection may be
+// dead, or the target may be closing it. A non-idempotent request, and one whose previous attempt
+// was lost, therefore gets a new connection. Any other request that must not run twice gets one
+// that has been idle for maxStreamConnIdle at most, unless it is a prefill, which may always be
+// repeated.
 func (x *exchange) destination(t *fleet.Target, d Directive) httpsend.Destination {
 	to := x.g.destination(x.view, t, x.unanswered || x.route.Kind == fleet.NonIdempotent)
 	if !d.PrefillOnly && !x.route.Repeatable() {
@@ -69,8 +71,9 @@
 // errNoAttemptLeft means that the attempts of the request or the retry budget are used up.
 var errNoAttemptLeft = errors.New("gateway: no further attempt is allowed")
 
-// send makes one attempt at t. The response is nil unless the outcome is outcomeAnswered. send ends
-// the ticket of any other outcome.
+// send makes one attempt at t. If the outcome is outcomeAnswered, it returns the response and
+// leaves the ticket to the calling function. With any other outcome the response is nil and the
+// ticket has been ended.
 func (x *exchange) send(ctx context.Context, t *fleet.Target, d Directive, ticket *place.Ticket) (*httpsend.Response, outcome, error) {
 	a, err := x.beginAttempt(d.PrefillOnly)
 	if err != nil {
@@ -103,8 +106,8 @@
 		Header: x.g.proto.TargetHeader(x.r.Header, d), Body: x.body, UnackedTimeout: unackedTimeout(d.Remaining),
 		BeforeSend: x.keyStillValid,
 	}
-	ours := func(status int, h http.Header) bool { return x.g.proto.BelongsTo(x.meta.ID, status, h) }
-	resp, err := x.g.client.Send(ctx, to, req, ours)
+	match := func(status int, h http.Header) bool { return x.g.proto.BelongsTo(x.meta.ID, status, h) }
+	resp, err := x.g.client.Send(ctx, to, req, match)
 	if err != nil {
 		return nil, x.noteSendFailure(ctx, t, ticket, err), err
 	}
--- a/internal/gateway/sends.go
+++ b/internal/gateway/sends.go
@@ -18,12 +18,12 @@
 	maxAttempts int
 
 	// arrivals counts the targets that the request has reached or is being sent to. The first
-	// accepted prefill is not counted.
+	// accepted prefill is not counted, as it is followed by the handoff to a decode target.
 	arrivals int
 	// prefills counts the prefills that were accepted or may have been.
 	prefills int
-	// retriesUsed counts the retries that were taken from the budget and used. reserved holds the
-	// budgets of those that were taken and are not used yet.
+	// retriesUsed counts the retries that were taken from the budget and used. reserved holds, for
+	// each retry that was taken and is not used yet, the budget that it is from.
 	retriesUsed int
 	reserved    []*retry.Window
 }
@@ -32,13 +32,13 @@
 type attempt struct {
 	// prefillOnly says that the target only prefills the prompt.
 	prefillOnly bool
-	// budget is the budget that the attempt was taken from; nil for a first attempt.
+	// budget is the budget that the retry for this attempt was taken from; nil if it needed none.
 	budget *retry.Window
 }
 
 // begin counts an attempt that is about to be made. It returns false if the attempts or the budget
-// are used up. A prompt is prefilled at a separate target once at most: a further prefill would be
-// one more arrival in addition to that of the decoding.
+// are used up. A prompt is prefilled separately once at most: a further prefill would be one more
+// arrival in addition to that at the decode target.
 func (t *attemptTracker) begin(prefillOnly bool) (attempt, bool) {
 	if t.arrivals >= t.maxAttempts || (prefillOnly && t.prefills > 0) {
 		return attempt{}, false
@@ -74,7 +74,7 @@
 }
 
 // finish records how an attempt ended. An attempt that reached no target, and the first prefill
-// that is accepted, don't count as arrivals; their retry is reserved again.
+// that is accepted, don't count as arrivals. A retry that was taken for them is reserved again.
 func (t *attemptTracker) finish(a attempt, out outcome) {
 	if a.prefillOnly && out != outcomeNotSent && out != outcomeRefused {
 		t.prefills++
--- a/internal/gateway/sends_test.go
+++ b/internal/gateway/sends_test.go
@@ -18,7 +18,7 @@
 }
 
 // Whatever the attempts and their outcomes, each arrival after the first is taken from the budget,
-// no retry is lost, and a prompt is prefilled at a separate target once at most.
+// no retry is lost, and a prompt is prefilled separately once at most.
 func TestEachArrivalAfterTheFirstUsesOneRetry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const retries = 3
@@ -51,7 +51,7 @@
 			t.Fatalf("%d arrivals after the first, but %d retries used", extra, s.retriesUsed)
 		}
 		if mayHavePrefilled > 1 {
-			t.Fatalf("prefilled %d times at a separate target", mayHavePrefilled)
+			t.Fatalf("prefilled separately %d times", mayHavePrefilled)
 		}
 		left := 0
 		for w.Retry(0) {
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -16,8 +16,10 @@
 
 // Stats holds the gateway's metrics. It is safe for concurrent use.
 type Stats struct {
-	requests   metric.Int64Counter
-	duration   metric.Float64Histogram
+	requests metric.Int64Counter
+	// duration is in seconds.
+	duration metric.Float64Histogram
+	// handles counts the handles that could not be freed.
 	handles    metric.Int64Counter
 	bySize     metric.Int64Counter
 	admissions metric.Int64Counter
@@ -30,7 +32,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "requests counter")
 	}
-	duration, err := m.Float64Histogram("garnet_request_duration", metric.WithUnit("s"), metric.WithDescription("time from a request's arrival to its answer's end"))
+	duration, err := m.Float64Histogram("garnet_request_duration", metric.WithUnit("s"), metric.WithDescription("time from the arrival of a request to the end of its response"))
 	if err != nil {
 		return nil, errors.Wrap(err, "duration histogram")
 	}
@@ -38,15 +40,15 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "handles counter")
 	}
-	bySize, err := m.Int64Counter("garnet_generations_by_size", metric.WithDescription("requests to model engines by outcome and by their size among the last ones of their route"))
+	bySize, err := m.Int64Counter("garnet_generations_by_size", metric.WithDescription("requests to model engines by outcome and by their size among the latest of their route"))
 	if err != nil {
 		return nil, errors.Wrap(err, "size counter")
 	}
-	admissions, err := m.Int64Counter("garnet_admissions", metric.WithDescription("requests to model engines by size, whether they were sent and why not, whether they had waited for it, and whether their callers came back"))
+	admissions, err := m.Int64Counter("garnet_admissions", metric.WithDescription("requests to model engines by size, verdict and its reason, whether they had been deferred, and whether the caller had been refused before"))
 	if err != nil {
 		return nil, errors.Wrap(err, "admissions counter")
 	}
-	retries, err := m.Int64Counter("garnet_retries", metric.WithDescription("sends to further targets, by whether attempts and retry budget allowed them"))
+	retries, err := m.Int64Counter("garnet_retries", metric.WithDescription("retries at further targets, by whether the attempts and the retry budget allowed them"))
 	return &Stats{requests: requests, duration: duration, handles: handles, bySize: bySize, admissions: admissions, retries: retries}, errors.Wrap(err, "retries counter")
 }
 
@@ -58,19 +60,19 @@
 }
 
 // Generation counts one generation request by size and outcome.
-func (s *Stats) Generation(route string, b fair.Size, event telemetry.Event) {
+func (s *Stats) Generation(route string, size fair.Size, event telemetry.Event) {
 	s.bySize.Add(context.Background(), 1, metric.WithAttributeSet(attribute.NewSet(
-		attribute.String("route", route), attribute.String("prompt", b.Prompt.String()),
-		attribute.String("answer", b.Answer.String()), attribute.String("outcome", string(event)),
+		attribute.String("route", route), attribute.String("prompt", size.Prompt.String()),
+		attribute.String("answer", size.Answer.String()), attribute.String("outcome", string(event)),
 	)))
 }
 
 // Admission counts a generation request that was sent to an engine, or refused because it could not
-// be on time. waited says that it was deferred before.
-func (s *Stats) Admission(route string, b fair.Size, a *admission, waited bool) {
+// be on time. waited says that it had been deferred before that.
+func (s *Stats) Admission(route string, size fair.Size, a *admission, waited bool) {
 	s.admissions.Add(context.Background(), 1, metric.WithAttributeSet(attribute.NewSet(
-		attribute.String("route", route), attribute.String("prompt", b.Prompt.String()), attribute.String("answer", b.Answer.String()),
-		attribute.String("verdict", verdictName(a.ruling.Verdict)), attribute.String("reason", string(a.ruling.Reason)),
+		attribute.String("route", route), attribute.String("prompt", size.Prompt.String()), attribute.String("answer", size.Answer.String()),
+		attribute.String("verdict", verdictName(a.decision.Verdict)), attribute.String("reason", string(a.decision.Reason)),
 		attribute.Bool("waited", waited), attribute.Bool("again", a.callerRetry),
 	)))
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -22,31 +22,32 @@
 	maxEvent = 1 << 20
 )
 
-// stream relays the events of one response. If a target's stream is cut off, another target continues
-// after the last event.
+// stream relays the events of one answer to the caller. If a target's response is cut off, another
+// target continues after the last event.
 type stream struct {
 	x *exchange
-	// ticket is the request's entry in the placer for the current target.
+	// ticket counts the request as work at the current target.
 	ticket *place.Ticket
 	// headerSent is set once the response header went to the caller.
 	headerSent bool
 	// partial holds the received part of an incomplete event.
 	partial []byte
-	// events counts the events of the current target. firstEventAt is when its first event came,
-	// and lastWriteAt when events were last written to the caller.
+	// events counts the events of the current target.
 	events int
-	// pastOnset is set once the current target has run the request for longer than
+	// pastBlameWindow is set once the current target has run the request for longer than
 	// quarantine.BlameWindow.
-	pastOnset    bool
+	pastBlameWindow bool
+	// firstEventAt is when the first event of the current target came.
 	firstEventAt time.Time
-	lastWriteAt  time.Time
+	// lastWriteAt is when events of any target were last written to the caller.
+	lastWriteAt time.Time
 }
 
-// relay copies complete events to the caller as they arrive. An event that is cut off is dropped; a
-// resumed stream sends it again.
+// relay copies the complete events of a target's response to the caller as they arrive. An event
+// that is cut off is dropped; a resumed stream sends it again.
 func (s *stream) relay(resp *httpsend.Response) error {
 	s.partial = s.partial[:0]
-	s.events, s.firstEventAt, s.pastOnset = 0, time.Time{}, false
+	s.events, s.firstEventAt, s.pastBlameWindow = 0, time.Time{}, false
 	buf := make([]byte, streamBuffer)
 	for {
 		n, err := resp.Read(buf)
@@ -67,7 +68,8 @@
 	}
 }
 
-// forward writes the complete events in s.partial. It flushes them unless the response ends here.
+// forward writes the complete events in s.partial to the caller and keeps the rest. It flushes them
+// unless eof says that the response has ended, as the server flushes it then.
 func (s *stream) forward(resp *httpsend.Response, eof bool) error {
 	complete := completeEventsLen(s.partial)
 	if complete == 0 {
@@ -99,8 +101,8 @@
 		s.x.g.usage.Ran(s.x.accountName(), now)
 	}
 	s.events += n
-	if !s.pastOnset && s.ranFor(now) > quarantine.BlameWindow {
-		s.pastOnset = true
+	if !s.pastBlameWindow && s.ranFor(now) > quarantine.BlameWindow {
+		s.pastBlameWindow = true
 		s.x.noteServed()
 	}
 	s.ticket.AddEvents(n, now)
@@ -123,7 +125,7 @@
 	return s.lastWriteAt.Sub(s.firstEventAt) / time.Duration(s.events-1)
 }
 
-// finish completes the response. Bytes after the last complete event are part of the body.
+// finish completes the caller's response. Bytes after the last complete event are part of the body.
 func (s *stream) finish(resp *httpsend.Response) error {
 	s.writeHeader(resp)
 	if len(s.partial) > 0 {
