--- a/internal/errkind/body.go
+++ b/internal/errkind/body.go
@@ -30,10 +30,10 @@
 
 // Body returns e encoded as the JSON error object that callers receive.
 func Body(e *Error) []byte {
-	a := e.Response()
+	r := e.Response()
 	b := errorBody{Error: errorDetail{
-		Message: e.Detail, Type: errorType, Code: e.Kind, Outcome: a.Outcome,
-		RetryAfterSeconds: ceilSeconds(a.RetryAfter),
+		Message: e.Detail, Type: errorType, Code: e.Kind, Outcome: r.Outcome,
+		RetryAfterSeconds: ceilSeconds(r.RetryAfter),
 	}}
 	data, err := json.Marshal(b)
 	if err != nil {
@@ -46,14 +46,14 @@
 // Write sends e as the complete response: status, headers and JSON body. The Retry-After header is
 // in whole seconds, rounded up.
 func Write(w http.ResponseWriter, e *Error) {
-	a := e.Response()
+	r := e.Response()
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	h.Set(HeaderOutcome, string(a.Outcome))
-	if a.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(ceilSeconds(a.RetryAfter)))
+	h.Set(HeaderOutcome, string(r.Outcome))
+	if r.RetryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(ceilSeconds(r.RetryAfter)))
 	}
-	w.WriteHeader(a.Status)
+	w.WriteHeader(r.Status)
 	// A failed write means that the caller has closed its connection.
 	_, _ = w.Write(Body(e))
 }
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -15,7 +15,7 @@
 // metrics. The set is closed: a new kind needs an entry in the responses table.
 type Kind string
 
-// The kinds. The responses table gives the meaning of each for the caller.
+// The kinds. The responses table gives the HTTP response for each.
 const (
 	// BadRequest means that the request is malformed.
 	BadRequest Kind = "bad_request"
@@ -39,7 +39,7 @@
 	AccountLimited Kind = "account_limited"
 	// RateLimited means that the service's rate limit is reached.
 	RateLimited Kind = "rate_limited"
-	// InFlightLimited means that the limit of requests in flight is reached.
+	// InFlightLimited means that the limit on requests in flight is reached.
 	InFlightLimited Kind = "in_flight_limited"
 	// CannotFinish means that the request could not be served in time.
 	CannotFinish Kind = "cannot_finish"
@@ -49,7 +49,8 @@
 	Quarantined Kind = "quarantined"
 	// Stopping means that the process is shutting down.
 	Stopping Kind = "stopping"
-	// NotReady means that the process does not have the configuration and the targets that it needs yet.
+	// NotReady means that the process does not yet have the configuration and the targets that it
+	// needs.
 	NotReady Kind = "not_ready"
 	// TargetFailed means that the target responded with an error or an unusable response.
 	TargetFailed Kind = "target_failed"
@@ -65,7 +66,7 @@
 	StreamStopped Kind = "stream_stopped"
 	// BadEventID means that the event id to resume a stream from is invalid.
 	BadEventID Kind = "bad_event_id"
-	// KeyReused means that the idempotency key was used before with a different request.
+	// KeyReused means that the idempotency key was used before, with a different request.
 	KeyReused Kind = "key_reused"
 	// CallInProgress means that a call with the same idempotency key has no response yet.
 	CallInProgress Kind = "call_in_progress"
@@ -84,11 +85,14 @@
 // Outcome tells a caller whether its request may have had an effect.
 type Outcome string
 
-// The outcomes. NotRun is used only where it is certain that no target has run the request.
+// The outcomes.
 const (
-	NotRun     Outcome = "not_run"
+	// NotRun means that it is certain that no target has run the request.
+	NotRun Outcome = "not_run"
+	// MayHaveRun means that a target may have run the request, completely or in part.
 	MayHaveRun Outcome = "may_have_run"
-	Ran        Outcome = "ran"
+	// Ran means that a target has run the request.
+	Ran Outcome = "ran"
 )
 
 // Response is the response that a caller gets for a Kind.
@@ -156,11 +160,11 @@
 // ResponseFor returns the default response for k. A kind that is not in the table gets the response
 // for Internal.
 func ResponseFor(k Kind) Response {
-	a, ok := responses[k]
+	r, ok := responses[k]
 	if !ok {
 		return responses[Internal]
 	}
-	return a
+	return r
 }
 
 // Error is an error of a listed Kind.
@@ -201,14 +205,14 @@
 
 // Response returns the response for e: its kind's default with the overrides of e applied.
 func (e *Error) Response() Response {
-	a := ResponseFor(e.Kind)
+	r := ResponseFor(e.Kind)
 	if e.Outcome != "" {
-		a.Outcome = e.Outcome
+		r.Outcome = e.Outcome
 	}
 	if e.RetryAfter > 0 {
-		a.RetryAfter = e.RetryAfter
+		r.RetryAfter = e.RetryAfter
 	}
-	return a
+	return r
 }
 
 // From returns the *Error in err's chain. An error without one is wrapped as Internal.
--- a/internal/errkind/errkind_test.go
+++ b/internal/errkind/errkind_test.go
@@ -18,14 +18,16 @@
 	page, err := os.ReadFile("../../docs/operators/errors.md")
 	is.NoErr(err)
 	for _, k := range Kinds() {
-		a := ResponseFor(k)
-		is.True(a.Status >= 400)
-		is.True(a.Outcome == NotRun || a.Outcome == MayHaveRun || a.Outcome == Ran)
+		r := ResponseFor(k)
+		is.True(r.Status >= 400)
+		is.True(r.Outcome == NotRun || r.Outcome == MayHaveRun || r.Outcome == Ran)
 		is.True(strings.Contains(string(page), "`"+string(k)+"`")) // documented
 	}
 	is.Equal(ResponseFor("made_up"), ResponseFor(Internal))
 }
 
+// A response has the status of the error's kind, the retry delay and outcome in its header, and the
+// error object as its body.
 func TestWrite(t *testing.T) {
 	is := is.New(t)
 	e := New(RateLimited, "too many")
@@ -41,6 +43,8 @@
 	is.Equal(b.Error.Message, "too many")
 }
 
+// An error that is no *Error is reported as Internal, without its text: that could contain other
+// callers' data.
 func TestUnlistedErrorsAreInternal(t *testing.T) {
 	is := is.New(t)
 	e := From(errors.New("secret detail"))
