--- a/internal/httpsend/client.go
+++ b/internal/httpsend/client.go
@@ -1,6 +1,6 @@
 // Package httpsend is an HTTP/1.1 client that sends each request at most once. Unlike
-// net/http's Transport, it never retries a request by itself, and every failure states whether
-// the target may have run the request.
+// net/http's Transport, it never retries a request, and every failure states whether the target
+// may have run the request. The head of a response is its status line and header.
 package httpsend
 
 import (
@@ -46,6 +46,7 @@
 // Error reports a failed send: the phase in which it failed and the cause.
 type Error struct {
 	Phase Phase
+	// Cause is the wrapped error.
 	Cause error
 }
 
@@ -58,8 +59,8 @@
 // newError returns an Error of phase p.
 func newError(p Phase, cause error) *Error { return &Error{Phase: p, Cause: cause} }
 
-// ErrOverdue is the cancellation cause for a send whose response is overdue. If it used a kept
-// connection, that connection counts as dead, and so do those that were idle when it began.
+// ErrOverdue is the cancellation cause for a send whose response is overdue. If the send reused an
+// idle connection, that connection counts as dead, and so do those that were idle when it began.
 var ErrOverdue = errors.New("httpsend: the response is overdue")
 
 // ErrConnLimit reports that the destination's MaxConns connections are all in use.
@@ -69,7 +70,7 @@
 type Config struct {
 	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// MaxIdleTime is the longest time that a connection is kept unused.
+	// MaxIdleTime is how long an idle connection is kept for reuse.
 	MaxIdleTime time.Duration
 	// UnackedTimeout is how long written bytes may stay unacknowledged before the kernel
 	// closes the connection. A Request may set its own limit.
@@ -85,15 +86,14 @@
 	// MaxConns limits the connections that are open at once; 0 means no limit.
 	MaxConns int
 	// NewConn requires a new connection. It is meant for requests that must not be retried: the
-	// target may have just closed a kept connection, and the request would be lost on it.
+	// target may have just closed an idle connection, and the request would be lost on it.
 	NewConn bool
-	// MaxIdleTime is the longest time that a kept connection may have been idle to be used; 0
+	// MaxIdleTime is the longest time that a connection may have been idle to be reused; 0
 	// means the client's MaxIdleTime.
 	MaxIdleTime time.Duration
 }
 
-// Client sends requests over connections that it keeps for reuse. It is safe
-// for concurrent use.
+// Client sends requests over connections that it keeps for reuse. It is safe for concurrent use.
 type Client struct {
 	cfg Config
 
@@ -125,8 +125,8 @@
 	return &Client{cfg: cfg, pools: make(map[string]*pool)}
 }
 
-// acquire returns a usable idle connection, or opens a new one. It fails with ErrConnLimit where
-// the destination's MaxConns connections are in use.
+// acquire returns a usable idle connection, or opens a new one. It fails with ErrConnLimit if the
+// destination's MaxConns connections are all in use.
 func (c *Client) acquire(ctx context.Context, d Destination) (*conn, error) {
 	if !d.NewConn {
 		for cn := c.popIdle(d); cn != nil; cn = c.popIdle(d) {
@@ -150,15 +150,15 @@
 	return cn, nil
 }
 
-// probeWait is how long the connection of a probe must stay open for the address to count as
-// listening.
+// probeWait is how long the connection of a probe must stay open for a process to count as
+// listening at the address.
 const probeWait = 50 * time.Millisecond
 
 // ErrNotListening reports that no process listens at an address.
 var ErrNotListening = errors.New("httpsend: no process listens at the address")
 
-// Probe opens a connection to address and closes it. It returns ErrNotListening if the connection is
-// refused, or if it is accepted and closed within probeWait without data, as a load balancer
+// Probe opens a connection to address and closes it. It returns ErrNotListening if the connection
+// is refused, or if it is accepted and closed within probeWait without data, as a load balancer
 // without healthy targets does.
 func (c *Client) Probe(ctx context.Context, address string) error {
 	nc, err := silence.Dialer(c.cfg.DialTimeout, c.cfg.UnackedTimeout).DialContext(ctx, "tcp", address)
@@ -177,12 +177,12 @@
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
 		return errors.Wrap(ErrNotListening, err.Error())
 	}
-	// A listening target waits for a request, or sends data by itself.
+	// A listening target waits for a request, or sends data unprompted.
 	return nil
 }
 
-// setUnackedTimeout sets how long written bytes may stay unacknowledged on cn; 0 means the
-// client's UnackedTimeout.
+// setUnackedTimeout sets how long bytes written to cn may stay unacknowledged; 0 means the client's
+// UnackedTimeout.
 func (c *Client) setUnackedTimeout(cn *conn, unacked time.Duration) error {
 	if unacked <= 0 {
 		unacked = c.cfg.UnackedTimeout
@@ -196,15 +196,15 @@
 
 // connDead reports whether a send that got no response indicates a dead connection: it timed
 // out at the socket or at the deadline of ctx, or was cancelled with ErrOverdue. Any other
-// cancellation says nothing about the connection.
+// cancellation is no evidence about the connection.
 func connDead(ctx context.Context, err error) bool {
 	cause := context.Cause(ctx)
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.Is(cause, context.DeadlineExceeded) || errors.Is(cause, ErrOverdue)
 }
 
 // closeIdleSince closes the connections to a destination that have been idle since before the
-// given time. It is called when one such connection turned out to be dead, as the others
-// probably are as well.
+// given time. It is called when one such connection turned out to be dead, as the others probably
+// are dead too.
 func (c *Client) closeIdleSince(id string, before time.Time) {
 	c.mu.Lock()
 	p := c.pools[id]
--- a/internal/httpsend/httpsend_test.go
+++ b/internal/httpsend/httpsend_test.go
@@ -17,7 +17,7 @@
 	"garnethoist.org/garnethoist/internal/httpsend"
 )
 
-// fakeTarget serves the requests of all its connections, each with the next handler. It counts
+// fakeTarget answers the requests on all its connections, each with the next handler. It counts
 // requests and connections.
 type fakeTarget struct {
 	t        *testing.T
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &fakeTarget{t: t, l: l}
+	ft := &fakeTarget{t: t, l: l}
 	var served sync.WaitGroup
 	served.Go(func() {
 		for {
@@ -47,27 +47,27 @@
 			if err != nil {
 				return
 			}
-			g.mu.Lock()
-			g.conns++
-			g.open = append(g.open, c)
-			g.mu.Unlock()
-			served.Go(func() { g.serve(c, handlers) })
+			ft.mu.Lock()
+			ft.conns++
+			ft.open = append(ft.open, c)
+			ft.mu.Unlock()
+			served.Go(func() { ft.serve(c, handlers) })
 		}
 	})
 	t.Cleanup(func() {
 		l.Close()
-		g.mu.Lock()
-		for _, c := range g.open {
+		ft.mu.Lock()
+		for _, c := range ft.open {
 			c.Close()
 		}
-		g.mu.Unlock()
+		ft.mu.Unlock()
 		served.Wait()
 	})
-	return g
+	return ft
 }
 
 // serve reads requests from c until the connection ends, and passes each to the next handler.
-func (g *fakeTarget) serve(c net.Conn, handlers []handler) {
+func (ft *fakeTarget) serve(c net.Conn, handlers []handler) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for {
@@ -78,10 +78,10 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		g.mu.Lock()
-		n := g.requests
-		g.requests++
-		g.mu.Unlock()
+		ft.mu.Lock()
+		n := ft.requests
+		ft.requests++
+		ft.mu.Unlock()
 		if n >= len(handlers) || !handlers[n](c) {
 			return
 		}
@@ -89,10 +89,10 @@
 }
 
 // counts returns the requests and connections so far.
-func (g *fakeTarget) counts() (requests, conns int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.requests, g.conns
+func (ft *fakeTarget) counts() (requests, conns int) {
+	ft.mu.Lock()
+	defer ft.mu.Unlock()
+	return ft.requests, ft.conns
 }
 
 // emit returns a handler that writes text and then keeps the connection open or closes it.
@@ -103,8 +103,9 @@
 	}
 }
 
-func (g *fakeTarget) destination() httpsend.Destination {
-	return httpsend.Destination{ID: "i-a", Address: g.l.Addr().String(), MaxConns: 2}
+// destination returns the target's address with a limit of two connections.
+func (ft *fakeTarget) destination() httpsend.Destination {
+	return httpsend.Destination{ID: "i-a", Address: ft.l.Addr().String(), MaxConns: 2}
 }
 
 // ok is a complete response to the request with the id q.
@@ -113,6 +114,7 @@
 // matches is the httpsend.Match of all requests of these tests, which have the id q.
 func matches(_ int, h http.Header) bool { return h.Get("Request-Id") == "q" }
 
+// newClient returns a client that keeps idle connections for longer than any test takes.
 func newClient() *httpsend.Client {
 	return httpsend.New(httpsend.Config{DialTimeout: time.Second, MaxIdleTime: time.Minute, UnackedTimeout: time.Second})
 }
@@ -168,35 +170,36 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			g := newFakeTarget(t, tc.handler, emit(ok, true))
-			body, err := send(context.Background(), newClient(), g.destination())
+			ft := newFakeTarget(t, tc.handler, emit(ok, true))
+			body, err := send(context.Background(), newClient(), ft.destination())
 			is.Equal(body, tc.body)
 			is.Equal(phaseOf(err), tc.phase)
-			n, _ := g.counts()
+			n, _ := ft.counts()
 			is.Equal(n, 1)
 		})
 	}
 }
 
+// TestNothingListens checks that a refused connection is reported as NotSent.
 func TestNothingListens(t *testing.T) {
 	is := is.New(t)
-	g := newFakeTarget(t)
-	d := g.destination()
-	g.l.Close()
+	ft := newFakeTarget(t)
+	d := ft.destination()
+	ft.l.Close()
 	_, err := send(context.Background(), newClient(), d)
 	is.Equal(phaseOf(err), httpsend.NotSent)
 }
 
 func TestConnectionIsReusedAfterCompleteResponse(t *testing.T) {
 	is := is.New(t)
-	g := newFakeTarget(t, emit(ok, true), emit(ok, true))
+	ft := newFakeTarget(t, emit(ok, true), emit(ok, true))
 	c := newClient()
 	for range 2 {
-		body, err := send(context.Background(), c, g.destination())
+		body, err := send(context.Background(), c, ft.destination())
 		is.NoErr(err)
 		is.Equal(body, "ok")
 	}
-	n, conns := g.counts()
+	n, conns := ft.counts()
 	is.Equal(n, 2)
 	is.Equal(conns, 1)
 }
@@ -212,15 +215,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := newFakeTarget(t, first, emit(ok, true))
+			ft := newFakeTarget(t, first, emit(ok, true))
 			c := newClient()
-			_, err := send(context.Background(), c, g.destination())
+			_, err := send(context.Background(), c, ft.destination())
 			is.NoErr(err)
 			time.Sleep(50 * time.Millisecond)
-			body, err := send(context.Background(), c, g.destination())
+			body, err := send(context.Background(), c, ft.destination())
 			is.NoErr(err)
 			is.Equal(body, "ok")
-			_, conns := g.counts()
+			_, conns := ft.counts()
 			is.Equal(conns, 2)
 		})
 	}
@@ -231,31 +234,33 @@
 func TestMaxConns(t *testing.T) {
 	is := is.New(t)
 	hold := func(net.Conn) bool { time.Sleep(200 * time.Millisecond); return false }
-	g := newFakeTarget(t, hold, hold, emit(ok, true))
+	ft := newFakeTarget(t, hold, hold, emit(ok, true))
 	c := newClient()
 	var wg sync.WaitGroup
 	for range 2 {
 		wg.Go(func() {
-			_, err := send(context.Background(), c, g.destination())
+			_, err := send(context.Background(), c, ft.destination())
 			if phaseOf(err) != httpsend.Unanswered {
 				t.Error(err)
 			}
 		})
 	}
 	time.Sleep(50 * time.Millisecond)
-	_, err := send(context.Background(), c, g.destination())
+	_, err := send(context.Background(), c, ft.destination())
 	is.Equal(phaseOf(err), httpsend.NotSent)
 	is.True(errors.Is(err, httpsend.ErrConnLimit))
 	wg.Wait()
-	body, err := send(context.Background(), c, g.destination())
+	body, err := send(context.Background(), c, ft.destination())
 	is.NoErr(err)
 	is.Equal(body, "ok")
 }
 
+// TestContextEndClosesConnection checks that a send ends at the deadline of its context, and that
+// the target sees the connection close and can stop working.
 func TestContextEndClosesConnection(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
-	g := newFakeTarget(t, func(c net.Conn) bool {
+	ft := newFakeTarget(t, func(c net.Conn) bool {
 		_, err := c.Read(make([]byte, 1))
 		if err != nil {
 			close(closed)
@@ -264,7 +269,7 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	_, err := send(ctx, newClient(), g.destination())
+	_, err := send(ctx, newClient(), ft.destination())
 	is.Equal(phaseOf(err), httpsend.Unanswered)
 	is.True(errors.Is(err, context.DeadlineExceeded))
 	select {
@@ -275,39 +280,40 @@
 }
 
 // TestNothingIsSentAfterContextEnd guards against writing a request whose context has already
-// ended. Dialing fails with the context, but a kept connection is not dialed, so Send must check
-// the context itself.
+// ended. Dialing fails with the context, but an idle connection is not dialed, so Send must check
+// the context.
 func TestNothingIsSentAfterContextEnd(t *testing.T) {
 	is := is.New(t)
 	handlers := make([]handler, 20)
 	for i := range handlers {
 		handlers[i] = emit(ok, true)
 	}
-	g := newFakeTarget(t, handlers...)
+	ft := newFakeTarget(t, handlers...)
 	c := newClient()
-	_, err := send(context.Background(), c, g.destination())
+	_, err := send(context.Background(), c, ft.destination())
 	is.NoErr(err)
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range 10 {
-		_, err := send(cancelled, c, g.destination())
+		_, err := send(cancelled, c, ft.destination())
 		is.Equal(phaseOf(err), httpsend.NotSent)
 		is.True(errors.Is(err, context.Canceled))
 	}
-	_, err = send(context.Background(), c, g.destination())
+	_, err = send(context.Background(), c, ft.destination())
 	is.NoErr(err)
-	requests, conns := g.counts()
+	requests, conns := ft.counts()
 	is.Equal(requests, 2)
 	is.Equal(conns, 1) // the idle connection was kept
 }
 
+// TestWithheldRequestIsNotSent checks that nothing is sent if Request.BeforeSend returns false.
 func TestWithheldRequestIsNotSent(t *testing.T) {
 	is := is.New(t)
-	g := newFakeTarget(t, emit(ok, true))
-	_, err := newClient().Send(context.Background(), g.destination(), &httpsend.Request{Method: "GET", URI: "/", Host: "h", BeforeSend: func() bool { return false }}, matches)
+	ft := newFakeTarget(t, emit(ok, true))
+	_, err := newClient().Send(context.Background(), ft.destination(), &httpsend.Request{Method: "GET", URI: "/", Host: "h", BeforeSend: func() bool { return false }}, matches)
 	is.Equal(phaseOf(err), httpsend.NotSent)
 	is.True(errors.Is(err, httpsend.ErrWithheld))
-	n, _ := g.counts()
+	n, _ := ft.counts()
 	is.Equal(n, 0)
 }
 
@@ -345,20 +351,20 @@
 
 func TestPruneClosesConnectionsOfRemovedDestinations(t *testing.T) {
 	is := is.New(t)
-	g := newFakeTarget(t, emit(ok, true), emit(ok, true))
+	ft := newFakeTarget(t, emit(ok, true), emit(ok, true))
 	c := newClient()
-	_, err := send(context.Background(), c, g.destination())
+	_, err := send(context.Background(), c, ft.destination())
 	is.NoErr(err)
 	c.Prune(func(string) bool { return false })
-	_, err = send(context.Background(), c, g.destination())
+	_, err = send(context.Background(), c, ft.destination())
 	is.NoErr(err)
-	_, conns := g.counts()
+	_, conns := ft.counts()
 	is.Equal(conns, 2)
 }
 
 // TestProbe checks that a connection that stays open counts as a listening process, and that
-// ErrNotListening is returned for one that is refused, or closed unused as by a load balancer without
-// healthy targets.
+// ErrNotListening is returned for one that is refused, or closed unused as by a load balancer
+// without healthy targets.
 func TestProbe(t *testing.T) {
 	is := is.New(t)
 	c := httpsend.New(httpsend.Config{DialTimeout: time.Second})
--- a/internal/httpsend/send.go
+++ b/internal/httpsend/send.go
@@ -20,9 +20,9 @@
 	// readBufferSize is the size in bytes of a connection's read buffer: large enough for the
 	// head of a response and most bodies of plain services.
 	readBufferSize = 4 << 10
-	// maxInlineWrite is the size in bytes up to which a request is written completely before
-	// the response is read. A larger request is written in parallel, as the target may respond
-	// before it has read all of it.
+	// maxInlineWrite is the size in bytes of the largest request that is written completely before
+	// the response is read. A larger request is written while the response is read, as the target
+	// may respond before it has read all of the request.
 	maxInlineWrite = 8 << 10
 	// maxSkipped limits the response heads that are read for one request, of which all but the
 	// last belong to earlier requests or are informational (1xx).
@@ -48,7 +48,7 @@
 	return &conn{nc: nc, br: bufio.NewReaderSize(nc, readBufferSize), destID: id}
 }
 
-// Request is a request to send. Content-Length is added to its header.
+// Request is a request to send. Host and Content-Length are added to its header.
 type Request struct {
 	Method string
 	// URI is the request target of the request line, sent unchanged.
@@ -60,15 +60,15 @@
 	// written. If it returns false, nothing is sent and Send fails with ErrWithheld. It may be
 	// nil.
 	BeforeSend func() bool
-	// ResetOnFailure resets the connection when the send fails, which drops bytes that are
-	// still in the send buffer, so that they do not arrive later.
+	// ResetOnFailure makes a failed send reset the connection. This drops the bytes that are still
+	// in the send buffer, so that they do not arrive later.
 	ResetOnFailure bool
 	// UnackedTimeout is how long written bytes may stay unacknowledged before the kernel closes the
 	// connection; 0 means the client's UnackedTimeout.
 	UnackedTimeout time.Duration
 }
 
-// ErrWithheld reports that Request.Before returned false.
+// ErrWithheld reports that Request.BeforeSend returned false.
 var ErrWithheld = errors.New("httpsend: request withheld")
 
 // Match reports whether a response with this status and header belongs to the request that was
@@ -85,13 +85,15 @@
 	client *Client
 	conn   *conn
 	resp   *http.Response
-	// stopWatch stops the closing of the connection at the end of ctx. It returns false if the
+	// stopWatch cancels the closing of the connection at the end of ctx. It returns false if the
 	// connection is already being closed.
 	stopWatch func() bool
 	// writeDone receives the result of writing the request.
 	writeDone <-chan error
-	ctx       context.Context
-	once      sync.Once
+	// ctx is the context of the send.
+	ctx context.Context
+	// once makes repeated calls of Close have no effect.
+	once sync.Once
 	// complete is true once the body was read to its end.
 	complete bool
 }
--- a/internal/httpsend/silent_test.go
+++ b/internal/httpsend/silent_test.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// requestTimeout is the deadline of the requests, far longer than a dead connection may
-	// take to be detected.
+	// requestTimeout is the time limit of the requests, far longer than the detection of a dead
+	// connection may take.
 	requestTimeout = 10 * time.Second
 	// unackedTimeout is the requests' limit on unacknowledged bytes.
 	unackedTimeout = 250 * time.Millisecond
 	// detectedWithin is the time within which unacknowledged bytes must have failed a send.
 	detectedWithin = time.Second
-	// probedWithin is the same for a connection on which nothing is written: keep-alive probes
-	// are sent once a second.
+	// probedWithin is the time within which keep-alive probes, one a second, must have failed a
+	// send on a connection on which nothing is written.
 	probedWithin = 3500 * time.Millisecond
 )
 
 // newRelayedTarget returns a target behind a relay that can drop the packets of its connections.
 func newRelayedTarget(t *testing.T, handlers ...handler) (*fakeTarget, *proc.Relay, httpsend.Destination) {
 	t.Helper()
-	g := newFakeTarget(t, handlers...)
-	r, err := proc.NewRelay(g.l.Addr().String())
+	ft := newFakeTarget(t, handlers...)
+	r, err := proc.NewRelay(ft.l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	return g, r, httpsend.Destination{ID: "i-a", Address: r.Addr(), MaxConns: 8}
+	return ft, r, httpsend.Destination{ID: "i-a", Address: r.Addr(), MaxConns: 8}
 }
 
 // timedSend is send with requestTimeout and unackedTimeout. It also returns how long it took.
@@ -53,9 +53,9 @@
 	return string(body), time.Since(start), err
 }
 
-// TestKeptConnectionDies checks that a request on a kept connection whose packets are lost
+// TestReusedConnectionDies checks that a request on a reused connection whose packets are lost
 // fails long before its deadline, and that the next request uses a new connection.
-func TestKeptConnectionDies(t *testing.T) {
+func TestReusedConnectionDies(t *testing.T) {
 	is := is.New(t)
 	_, r, d := newRelayedTarget(t, emit(ok, true), emit(ok, true))
 	c := newClient()
@@ -80,7 +80,7 @@
 	for range kept {
 		handlers = append(handlers, func(c net.Conn) bool { <-allArrived; return emit(ok, true)(c) })
 	}
-	g, r, d := newRelayedTarget(t, append(handlers, emit(ok, true))...)
+	ft, r, d := newRelayedTarget(t, append(handlers, emit(ok, true))...)
 	c := newClient()
 	done := make(chan error, kept)
 	for range kept {
@@ -90,7 +90,7 @@
 		}()
 	}
 	for end := time.Now().Add(requestTimeout); ; time.Sleep(time.Millisecond) {
-		if n, _ := g.counts(); n == kept || time.Now().After(end) {
+		if n, _ := ft.counts(); n == kept || time.Now().After(end) {
 			break
 		}
 	}
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestSlowTargetIsWaitedFor checks that a target that sends nothing for longer than the probes
-// take does not fail a request: the kernel of its host acknowledges the probes.
+// TestSlowTargetIsWaitedFor checks that a request does not fail if its target sends nothing for
+// longer than probedWithin: the kernel of the target's host acknowledges the probes.
 func TestSlowTargetIsWaitedFor(t *testing.T) {
 	is := is.New(t)
 	_, _, d := newRelayedTarget(t, func(c net.Conn) bool { time.Sleep(probedWithin); return emit(ok, true)(c) })
@@ -170,11 +170,11 @@
 	is.Equal(body, "ok")
 }
 
-// TestIdleLimitOfDestination checks that a connection that has been idle for too long for one request is kept
-// for others.
+// TestIdleLimitOfDestination checks that a connection that has been idle for longer than one
+// request's Destination.MaxIdleTime is kept for other requests.
 func TestIdleLimitOfDestination(t *testing.T) {
 	is := is.New(t)
-	g, _, d := newRelayedTarget(t, emit(ok, true), emit(ok, true), emit(ok, true))
+	ft, _, d := newRelayedTarget(t, emit(ok, true), emit(ok, true), emit(ok, true))
 	c := newClient()
 	d.MaxIdleTime = 50 * time.Millisecond
 	for _, wait := range []time.Duration{0, 2 * d.MaxIdleTime} {
@@ -186,6 +186,6 @@
 	d.MaxIdleTime = 0
 	_, _, err := timedSend(c, d)
 	is.NoErr(err)
-	_, conns := g.counts()
+	_, conns := ft.counts()
 	is.Equal(conns, 2)
 }
