--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -16,7 +16,8 @@
 	"garnethoist.org/garnethoist/internal/usage"
 )
 
-// dutyModules is an empty module. Its dependencies are the modules of the configured duties.
+// dutyModules is an empty module, which exists only for its dependencies: the modules of the
+// configured duties.
 type dutyModules struct{}
 
 // provideDuties provisions the modules of the duties that the settings list.
@@ -31,8 +32,8 @@
 	return dutyModules{}, g.Err
 }
 
-// registerDuties registers the usage counter, which every VM runs, and the modules of the
-// duties that one VM at a time performs on behalf of all.
+// registerDuties registers the modules of the duties, which one VM at a time performs on behalf of
+// all, and the usage counter, which every VM runs.
 func registerDuties(k *kernel.Kernel, cfg *settings.Node, a Adapter) {
 	k.Register(ModuleDuties, func(k *kernel.Kernel) (any, error) { return provideDuties(k, cfg) })
 	k.Register(ModuleUsageCounter, func(*kernel.Kernel) (any, error) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
 // Package node assembles garnet-node, the program that runs on each VM, from its modules: the
 // gateway for callers, the watchers of the store's tables, the exchange with other VMs, and the
-// control of the engines' stages.
+// control of the engines' stages (prefill or decode).
 package node
 
 import (
@@ -24,8 +24,8 @@
 	"garnethoist.org/garnethoist/internal/watch"
 )
 
-// Names under which the modules are registered with the kernel. Most consist of the package and
-// the type of the module.
+// Names under which the modules are registered with the kernel. Most consist of the package of the
+// module and a short name for it.
 const (
 	ModuleLogWriter     = "telemetry.writer"
 	ModuleLog           = "telemetry.log"
@@ -60,7 +60,7 @@
 // drains its requests.
 var Roots = []string{ModuleAdmin, ModuleReadyServer, ModulePlacer, ModulePeers, ModuleStages, ModuleReload, ModuleGateway, ModuleDuties}
 
-// Store is the client of the platform's store: transactions on keys, and the feeds of tables.
+// Store is a client of the platform's store: transactions on keys, and the feeds of tables.
 type Store interface {
 	store.Table
 	store.Feed
@@ -76,7 +76,8 @@
 type Adapter struct {
 	// NewStore returns a client of the store.
 	NewStore func(cfg settings.Platform) Store
-	// Protocol is the HTTP protocol that the gateway speaks with callers and targets.
+	// Protocol translates the HTTP headers and bodies that the gateway exchanges with callers and
+	// targets.
 	Protocol gateway.Protocol
 	// Decoder decodes the rows of the configuration table and the targets table.
 	Decoder watch.Decoder
@@ -92,14 +93,14 @@
 	TargetsTable string
 }
 
-// Limits of the HTTP client's connections to targets.
+// Time limits of the HTTP client's connections to targets.
 const (
 	// targetDialTimeout limits the time to open a connection.
 	targetDialTimeout = 250 * time.Millisecond
 	// targetMaxIdle is how long an unused connection is kept.
 	targetMaxIdle = 3 * time.Second
-	// targetUnackedTimeout is how long sent bytes may stay unacknowledged for requests that set
-	// no limit of their own: orders and reports, whose timeout is 700 ms.
+	// targetUnackedTimeout is how long sent bytes may stay unacknowledged in calls that set no
+	// limit of their own: orders to engines and reports from them, whose timeout is 700 ms.
 	targetUnackedTimeout = 250 * time.Millisecond
 )
 
@@ -236,6 +237,8 @@
 	keeper := kernel.Need[*fleet.Keeper](g, ModuleFleetKeeper)
 	controller.SetDecodeDemand(func(targets []*fleet.Target) float64 { return decodeDemand(placer, keeper.View(), targets) })
 	controller.SetPrefillBacklog(func(targets []*fleet.Target) bool { return prefillOverloaded(placer, keeper.View(), targets) })
+	// In a large group only its sentinels contend for the lease: the few VMs that read changes from
+	// the store and forward them to the others.
 	controller.SetCandidate(func() bool { return !group.ForwardsChanges() || group.Sentinel() })
 	controller.SetEngineState(placer.Streams, func(engine string) bool {
 		_, changing := group.Changing(engine)
@@ -245,7 +248,8 @@
 	return placer, nil
 }
 
-// decodeDemand returns how many decode engines the running requests of a service occupy.
+// decodeDemand returns how many decode engines the running requests of a service occupy. It is 0 if
+// the service runs no model.
 // targets are the engines of that service.
 func decodeDemand(p *place.Placer, v *fleet.View, targets []*fleet.Target) float64 {
 	if v.Config == nil || len(targets) == 0 {
@@ -289,7 +293,8 @@
 	}
 }
 
-// provideGateway returns the gateway and makes its readiness that of the program.
+// provideGateway returns the gateway. Its readiness becomes that of the readiness server and of the
+// admin server.
 func provideGateway(k *kernel.Kernel, cfg *settings.Node, a Adapter) (any, error) {
 	g := &kernel.Getter{Kernel: k}
 	group := kernel.Need[*peers.Peers](g, ModulePeers)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -16,12 +16,13 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// settingsPollInterval is the time between reads of the settings file, which may change without
-// a SIGHUP.
+// settingsPollInterval is the time between reads of the settings file, as it may change without a
+// SIGHUP.
 const settingsPollInterval = time.Second
 
 // reloader applies changes of the settings file, on SIGHUP or when it finds the file changed.
-// Settings that a running process cannot change are only logged as needing a restart.
+// Settings that take effect only at a restart are not applied; the log says that a restart is
+// needed.
 type reloader struct {
 	kernel.Background
 	path string
--- a/internal/node/storelog.go
+++ b/internal/node/storelog.go
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// Values of the log key op: the methods of the store.
+// Values of the log key "op". Both ListRows and List are logged as opList.
 const (
 	opList    = "list"
 	opChanges = "changes"
