--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -59,8 +59,8 @@
 // Addr is an IP address with a port, such as "10.1.0.4:7100".
 type Addr string
 
-// validator is a settings struct. validate reports its invalid or missing values to dec, after
-// the fields have been decoded.
+// validator is a settings struct. validate is called after the fields have been decoded, and
+// reports invalid and missing values to dec.
 type validator interface {
 	validate(dec *decoder)
 }
@@ -125,7 +125,8 @@
 	}
 }
 
-// decode stores the JSON value v in dst, a settable value. field is its path.
+// decode stores the JSON value v in dst, which must be settable. field is the path of v, as in
+// Problem.Field.
 func (dec *decoder) decode(field string, v hujson.Value, dst reflect.Value) {
 	dec.offsets[field] = v.StartOffset
 	switch val := v.Value.(type) {
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -22,15 +22,15 @@
 	// PeerAddress is the UDP address at which this VM exchanges reports of its load with other
 	// VMs.
 	PeerAddress Addr `json:"peer_address"`
-	// Store is the address of the platform's store.
+	// Store is the address and timeout of the platform's store.
 	Store Platform `json:"store"`
 	// Cloud configures the calls to the platform that one VM at a time makes on behalf of all.
 	Cloud Cloud `json:"cloud"`
 	// UsageWindow is the length of the time windows for which the usage of client accounts is
 	// reported.
 	UsageWindow Duration `json:"usage_window"`
-	// FirstStart is true if all VMs start for the first time, so that there is no state of
-	// earlier processes to wait for.
+	// FirstStart is true if all VMs start for the first time, so that there is no state of earlier
+	// processes to wait for.
 	FirstStart bool `json:"first_start"`
 	// MemoryMB is the memory that the process may use, in MiB.
 	MemoryMB int64 `json:"memory_mb"`
@@ -39,10 +39,10 @@
 	FileDescriptors int64 `json:"file_descriptors"`
 	// LinkMbps is the speed of the VM's network link in Mbit/s; 0 means unknown.
 	LinkMbps float64 `json:"link_mbps"`
-	// Grace is the time between SIGTERM and SIGKILL when the VM stops.
+	// Grace is the time from SIGTERM to SIGKILL when the process is stopped.
 	Grace Duration `json:"grace"`
-	// LeaseGap is the least time between the last order of one lease holder and the first of
-	// the next.
+	// LeaseGap is the minimum time between the last order of one lease holder and the first order
+	// of the next.
 	LeaseGap Duration `json:"lease_gap"`
 	// ConfigBound is the time within which a change of the configuration must take effect on
 	// every VM after it was written.
@@ -50,11 +50,11 @@
 	// RevokeBound is the time within which every VM, connected to the store or not, must refuse
 	// a key that was removed from the configuration; 0 means no limit.
 	RevokeBound Duration `json:"revoke_bound"`
-	// RetryRatio limits sends to a further target, as a fraction of the requests.
+	// RetryRatio limits retries at further targets, as a fraction of the requests.
 	RetryRatio float64 `json:"retry_ratio"`
-	// RetryBurst is the number of such sends allowed beyond RetryRatio, for all VMs together.
+	// RetryBurst is the number of retries allowed beyond RetryRatio, for all VMs together.
 	RetryBurst float64 `json:"retry_burst"`
-	// RetryWindow is the sliding window over which both are counted.
+	// RetryWindow is the sliding window to which RetryRatio and RetryBurst apply.
 	RetryWindow Duration `json:"retry_window"`
 	// LogLinesPerS limits the log lines per second; further lines are dropped and counted.
 	LogLinesPerS int64 `json:"log_lines_per_s"`
@@ -72,7 +72,7 @@
 	Address string `json:"address"`
 	// CallsPerS limits the calls of all VMs together, per second.
 	CallsPerS float64 `json:"calls_per_s"`
-	// Duties lists the duties to perform.
+	// Duties lists the duties to perform: DutyUsage, DutyScaling.
 	Duties []string `json:"duties"`
 }
 
@@ -84,7 +84,7 @@
 	DutyScaling = "scaling"
 )
 
-// HasDuty reports whether a duty is configured.
+// HasDuty reports whether a duty is configured, which takes a cloud address as well.
 func (c *Cloud) HasDuty(duty string) bool { return c.Address != "" && slices.Contains(c.Duties, duty) }
 
 // DefaultNode returns the default settings of garnet-node.
@@ -116,8 +116,8 @@
 	MechanismSlowdown = "slowdown"
 	// MechanismCache estimates which prompts the engines have cached.
 	MechanismCache = "cache"
-	// MechanismStay sends a session back to the engine that has cached its prompt, even if
-	// other requests wait there.
+	// MechanismStay sends a request back to the engine that has cached the prompt of its session,
+	// even if other requests wait there.
 	MechanismStay = "stay"
 	// MechanismDeferral defers late requests. Without it they are refused.
 	MechanismDeferral = "deferral"
--- a/internal/settings/programs.go
+++ b/internal/settings/programs.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Peer is a steward that is known from the start. Others are discovered through it and through
-// the platform's VM list.
+// Peer is a steward that is known from the start. Stewards are the control plane; see package
+// steward. Other stewards are discovered through the known ones and through the platform's VM list.
 type Peer struct {
 	// VM is the name of the peer's entry VM.
 	VM string `json:"vm"`
@@ -16,7 +16,7 @@
 	Address Addr `json:"address"`
 }
 
-// Platform is the address of a service of the platform.
+// Platform is the address and timeout of a service of the platform.
 type Platform struct {
 	// Address is the service's HTTP address.
 	Address Addr `json:"address"`
@@ -36,7 +36,7 @@
 	AdminListen Addr `json:"admin_listen"`
 	// Stewards lists the addresses of the stewards of this data centre, this VM's own first.
 	Stewards []Addr `json:"stewards"`
-	// Platform is the store in which requests that must run at most once are claimed.
+	// Platform is the store in which entries claim the requests that must run at most once.
 	Platform Platform `json:"platform"`
 	// MaxBodyBytes is the largest request body that is accepted.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
@@ -50,8 +50,8 @@
 	MaxEntries int `json:"max_entries"`
 	// StopTimeout limits the wait for requests in flight after SIGTERM.
 	StopTimeout Duration `json:"stop_timeout"`
-	// ReadyGrace is how long the readiness check fails before the listener closes, so that the
-	// load balancer notices it.
+	// ReadyGrace is the time from the first failing readiness check to the closing of the listener,
+	// so that the load balancer notices in time.
 	ReadyGrace Duration `json:"ready_grace"`
 }
 
@@ -99,7 +99,7 @@
 	AdminListen Addr `json:"admin_listen"`
 	// Peers lists the stewards that are known from the start. It may include this one.
 	Peers []Peer `json:"peers"`
-	// Platform is the address of the platform.
+	// Platform is the address and timeout of the platform.
 	Platform Platform `json:"platform"`
 	// GossipInterval is the time between exchanges with peers.
 	GossipInterval Duration `json:"gossip_interval"`
@@ -115,7 +115,7 @@
 	EngineReadTimeout Duration `json:"engine_read_timeout"`
 	// RoleInterval is the time between plans of the engines' roles.
 	RoleInterval Duration `json:"role_interval"`
-	// Engine is the throughput of an engine, which the plans are based on.
+	// Engine is the throughput of an engine, on which the role plans are based.
 	Engine EngineSpeed `json:"engine"`
 }
 
@@ -125,11 +125,11 @@
 	PrefillTokensPerS float64 `json:"prefill_tokens_per_s"`
 	// DecodeTokensPerS is the throughput of an engine that does only decode.
 	DecodeTokensPerS float64 `json:"decode_tokens_per_s"`
-	// MixedFactor is the throughput of an engine that does both, as a fraction of that of an engine
-	// that does only one; above 0 and at most 1.
+	// MixedFactor is the throughput of an engine that does both, as a fraction of the throughput of
+	// an engine that does only one; above 0 and at most 1.
 	MixedFactor float64 `json:"mixed"`
-	// RoleChangeTime is the working time that an engine loses with a change of its role, including the
-	// drain before it and the cold cache after it.
+	// RoleChangeTime is the working time that an engine loses with a change of its role, including
+	// the drain before the change and the cold cache after it.
 	RoleChangeTime Duration `json:"away"`
 }
 
@@ -184,9 +184,9 @@
 type Standin struct {
 	// Kind is what to simulate: platform, engine or plain.
 	Kind string `json:"kind"`
-	// Name is the name of the target; unused for a platform.
+	// Name is the name of the simulated target; unused for a platform.
 	Name string `json:"name"`
-	// Listen is the HTTP address.
+	// Listen is the HTTP address that is served.
 	Listen Addr `json:"listen"`
 	// TokenInterval is the time between two tokens of a stream.
 	TokenInterval Duration `json:"token_interval"`
@@ -196,7 +196,7 @@
 	RoleChange Duration `json:"role_change"`
 	// IgnoreFencing makes the engine accept orders with outdated fencing numbers.
 	IgnoreFencing bool `json:"ignore_fencing"`
-	// ReadTimeout is the time after which a connection is closed whose request has not arrived.
+	// ReadTimeout is the time after which a connection is closed if its request has not arrived.
 	ReadTimeout Duration `json:"read_timeout"`
 	// VMs is the content of a simulated platform's VM list.
 	VMs []StandinVM `json:"vms"`
@@ -206,8 +206,9 @@
 type StandinVM struct {
 	Name       string `json:"name"`
 	DataCentre string `json:"data_centre"`
-	Address    Addr   `json:"address"`
-	// Kind is entry, engine or plain.
+	// Address is the address that the list gives for the VM.
+	Address Addr `json:"address"`
+	// Kind is what runs on the VM: entry, engine or plain.
 	Kind string `json:"kind"`
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,6 +20,7 @@
   "platform": {"address": "10.0.9.9:9000", "timeout": "2s"},
 }`
 
+// TestValidEntry checks that a file with comments and trailing commas is decoded over the defaults.
 func TestValidEntry(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultEntry()
@@ -66,6 +67,7 @@
 	}
 }
 
+// TestDuplicatePeer checks that a repeated peer is reported at its second occurrence.
 func TestDuplicatePeer(t *testing.T) {
 	is := is.New(t)
 	peer := `{"vm": "vm-1", "data_centre": "kakkanad", "address": "10.0.0.1:7100"}`
@@ -79,6 +81,8 @@
 	is.True(strings.Contains(err.Error(), "line 4: peers[1].address: duplicate peer address"))
 }
 
+// FuzzDecode checks that no input makes Decode panic, and that every error is of type Problems,
+// with a line and a message for each.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(validEntry))
 	f.Add([]byte(`{"vm": [{"x": 1}], "stewards": {}}`))
@@ -121,9 +125,9 @@
 	is.True(err != nil && strings.Contains(err.Error(), `off: holds "deferrals"`))
 }
 
-// TestDefaultsCanBeWrittenAndRead checks that settings that a program has written, including
-// the defaults, can be read again. The empty cloud address of a deployment without such calls
-// was once refused, so that none of its VMs started.
+// TestDefaultsCanBeWrittenAndRead checks that settings that a program has written, including the
+// defaults, can be read again. An empty cloud address, which means that the platform has no such
+// calls, was once refused, so that no VM of such a deployment started.
 func TestDefaultsCanBeWrittenAndRead(t *testing.T) {
 	is := is.New(t)
 	n := DefaultNode()
