--- a/internal/kernel/background.go
+++ b/internal/kernel/background.go
@@ -8,8 +8,8 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Background runs a module's goroutines until the module stops. A module embeds it and becomes a
-// Stopper by its Stop. The zero value is ready to use.
+// Background runs a module's goroutines until the module stops. It is meant to be embedded in the
+// module, which its Stop method makes a Stopper. The zero value is ready to use.
 type Background struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// RetryPolicy configures the retries of Until.
+// RetryPolicy configures the retries of RetryUntilDone.
 type RetryPolicy struct {
 	// InitialWait is the wait after the first failure, before jitter. The wait grows exponentially.
 	InitialWait time.Duration
@@ -60,7 +60,7 @@
 }
 
 // Every calls f immediately and then once per interval, until ctx ends. A call that takes longer
-// than the interval delays the next one.
+// than the interval delays the next call.
 func Every(ctx context.Context, interval time.Duration, f func(context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -29,8 +29,8 @@
 	Start(ctx context.Context) error
 }
 
-// Stopper is a module that needs to be stopped. Stop ends everything that the module started and
-// waits for it.
+// Stopper is a module that needs to be stopped. Stop ends everything that the module started, and
+// returns once it has ended.
 type Stopper interface {
 	Stop(ctx context.Context) error
 }
@@ -103,7 +103,8 @@
 	return m, nil
 }
 
-// Timeouts limits the duration of the start phase and of the stop phase.
+// Timeouts limits the duration of the start phase and of the stop phase, each for all modules
+// together.
 type Timeouts struct {
 	Start time.Duration
 	Stop  time.Duration
@@ -141,7 +142,7 @@
 	}
 }
 
-// hook returns the hook that starts and stops a module, as far as it is a Starter or a Stopper.
+// hook returns the life cycle hook of a module: it starts a Starter and stops a Stopper.
 func hook(name string, module any) fx.Hook {
 	var h fx.Hook
 	if s, ok := module.(Starter); ok {
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -10,26 +10,27 @@
 	"github.com/pkg/errors"
 )
 
-// fakeModule is a module that records when it is started and stopped.
+// fakeModule is a module that records in events when it is started and stopped. Validate returns
+// err.
 type fakeModule struct {
 	name   string
 	events *[]string
 	err    error
 }
 
-func (p *fakeModule) Validate() error { return p.err }
+func (m *fakeModule) Validate() error { return m.err }
 
-func (p *fakeModule) Start(context.Context) error {
-	*p.events = append(*p.events, "start "+p.name)
+func (m *fakeModule) Start(context.Context) error {
+	*m.events = append(*m.events, "start "+m.name)
 	return nil
 }
 
-func (p *fakeModule) Stop(context.Context) error {
-	*p.events = append(*p.events, "stop "+p.name)
+func (m *fakeModule) Stop(context.Context) error {
+	*m.events = append(*m.events, "stop "+m.name)
 	return nil
 }
 
-// registerFake registers a fakeModule that depends on others.
+// registerFake registers a fakeModule that depends on the modules called needs.
 func registerFake(k *Kernel, events *[]string, name string, needs ...string) {
 	k.Register(name, func(k *Kernel) (any, error) {
 		for _, n := range needs {
@@ -41,8 +42,11 @@
 	})
 }
 
+// timeouts are the timeouts of the tests, which none should reach.
 var timeouts = Timeouts{Start: time.Second, Stop: time.Second}
 
+// TestStartAndStopFollowDependencies checks that modules start after those that they depend on and
+// stop in reverse order, and that a module on which no root depends does not start.
 func TestStartAndStopFollowDependencies(t *testing.T) {
 	is := is.New(t)
 	var events []string
