--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -13,7 +13,7 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// output is a log output that can be blocked.
+// output is a log output whose writes wait for block to be closed, unless it is nil.
 type output struct {
 	mu    sync.Mutex
 	text  bytes.Buffer
@@ -35,6 +35,8 @@
 	return o.text.String()
 }
 
+// TestLinesAboveRateAreDroppedAndCounted checks that only the lines within the rate are written,
+// and that the output then tells of the others.
 func TestLinesAboveRateAreDroppedAndCounted(t *testing.T) {
 	is := is.New(t)
 	out := &output{}
@@ -49,6 +51,8 @@
 	is.True(strings.Contains(out.String(), "event=log_dropped lines="))
 }
 
+// TestBlockedOutputDoesNotBlockWriters checks that lines are dropped and counted while the output
+// does not take any.
 func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	is := is.New(t)
 	out := &output{block: make(chan struct{})}
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -20,8 +20,8 @@
 	EventStopping         Event = "stopping"
 	EventStopped          Event = "stopped"
 	EventRequestServed    Event = "request_served"
-	EventRequestRefused   Event = "request_refused"
-	EventRequestFailed    Event = "request_failed"
+	EventRequestRefused   Event = "request_refused"      // a request failed and has not run
+	EventRequestFailed    Event = "request_failed"       // a request failed and may have run
 	EventStreamResumed    Event = "stream_resumed"       // a broken stream continues at another engine
 	EventTransferFallback Event = "kv_transfer_fallback" // prefill at another engine failed; one engine runs the request
 	EventTargetSetAside   Event = "target_set_aside"     // a target is not used for a while after failures
@@ -30,7 +30,7 @@
 	EventTableVersion     Event = "table_version"        // a new version of the table of services is used
 	EventLeaseAcquired    Event = "lease_acquired"
 	EventLeaseLost        Event = "lease_lost"
-	EventOrderSent        Event = "order_sent"
+	EventOrderSent        Event = "order_sent"    // an order was sent to an engine
 	EventOrderRefused     Event = "order_refused" // an order failed or could not be journalled
 	EventOrderAdopted     Event = "order_adopted" // an earlier lease holder's order was taken over
 	EventOrderDone        Event = "order_done"    // an engine has carried out an order
@@ -44,7 +44,7 @@
 	EventStoreCall        Event = "store_call"          // a call to the store was made
 	EventStoreCallFailed  Event = "store_call_failed"   // a call to the store failed
 	EventStoreRegained    Event = "store_regained"      // the store is reachable again
-	EventHistoryGone      Event = "store_history_gone"  // changes are no longer kept; the table is listed again
+	EventHistoryGone      Event = "store_history_gone"  // the store no longer keeps the changes since the last read; the whole table is read again
 	EventConfig           Event = "config"              // a new configuration was read
 	EventTargets          Event = "targets"             // a target was added, changed or removed
 	EventChangesForwarded Event = "changes_passed_on"   // changes that another VM forwarded were received
@@ -53,11 +53,11 @@
 	EventReload           Event = "reload"              // the settings file was read again
 	EventTargetCrashed    Event = "target_ended"        // a target crashed as it began to run a request
 	EventQuarantined      Event = "request_quarantined" // a request that crashes targets is quarantined
-	EventCleared          Event = "request_cleared"     // a suspected request ran to its end without a crash
+	EventCleared          Event = "request_cleared"     // a request suspected of crashing targets ran without a crash
 	EventDescriptorsShort Event = "descriptors_short"   // file descriptors are running out
 	EventHTTPServer       Event = "http_server"         // a line of an HTTP server's error log
 	EventLogDropped       Event = "log_dropped"         // log lines were dropped
-	EventUsage            Event = "usage"               // the usage report of a window was fixed or sent
+	EventUsage            Event = "usage"               // the usage report of a time window was fixed or sent
 	EventScaling          Event = "scaling"             // engines were ordered from the platform
 	EventClaimUnknown     Event = "claim_unknown"       // the claim of an at-most-once request could not be updated
 	EventClaimsRemoved    Event = "claims_removed"      // old claims were removed
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -11,8 +11,8 @@
 	sdkmetric "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// Metrics is an OpenTelemetry meter and the Prometheus endpoint that exposes it. Each program
-// has one. Nothing is registered globally.
+// Metrics is an OpenTelemetry meter and the Prometheus endpoint that exposes its instruments. Each
+// program has one. Nothing is registered globally.
 type Metrics struct {
 	// Meter creates the instruments of the program.
 	Meter   metric.Meter
