--- a/internal/httpsend/silent_test.go
+++ b/internal/httpsend/silent_test.go
@@ -141,7 +141,7 @@
 }
 
 // TestSlowTargetIsWaitedFor checks that a request does not fail if its target sends nothing for
-// longer than probedWithin: the kernel of the target's host acknowledges the probes.
+// probedWithin: the kernel of the target's host acknowledges the probes.
 func TestSlowTargetIsWaitedFor(t *testing.T) {
 	is := is.New(t)
 	_, _, d := newRelayedTarget(t, func(c net.Conn) bool { time.Sleep(probedWithin); return emit(ok, true)(c) })
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -44,7 +44,7 @@
 	EventStoreCall        Event = "store_call"          // a call to the store was made
 	EventStoreCallFailed  Event = "store_call_failed"   // a call to the store failed
 	EventStoreRegained    Event = "store_regained"      // the store is reachable again
-	EventHistoryGone      Event = "store_history_gone"  // the store no longer keeps the changes since the last read; the whole table is read again
+	EventHistoryGone      Event = "store_history_gone"  // the changes since the last read are gone from the store; the whole table is read again
 	EventConfig           Event = "config"              // a new configuration was read
 	EventTargets          Event = "targets"             // a target was added, changed or removed
 	EventChangesForwarded Event = "changes_passed_on"   // changes that another VM forwarded were received
