--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "requests counter")
 	}
-	duration, err := m.Float64Histogram("garnet_request_duration", metric.WithUnit("s"), metric.WithDescription("time from the arrival of a request to the end of its response"))
+	duration, err := m.Float64Histogram("garnet_request_duration", metric.WithUnit("s"), metric.WithDescription("time from a request's arrival to its answer's end"))
 	if err != nil {
 		return nil, errors.Wrap(err, "duration histogram")
 	}
@@ -40,15 +40,15 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "handles counter")
 	}
-	bySize, err := m.Int64Counter("garnet_generations_by_size", metric.WithDescription("requests to model engines by outcome and by their size among the latest of their route"))
+	bySize, err := m.Int64Counter("garnet_generations_by_size", metric.WithDescription("requests to model engines by outcome and by their size among the last ones of their route"))
 	if err != nil {
 		return nil, errors.Wrap(err, "size counter")
 	}
-	admissions, err := m.Int64Counter("garnet_admissions", metric.WithDescription("requests to model engines by size, verdict and its reason, whether they had been deferred, and whether the caller had been refused before"))
+	admissions, err := m.Int64Counter("garnet_admissions", metric.WithDescription("requests to model engines by size, whether they were sent and why not, whether they had waited for it, and whether their callers came back"))
 	if err != nil {
 		return nil, errors.Wrap(err, "admissions counter")
 	}
-	retries, err := m.Int64Counter("garnet_retries", metric.WithDescription("retries at further targets, by whether the attempts and the retry budget allowed them"))
+	retries, err := m.Int64Counter("garnet_retries", metric.WithDescription("sends to further targets, by whether attempts and retry budget allowed them"))
 	return &Stats{requests: requests, duration: duration, handles: handles, bySize: bySize, admissions: admissions, retries: retries}, errors.Wrap(err, "retries counter")
 }
 
