--- a/internal/stages/controller.go
+++ b/internal/stages/controller.go
@@ -20,12 +20,13 @@
 const (
 	// stepInterval is the time between two evaluations of the plan.
 	stepInterval = 200 * time.Millisecond
-	// contendStagger is how much longer each successive contender waits before it contends for
-	// the lease, so that they do not all ask the store at once.
+	// contendStagger is the difference between two successive values of contendDelay. VMs wait
+	// for different times before they contend for the lease, so that they do not all send
+	// requests to the store at once.
 	contendStagger = 600 * time.Millisecond
-	// contendSlots is the number of different waits that VMs are spread over.
+	// contendSlots is the number of different values of contendDelay.
 	contendSlots = 8
-	// leaseTTL is how long a lease that is not renewed stays in force.
+	// leaseTTL is how long a lease that is not renewed stays valid.
 	leaseTTL = 4 * time.Second
 	// renewInterval is the time between two renewals of the lease.
 	renewInterval = time.Second
@@ -34,15 +35,18 @@
 	propagationDelay = 300 * time.Millisecond
 	// callTimeout bounds one call to the store or to an engine.
 	callTimeout = 700 * time.Millisecond
-	// orderTimeout is how long an order that was answered may take. unknownOrderTimeout applies
-	// to an order without an answer, which may still be carried out seconds later.
+	// orderTimeout is the time after which an order that the engine has responded to counts as
+	// closed. unknownOrderTimeout applies to an order without a response, which may still be
+	// carried out seconds later.
 	orderTimeout        = 8 * time.Second
 	unknownOrderTimeout = 15 * time.Second
-	// decodeUtilization is the average share of a decode engine's capacity that runs may fill.
-	// The rest absorbs swings of the request mix, as an engine takes seconds to change its stage.
+	// decodeUtilization is the average fraction of a decode engine's capacity that running
+	// requests may fill. The rest absorbs swings of the request mix, as an engine takes seconds
+	// to change its stage.
 	decodeUtilization = 0.7
 	// peakWindow is the minimum time for which the peak demand for decode engines is remembered.
-	// The mix swings within seconds, and a stage change that follows each swing comes too late.
+	// The request mix swings within seconds, and a stage change that follows each swing comes
+	// too late.
 	peakWindow = 15 * time.Second
 	// backlogPeakWindow replaces peakWindow while prompts queue at the prefill engines. It is
 	// longer than the few seconds of one swing, so that engines do not change back and forth with
@@ -65,10 +69,12 @@
 	Sequence uint64
 }
 
-// Report is an engine's own account of its state.
+// Report is the state that an engine reports.
 type Report struct {
-	Stage    fleet.Stage
-	Busy     bool
+	Stage fleet.Stage
+	// Busy engines are sent no order.
+	Busy bool
+	// Sequence is the number of orders that the engine has accepted.
 	Sequence uint64
 }
 
@@ -95,10 +101,10 @@
 type Config struct {
 	// VM is the name of this VM.
 	VM string
-	// PrefillShare is the share of engines that prefill, from 0 to 1.
+	// PrefillShare is the fraction of a service's engines that prefill, from 0 to 1.
 	PrefillShare float64
-	// HandoverGap is the minimum time between one lease holder's last order and the first order of the
-	// next holder.
+	// HandoverGap is the minimum time between one lease holder's last order and the first order
+	// of the next holder.
 	HandoverGap time.Duration
 }
 
@@ -114,9 +120,10 @@
 	clock   lease.Clock
 	log     *telemetry.Logger
 
+	// mu guards openOrders and decodePeaks.
 	mu sync.Mutex
-	// openOrders holds the journal rows by run id of the engine: when a run of an engine ends,
-	// its orders end with it.
+	// openOrders holds the journal rows by run id of the engine, see fleet.Target.RunID: an
+	// engine that restarts has lost its orders.
 	openOrders map[string]*openOrder
 
 	// load returns the number of streams at an engine.
@@ -127,8 +134,7 @@
 	decodeDemand func([]*fleet.Target) float64
 	// prefillBacklogged reports whether prompts queue at the prefill engines of a service.
 	prefillBacklogged func([]*fleet.Target) bool
-	// decodePeaks holds the recent peak demand for decode engines by service. It is guarded by
-	// mu.
+	// decodePeaks holds the recent peak demand for decode engines by service.
 	decodePeaks map[string]*demandPeaks
 	// isCandidate reports whether this VM may contend for the lease.
 	isCandidate func() bool
@@ -136,8 +142,11 @@
 	// changesSince is when the plan first contained changes, or 0 if it contains none. Like the
 	// fields below, only the goroutine of step uses it.
 	changesSince time.Duration
-	renewedAt    time.Duration
-	heldFence    uint64
+	// renewedAt is when the lease was last renewed or contended for.
+	renewedAt time.Duration
+	// heldFence is the fencing number of the tenure whose start was last logged, or 0 once its
+	// end has been logged or the lease released.
+	heldFence uint64
 	// journalFence is the fencing number of the tenure in which the journal was read.
 	journalFence uint64
 }
@@ -165,8 +174,8 @@
 // service fill. It must be called before Start.
 func (c *Controller) SetDecodeDemand(demand func([]*fleet.Target) float64) { c.decodeDemand = demand }
 
-// SetPrefillBacklog sets the function that reports whether prompts queue at the prefill engines of a
-// service. It must be called before Start.
+// SetPrefillBacklog sets the function that reports whether prompts queue at the prefill engines of
+// a service. It must be called before Start.
 func (c *Controller) SetPrefillBacklog(f func([]*fleet.Target) bool) { c.prefillBacklogged = f }
 
 // SetCandidate sets the function that reports whether this VM may contend for the lease; in a
@@ -179,8 +188,9 @@
 	return nil
 }
 
-// Changing reports whether this VM knows of an open order for an engine to change its stage that
-// the engine has not carried out yet. No new requests may be sent to such an engine.
+// Changing reports whether this VM knows of an order for an engine to change its stage that the
+// engine has not carried out yet and that is not older than unknownOrderTimeout. No new requests
+// may be sent to such an engine.
 func (c *Controller) Changing(t *fleet.Target) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,8 +198,8 @@
 	return o != nil && o.row.Stage != t.Stage && c.clock()-o.seenAt < unknownOrderTimeout
 }
 
-// Open returns the open orders known to this VM: the ordered stage by run id of the engine, or
-// nil if there are none.
+// Open returns the open orders that this VM has in memory: the ordered stage by run id of the
+// engine, or nil if there are none.
 func (c *Controller) Open() map[string]fleet.Stage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -239,7 +249,8 @@
 	c.issueOrders(ctx, t, changes)
 }
 
-// pendingChanges returns the planned changes of engines that have no open order.
+// pendingChanges returns the planned changes of engines that have no open order, neither one that
+// this VM knows from the journal nor one that another VM has announced.
 func (c *Controller) pendingChanges(v *fleet.View) []Change {
 	var out []Change
 	for _, ch := range PlanAll(v, c.prefillCount, c.load) {
@@ -261,18 +272,18 @@
 	return min(share, staying-c.minDecodeCount(targets))
 }
 
-// minDecodeCount returns the minimum number of decode engines of a service: as many as its
-// running requests have recently filled to decodeUtilization.
+// minDecodeCount returns the minimum number of decode engines of a service: enough for the recent
+// peak of the running requests with each engine filled to decodeUtilization.
 //
 // Load pattern: periods of long answers and periods of many prompts alternate within seconds.
-// Engines that decoding needed recently are kept for the next such period, except while prompts
-// queue.
+// Engines that decoding needed recently are kept for the next period of long answers, except
+// while prompts queue.
 func (c *Controller) minDecodeCount(targets []*fleet.Target) int {
 	if len(targets) == 0 {
 		return 0
 	}
-	// The placer answers under its own lock, and calls Changing while holding it. c.mu must
-	// therefore not be held here.
+	// Both functions take the lock of the placer, which chooses the targets of requests. The
+	// placer calls Changing while it holds that lock, so c.mu must not be held here.
 	demand, backlogged := c.decodeDemand(targets), c.prefillBacklogged(targets)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -355,8 +366,8 @@
 	return true
 }
 
-// contendDelay returns how long this VM waits before it contends for the lease. It is derived
-// from the VM's name, so that VMs wait for different times.
+// contendDelay returns how long this VM waits before it contends for the lease. The time is
+// derived from the VM's name, so that VMs wait for different times.
 func (c *Controller) contendDelay() time.Duration {
 	h := fnv.New32a()
 	// Write of a hash never returns an error.
@@ -364,8 +375,8 @@
 	return time.Duration(h.Sum32()%contendSlots) * contendStagger
 }
 
-// ensureLease acquires the lease, or renews it when that is due. It returns the tenure and
-// whether the lease is held.
+// ensureLease acquires the lease, or renews it if the last renewal is at least renewInterval ago.
+// It returns the tenure and whether the lease is held.
 func (c *Controller) ensureLease(ctx context.Context) (lease.Tenure, bool) {
 	if t, ok := c.lease.Held(); ok && c.clock()-c.renewedAt < renewInterval {
 		return t, true
@@ -405,8 +416,8 @@
 	c.heldFence = 0
 }
 
-// issueOrders journals the changes in one transaction, waits for propagationDelay and then sends
-// the orders.
+// issueOrders writes up to maxChangesPerTxn changes to the journal in one transaction, waits for
+// propagationDelay and then sends the orders.
 func (c *Controller) issueOrders(ctx context.Context, t lease.Tenure, changes []Change) {
 	if len(changes) == 0 {
 		return
@@ -435,7 +446,7 @@
 	}
 }
 
-// sendOrder sends one order, unless the engine is busy or does not report its state.
+// sendOrder sends one journalled order, unless the engine is busy or does not report its state.
 func (c *Controller) sendOrder(ctx context.Context, t lease.Tenure, ch Change) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/stages/journal.go
+++ b/internal/stages/journal.go
@@ -16,17 +16,19 @@
 
 // journalRow is the JSON value of an engine's row in the journal.
 type journalRow struct {
-	Holder string      `json:"holder"`
-	Fence  uint64      `json:"fence"`
-	Stage  fleet.Stage `json:"stage"`
+	// Holder is the VM that sends the order, and Fence the fencing number of its tenure.
+	Holder string `json:"holder"`
+	Fence  uint64 `json:"fence"`
+	// Stage is the ordered stage.
+	Stage fleet.Stage `json:"stage"`
 }
 
-// openOrder is a journal row as this VM knows it.
+// openOrder is a journal row that this VM has written, or read at the start of a tenure.
 type openOrder struct {
 	row journalRow
 	// seenAt is when this VM wrote or read the row, by its own clock.
 	seenAt time.Duration
-	// outcomeUnknown is set if this VM sent the order and got no answer.
+	// outcomeUnknown is set if this VM sent the order and got no response.
 	outcomeUnknown bool
 }
 
@@ -54,7 +56,8 @@
 	return nil
 }
 
-// removeClosedOrders removes the journal rows of orders that are no longer open.
+// removeClosedOrders removes the journal rows of orders that are no longer open, at most
+// maxChangesPerTxn at a time.
 func (c *Controller) removeClosedOrders(ctx context.Context, t lease.Tenure, v *fleet.View) {
 	var keys []string
 	c.mu.Lock()
--- a/internal/stages/peaks_test.go
+++ b/internal/stages/peaks_test.go
@@ -14,8 +14,9 @@
 	swingLength = 2800 * time.Millisecond
 )
 
-// observeFor feeds demand into p for a span of time from *at, which it advances. It returns the
-// lowest and the highest planned peak within the final part of the span, last.
+// observeFor calls p.observe with the demand in every stepInterval of a span of time, which starts
+// at *at, and advances *at to its end. It returns the lowest and the highest result within the
+// final part of the span, whose length is last.
 func observeFor(p *demandPeaks, at *time.Duration, span, last time.Duration, backlogged bool, demand func(at time.Duration) float64) (lowest, highest float64) {
 	lowest = 1e9
 	for end := *at + span; *at < end; *at += stepInterval {
@@ -32,7 +33,7 @@
 	return func(time.Duration) float64 { return n }
 }
 
-// Guards against keeping engines that earlier long answers needed for decoding while prompts
+// Guards against keeping decode engines, which only earlier long answers needed, while prompts
 // queue for prefill.
 func TestBackloggedPrefillReleasesDecodeEngines(t *testing.T) {
 	is := is.New(t)
@@ -49,8 +50,8 @@
 	}
 }
 
-// A stage change takes as long as a swing of the demand lasts, so the planned number of decode
-// engines must not follow a swing.
+// A stage change takes as long as a swing of the demand lasts, so the peak to plan for must not
+// follow a swing, even while prompts queue.
 func TestPlanDoesNotFollowDemandSwings(t *testing.T) {
 	is := is.New(t)
 	p, at := &demandPeaks{long: slidingPeak{window: peakWindow}, short: slidingPeak{window: backlogPeakWindow}}, time.Minute
--- a/internal/stages/plan.go
+++ b/internal/stages/plan.go
@@ -1,6 +1,10 @@
 // Package stages controls how many model engines prefill and how many decode. One VM at a time
-// orders stage changes, under a lease. Each order is first journalled in the store, so that
-// every VM stops using the engine and the next lease holder finds the open orders.
+// orders stage changes, under a lease. A tenure is one uninterrupted period in which a VM holds
+// the lease, and has a fencing number higher than those of all earlier tenures.
+//
+// Each order is first written to the journal, which is a set of rows in the store, so that every
+// VM stops using the engine and the next lease holder finds the open orders. An order is open
+// until the engine shows the ordered stage or is gone, or a timeout has passed.
 package stages
 
 import (
@@ -15,14 +19,15 @@
 	Stage  fleet.Stage
 }
 
-// Load returns how many streams an engine runs, as far as this VM knows; engine is a run id.
+// Load returns how many streams an engine runs, as far as this VM knows. The argument is the run
+// id of the engine, as returned by fleet.Target.RunID.
 type Load func(engine string) int
 
 // Plan returns the changes that bring a service to want prefill engines, spread over the data
 // centres in proportion to their size. Each data centre with two or more engines keeps one engine
-// of each stage, and one with twoPerStageSize or more keeps two, as a data centre may be cut off
-// from the others. Leaving engines are not counted. The engines with the fewest streams change
-// first.
+// of each stage, and one with twoPerStageSize or more keeps two of each, as a data centre may be
+// cut off from the others. Leaving engines are not counted. The engines with the fewest streams
+// change first.
 func Plan(targets []*fleet.Target, want int, load Load) []Change {
 	var out []Change
 	groups := byDataCentre(targets)
@@ -105,8 +110,8 @@
 	return out
 }
 
-// twoPerStageSize is the number of engines from which a data centre keeps two of each stage: one
-// may be lost, or leave, without the data centre losing the stage.
+// twoPerStageSize is the minimum number of engines at which a data centre keeps two of each stage:
+// one may be lost, or leave, without the data centre losing the stage.
 const twoPerStageSize = 4
 
 // minPerStage returns how many engines of each stage a data centre with n engines keeps.
@@ -117,7 +122,8 @@
 	return 2
 }
 
-// planDataCentre plans the changes of the engines in one data centre.
+// planDataCentre returns the changes that bring the engines in one data centre to want prefill
+// engines, within the limits of minPerStage. A single engine is never changed.
 func planDataCentre(group []*fleet.Target, want int, load Load) []Change {
 	n := len(group)
 	if n < 2 {
--- a/internal/stages/stages_test.go
+++ b/internal/stages/stages_test.go
@@ -38,7 +38,7 @@
 	return &fleet.Target{ID: id, Service: "m", DataCentre: dataCentre, Stage: stage}
 }
 
-// staying counts the engines that are not leaving.
+// staying returns the number of engines that are not leaving.
 func staying(targets []*fleet.Target) int {
 	n := 0
 	for _, t := range targets {
@@ -49,6 +49,8 @@
 	return n
 }
 
+// The plan brings each data centre to the wanted share of prefill engines, keeps engines of both
+// stages in it and changes no engine otherwise.
 func TestPlan(t *testing.T) {
 	leaving := engine("x", "a", fleet.Prefill)
 	leaving.Leaving = true
@@ -89,6 +91,7 @@
 	}
 }
 
+// The engines with the fewest streams change first.
 func TestPlanChangesTheLeastLoaded(t *testing.T) {
 	is := is.New(t)
 	targets := []*fleet.Target{engine("1", "a", fleet.Decode), engine("2", "a", fleet.Decode), engine("3", "a", fleet.Decode), engine("4", "a", fleet.Decode)}
@@ -100,6 +103,8 @@
 	is.Equal(got, []string{"4", "2"})
 }
 
+// The number of prefill engines is met over all data centres together, except where a data centre
+// has to keep engines of both stages.
 func TestPlanSpreadsOverDataCentres(t *testing.T) {
 	is := is.New(t)
 	var targets []*fleet.Target
@@ -123,11 +128,12 @@
 	}
 }
 
-// engines is a fake Engines that carries out orders and records them.
-type engines struct {
-	mu      sync.Mutex
+// fakeEngines is a fake EngineClient that carries out orders and records them.
+type fakeEngines struct {
+	mu sync.Mutex
+	// keepers are given the new stage of an engine that has carried out an order.
 	keepers []*fleet.Keeper
-	orders  []sentOrder
+	orders  []executedOrder
 	// unanswered makes Order carry out orders and return ErrUnknown.
 	unanswered bool
 	// refuse makes Order refuse all orders.
@@ -136,20 +142,20 @@
 	beforeOrder func()
 }
 
-// sentOrder is an order that an engine has carried out.
-type sentOrder struct {
+// executedOrder is an order that an engine has carried out.
+type executedOrder struct {
 	engine string
 	order  stages.Order
 	at     time.Time
 }
 
-func (e *engines) Report(context.Context, *fleet.Target) (stages.Report, error) {
+func (e *fakeEngines) Report(context.Context, *fleet.Target) (stages.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return stages.Report{Sequence: uint64(len(e.orders))}, nil
 }
 
-func (e *engines) Order(_ context.Context, t *fleet.Target, o stages.Order, stillHeld func() bool) error {
+func (e *fakeEngines) Order(_ context.Context, t *fleet.Target, o stages.Order, stillHeld func() bool) error {
 	if e.beforeOrder != nil {
 		e.beforeOrder()
 	}
@@ -161,7 +167,7 @@
 	if e.refuse {
 		return stages.ErrRefused
 	}
-	e.orders = append(e.orders, sentOrder{t.ID, o, time.Now()})
+	e.orders = append(e.orders, executedOrder{t.ID, o, time.Now()})
 	changed := *t
 	changed.Stage = o.Stage
 	for _, k := range e.keepers {
@@ -173,11 +179,11 @@
 	return nil
 }
 
-// sent returns the orders carried out so far.
-func (e *engines) sent() []sentOrder {
+// executed returns the orders carried out so far.
+func (e *fakeEngines) executed() []executedOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]sentOrder(nil), e.orders...)
+	return append([]executedOrder(nil), e.orders...)
 }
 
 // newKeeper returns a keeper whose view has four decode engines in one data centre.
@@ -193,12 +199,15 @@
 	return k
 }
 
+// bootClock is the clock of the controllers. It also counts the time for which the machine is
+// suspended.
 func bootClock() time.Duration { return clock.Boot() }
 
+// gap is the HandoverGap of the controllers.
 const gap = 500 * time.Millisecond
 
 // newController returns a controller that plans half of the engines to prefill.
-func newController(vm string, k *fleet.Keeper, table store.Table, e *engines, c lease.Clock) *stages.Controller {
+func newController(vm string, k *fleet.Keeper, table store.Table, e *fakeEngines, c lease.Clock) *stages.Controller {
 	return stages.New(stages.Config{VM: vm, PrefillShare: 0.5, HandoverGap: gap}, k, table, e, c, 1, telemetry.Discard())
 }
 
@@ -215,8 +224,8 @@
 	})
 }
 
-// eventually waits up to 15 seconds for ok to return true, and fails the test with what
-// otherwise.
+// eventually waits up to 15 seconds for ok to return true. Otherwise it fails the test with the
+// message what, which names the expected condition.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -227,18 +236,19 @@
 	t.Fatal(what)
 }
 
+// Three VMs plan the same two changes: only the lease holder sends the orders, each of them once.
 func TestOnlyOneVMSendsOrders(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
-	e := &engines{}
+	e := &fakeEngines{}
 	for _, vm := range []string{"a", "b", "c"} {
 		k := newKeeper()
 		e.keepers = append(e.keepers, k)
 		start(t, newController(vm, k, table, e, bootClock))
 	}
-	eventually(t, "two engines are ordered to change", func() bool { return len(e.sent()) == 2 })
+	eventually(t, "two engines are ordered to change", func() bool { return len(e.executed()) == 2 })
 	time.Sleep(time.Second)
-	orders := e.sent()
+	orders := e.executed()
 	is.Equal(len(orders), 2)
 	is.Equal(orders[0].order.Holder, orders[1].order.Holder)
 	is.Equal(orders[0].order.Fence, orders[1].order.Fence)
@@ -251,18 +261,18 @@
 	is := is.New(t)
 	table := store.NewMemory()
 	k := newKeeper()
-	e := &engines{keepers: []*fleet.Keeper{k}}
+	e := &fakeEngines{keepers: []*fleet.Keeper{k}}
 	var candidate atomic.Bool
 	c := newController("a", k, table, e, bootClock)
 	c.SetCandidate(candidate.Load)
 	start(t, c)
 	time.Sleep(6 * time.Second) // longer than the longest contendDelay
-	is.Equal(len(e.sent()), 0)
+	is.Equal(len(e.executed()), 0)
 	records, err := table.List(context.Background(), "")
 	is.NoErr(err)
 	is.Equal(len(records), 0)
 	candidate.Store(true)
-	eventually(t, "two engines are ordered to change", func() bool { return len(e.sent()) == 2 })
+	eventually(t, "two engines are ordered to change", func() bool { return len(e.executed()) == 2 })
 }
 
 // limitedTable is a store that rejects transactions of more than 100 entries.
@@ -275,6 +285,7 @@
 	return l.Table.Commit(ctx, txn)
 }
 
+// A plan with more changes than fit into one transaction of the store is carried out in several.
 func TestManyChangesAreSplitIntoTransactions(t *testing.T) {
 	table := limitedTable{store.NewMemory()}
 	k := fleet.NewKeeper()
@@ -286,17 +297,17 @@
 		changes = append(changes, fleet.TargetChange{ID: id, Target: engine(id, "a", fleet.Prefill)})
 	}
 	k.ApplyTargets(changes, 1)
-	e := &engines{keepers: []*fleet.Keeper{k}}
+	e := &fakeEngines{keepers: []*fleet.Keeper{k}}
 	start(t, stages.New(stages.Config{VM: "a", PrefillShare: 0.5, HandoverGap: gap}, k, table, e, bootClock, 1, telemetry.Discard()))
-	eventually(t, "half of the engines are ordered to change", func() bool { return len(e.sent()) == count/2 })
+	eventually(t, "half of the engines are ordered to change", func() bool { return len(e.executed()) == count/2 })
 	eventually(t, "the journal is empty", func() bool {
 		rows, err := table.List(context.Background(), stages.KeyPrefix)
 		return err == nil && len(rows) == 0
 	})
 }
 
-// Engines that running requests fill keep decoding, though the configured share asks for more
-// prefill engines, and also while the demand drops for a moment.
+// Engines that running requests fill keep decoding although the configured share asks for more
+// prefill engines, even after the demand has dropped.
 func TestDecodeDemandLimitsPrefillEngines(t *testing.T) {
 	is := is.New(t)
 	k := fleet.NewKeeper()
@@ -307,7 +318,7 @@
 		changes = append(changes, fleet.TargetChange{ID: id, Target: engine(id, "a", fleet.Decode)})
 	}
 	k.ApplyTargets(changes, 1)
-	e := &engines{keepers: []*fleet.Keeper{k}}
+	e := &fakeEngines{keepers: []*fleet.Keeper{k}}
 	c := stages.New(stages.Config{VM: "a", PrefillShare: 0.8, HandoverGap: gap}, k, store.NewMemory(), e, bootClock, 1, telemetry.Discard())
 	var asked atomic.Int64
 	c.SetDecodeDemand(func([]*fleet.Target) float64 {
@@ -317,27 +328,28 @@
 		return 4.7 // seven engines at decodeUtilization
 	})
 	start(t, c)
-	eventually(t, "the remaining five engines are ordered to prefill", func() bool { return len(e.sent()) == 5 })
+	eventually(t, "the remaining five engines are ordered to prefill", func() bool { return len(e.executed()) == 5 })
 	time.Sleep(time.Second)
-	is.Equal(len(e.sent()), 5)
+	is.Equal(len(e.executed()), 5)
 }
 
+// No order is sent while the store is down, as no VM can acquire the lease.
 func TestNoOrdersWithoutStore(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	table.SetFault(store.FaultDown)
-	e := &engines{}
+	e := &fakeEngines{}
 	k := newKeeper()
 	e.keepers = []*fleet.Keeper{k}
 	start(t, newController("a", k, table, e, bootClock))
 	time.Sleep(6 * time.Second)
-	is.Equal(len(e.sent()), 0)
+	is.Equal(len(e.executed()), 0)
 	table.SetFault(store.FaultNone)
-	eventually(t, "two engines are ordered once the store is back", func() bool { return len(e.sent()) == 2 })
+	eventually(t, "two engines are ordered once the store is back", func() bool { return len(e.executed()) == 2 })
 }
 
-// A holder that is frozen between its own checks and the order until its lease has lapsed sends
-// nothing when it resumes.
+// A holder that is frozen just before it sends an order, and resumes once its lease has lapsed,
+// sends nothing: the lease is checked once more before the first byte.
 func TestFrozenHolderSendsNoOrder(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
@@ -347,7 +359,7 @@
 		defer mu.Unlock()
 		return clock.Boot() + offset
 	}
-	e := &engines{}
+	e := &fakeEngines{}
 	frozen := make(chan struct{})
 	var once sync.Once
 	e.beforeOrder = func() {
@@ -363,7 +375,7 @@
 	start(t, newController("a", k, store.NewMemory(), e, jumping))
 	<-frozen
 	time.Sleep(100 * time.Millisecond)
-	is.Equal(len(e.sent()), 0)
+	is.Equal(len(e.executed()), 0)
 }
 
 // A new holder sends no order until the gap after the previous tenure has passed, and none to
@@ -380,28 +392,28 @@
 	is.NoErr(err)
 	is.NoErr(previous.Release(ctx))
 	released := time.Now()
-	e := &engines{}
+	e := &fakeEngines{}
 	k := newKeeper()
 	e.keepers = []*fleet.Keeper{k}
 	start(t, newController("a", k, table, e, bootClock))
-	eventually(t, "the new holder sends an order", func() bool { return len(e.sent()) > 0 })
-	for _, g := range e.sent() {
+	eventually(t, "the new holder sends an order", func() bool { return len(e.executed()) > 0 })
+	for _, g := range e.executed() {
 		is.True(g.engine != "1") // the open order may still be carried out
 		is.True(g.at.Sub(released) > gap)
 		is.True(g.order.Fence > 1)
 	}
 }
 
-// An order without an answer stays open, and no second order is sent in the meantime.
+// An order without a response stays open, and no second order is sent in the meantime.
 func TestUnansweredOrderIsNotRepeated(t *testing.T) {
 	is := is.New(t)
-	e := &engines{unanswered: true}
+	e := &fakeEngines{unanswered: true}
 	k := newKeeper() // does not learn of the change: the engine may change later
 	c := newController("a", k, store.NewMemory(), e, bootClock)
 	start(t, c)
-	eventually(t, "two engines are ordered", func() bool { return len(e.sent()) == 2 })
+	eventually(t, "two engines are ordered", func() bool { return len(e.executed()) == 2 })
 	time.Sleep(2 * time.Second)
-	is.Equal(len(e.sent()), 2)
+	is.Equal(len(e.executed()), 2)
 	is.Equal(len(c.Open()), 2)
 	is.True(c.Changing(engine("1", "a", fleet.Decode)))
 	is.True(!c.Changing(engine("1", "a", fleet.Prefill)))
@@ -411,24 +423,24 @@
 // previous run no longer blocks it, and it is ordered again.
 func TestRestartedEngineIsOrderedAgain(t *testing.T) {
 	is := is.New(t)
-	e := &engines{unanswered: true}
+	e := &fakeEngines{unanswered: true}
 	k := newKeeper() // does not learn of the change
 	c := newController("a", k, store.NewMemory(), e, bootClock)
 	start(t, c)
-	eventually(t, "two engines are ordered", func() bool { return len(e.sent()) == 2 })
-	restarted := engine(e.sent()[0].engine, "a", fleet.Decode)
+	eventually(t, "two engines are ordered", func() bool { return len(e.executed()) == 2 })
+	restarted := engine(e.executed()[0].engine, "a", fleet.Decode)
 	restarted.Born, restarted.Run = 1000, fleet.RunID(restarted.ID, 1000)
 	is.True(c.Changing(engine(restarted.ID, "a", fleet.Decode)))
 	k.ApplyTargets([]fleet.TargetChange{{ID: restarted.ID, Target: restarted}}, 2)
-	eventually(t, "the restarted engine is ordered again", func() bool { return len(e.sent()) == 3 })
-	is.Equal(e.sent()[2].engine, restarted.ID)
+	eventually(t, "the restarted engine is ordered again", func() bool { return len(e.executed()) == 3 })
+	is.Equal(e.executed()[2].engine, restarted.ID)
 }
 
 // Guards against a deadlock: the placer calls Changing while it holds its own lock, and the
 // controller asks the placer for the decode demand, so the controller must not hold its lock.
 func TestControllerHoldsNoLockWhileItAsksForDemand(t *testing.T) {
 	k := newKeeper()
-	c := newController("a", k, store.NewMemory(), &engines{keepers: []*fleet.Keeper{k}}, bootClock)
+	c := newController("a", k, store.NewMemory(), &fakeEngines{keepers: []*fleet.Keeper{k}}, bootClock)
 	var asked, blocked atomic.Bool
 	c.SetDecodeDemand(func([]*fleet.Target) float64 {
 		answered := make(chan struct{})
