--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -30,8 +30,8 @@
 	// spotUnavailableFor is how long a data centre counts as having no spot engines after an
 	// order for some was refused, or after it lost those that it had.
 	spotUnavailableFor = 4 * time.Second
-	// listSettleTime is how long the list of engines must not have grown before the first plan:
-	// engines enter it one by one, with their heartbeats.
+	// listSettleTime is how long the number of a service's engines must not have grown before its
+	// first plan: engines enter the list of targets one by one, with their heartbeats.
 	listSettleTime = 2 * time.Second
 	// idleTimeout is how long all engines of a service must have had no work for it to count as
 	// idle.
@@ -49,7 +49,7 @@
 	Spot       bool
 }
 
-// Platform carries out orders.
+// Platform is the service that provides the engines.
 type Platform interface {
 	// Scale sends one order. It fails with an error of package duty; duty.ErrRefused says that no
 	// such engines are available at the moment.
@@ -59,7 +59,9 @@
 // Holder says whether this VM may send orders, and identifies it in calls. duty.Holder implements
 // it.
 type Holder interface {
+	// Held returns this VM's tenure, or false if this VM may not send orders now.
 	Held() (duty.Tenure, bool)
+	// Call returns the identification for calls within tenure t.
 	Call(t duty.Tenure) duty.Call
 }
 
@@ -76,7 +78,7 @@
 	Spot       bool
 }
 
-// key returns the key of the pool's row in the journal.
+// key returns the store key of the pool's row in the journal.
 func (p pool) key() string {
 	kind := "full"
 	if p.Spot {
@@ -88,8 +90,9 @@
 // lastOrder is the last order for a pool.
 type lastOrder struct {
 	count int
-	// sentAt is when the order was last sent. retryAt is when the same order may be sent again;
-	// zero is no retry.
+	// sentAt is when the order was last sent, or when it was read from the journal. retryAt is
+	// the earliest time for the next order for the pool; it is zero if the platform has accepted
+	// the last one.
 	sentAt  time.Time
 	retryAt time.Time
 }
@@ -101,12 +104,14 @@
 }
 
 // needRow is the JSON value of the row that holds how many engines a service had before the first
-// order.
+// order. That number is taken as what the service needs at peak load.
 type needRow struct {
 	Engines int `json:"engines"`
 }
 
-// Controller orders engines while this VM holds the duty.
+// Controller orders engines while this VM holds the duty, see package duty. It writes each order
+// to the journal, a set of rows in the store, before it sends it, so that the next holder knows
+// the last orders.
 type Controller struct {
 	kernel.Background
 	cfg      Config
@@ -121,15 +126,17 @@
 	// journalFence is the fencing number of the tenure in which the journal was read; 0 if it has
 	// not been read.
 	journalFence uint64
-	lastOrders   map[pool]*lastOrder
+	// lastOrders holds the last order for each pool.
+	lastOrders map[pool]*lastOrder
 	// needs holds how many engines each service needs at peak load.
 	needs map[string]int
-	// spotUnavailableUntil is the time until which a pool counts as having no spot engines, and
-	// spotCounts the number of its spot engines in the last step.
+	// spotUnavailableUntil is the time until which no spot engines count as available for a pool,
+	// and spotCounts the number of its spot engines in the last step.
 	spotUnavailableUntil map[pool]time.Time
 	spotCounts           map[pool]int
-	// maxListed is the highest number of listed engines of a service, and listGrewAt when that
-	// number was reached. lastBusyAt is when the service was last seen to have work.
+	// maxListed is the highest number of engines that a service has had in the list of targets,
+	// and listGrewAt when that number was reached. lastBusyAt is when the service was last seen
+	// to have work.
 	maxListed  map[string]int
 	listGrewAt map[string]time.Time
 	lastBusyAt map[string]time.Time
@@ -165,8 +172,8 @@
 	}
 }
 
-// scaledServices returns the names of the services whose number of engines is ours to choose, in
-// order.
+// scaledServices returns the sorted names of the services whose number of engines the controller
+// may choose.
 func scaledServices(cfg *fleet.Config) []string {
 	var names []string
 	for name, s := range cfg.Services {
@@ -214,8 +221,9 @@
 	}
 }
 
-// dataCentres returns the engines of a service by data centre. A data centre that has lost all
-// its spot engines counts as having none available for spotUnavailableFor.
+// dataCentres counts the engines of a service in each data centre, sorted by name. For
+// spotUnavailableFor after a data centre has lost all its spot engines, it counts as having none
+// available.
 func (c *Controller) dataCentres(v *fleet.View, name string, now time.Time) []DataCentre {
 	byName := make(map[string]*DataCentre)
 	for dataCentre := range v.Config.Services[name].Scaling.Prices {
@@ -245,9 +253,9 @@
 	return out
 }
 
-// dueOrders returns the orders to send: those that differ from the last ones, and those that have
-// not brought the engines they asked for. Spot engines are ordered before on-demand engines are
-// given back.
+// dueOrders returns the orders to send: those that differ from the last ones, and repetitions of
+// those that have not brought the engines they asked for. Spot engines are ordered before
+// on-demand engines are given back.
 func (c *Controller) dueOrders(name string, dataCentres []DataCentre, planned map[string]Counts, boot time.Duration, now time.Time) []Order {
 	var spot, onDemand []Order
 	for _, dc := range dataCentres {
@@ -270,7 +278,8 @@
 	case last == nil:
 		return want != have
 	case want < last.count && have < last.count && now.Before(last.sentAt.Add(boot+bootMargin)):
-		// Ordered engines are still booting: the reason for ordering them may pass and return.
+		// The engines of the last order are still booting. That order is not reduced yet, as the
+		// reason for it may pass and return.
 		return false
 	case want != last.count:
 		return now.After(last.retryAt)
@@ -284,7 +293,8 @@
 	return now.After(again)
 }
 
-// sendOrder sends one order and reports whether further orders may be sent.
+// sendOrder sends one order and reports whether further orders may be sent in this step: not after
+// an error other than duty.ErrRefused.
 func (c *Controller) sendOrder(ctx context.Context, t duty.Tenure, o Order) bool {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -311,7 +321,7 @@
 	return true
 }
 
-// loadJournal reads the journal at the start of a tenure and reports whether it succeeded.
+// loadJournal reads the journal at the start of tenure t and reports whether it succeeded.
 func (c *Controller) loadJournal(ctx context.Context, t duty.Tenure) bool {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -362,8 +372,9 @@
 // needKey returns the key of a service's needRow.
 func needKey(service string) string { return KeyPrefix + service + "/need" }
 
-// writeJournal writes orders to the journal before they are sent, on the condition that the
-// tenure has not ended. It reports whether it succeeded.
+// writeJournal writes the due orders of a service to the journal before they are sent, on the
+// condition that tenure t has not ended, and with the first orders also the service's need. It
+// reports whether it succeeded.
 func (c *Controller) writeJournal(ctx context.Context, t duty.Tenure, name string, need int, due []Order) bool {
 	txn := store.Txn{Conds: []store.Cond{t.Condition}}
 	put := func(key string, v any) {
--- a/internal/scaling/controller_test.go
+++ b/internal/scaling/controller_test.go
@@ -26,8 +26,8 @@
 
 func (h *holder) Call(t duty.Tenure) duty.Call { return duty.Call{Holder: "vm", Fence: t.Fence} }
 
-// fakePlatform carries out orders at once. It refuses orders for spot engines while noSpot is
-// set, and returns err for the others although it has carried them out.
+// fakePlatform carries out orders at once and records them. It refuses orders for spot engines
+// while noSpot is set, and returns err for the others although it has carried them out.
 type fakePlatform struct {
 	keeper *fleet.Keeper
 	orders []Order
@@ -44,7 +44,7 @@
 	return p.err
 }
 
-// set makes the target list hold n engines of one kind in a data centre.
+// set makes the list of targets hold n engines of one kind in a data centre.
 func (p *fakePlatform) set(dataCentre string, spot bool, n int) {
 	var changes []fleet.TargetChange
 	for i := range 40 {
@@ -59,6 +59,7 @@
 }
 
 // fixture is a controller whose platform has two data centres with ten on-demand engines each.
+// The service has work while busy is set.
 type fixture struct {
 	*Controller
 	platform *fakePlatform
@@ -84,13 +85,13 @@
 	return s
 }
 
-// successor returns the controller of another VM.
+// successor returns the controller of another VM, which has the same store and platform.
 func (s *fixture) successor() *Controller {
 	return New(Config{Busy: func(string) bool { return s.busy }}, s.platform.keeper, s.table, s.platform, s.holder,
 		telemetry.NewLogger(&bytes.Buffer{}, "test", "vm"))
 }
 
-// run calls step four times, spread over a span of simulated time.
+// run advances the simulated time by a span and calls step after each quarter of it.
 func (s *fixture) run(span time.Duration) {
 	for range 4 {
 		s.time.Suspend(span / 4)
@@ -98,6 +99,7 @@
 	}
 }
 
+// Orders that the platform has carried out are not sent again.
 func TestEnginesAreOrderedOnce(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t)
@@ -107,6 +109,7 @@
 	is.Equal(len(s.platform.orders), 4) // all orders have been carried out
 }
 
+// A VM that does not hold the duty sends no orders.
 func TestOnlyTheHolderSendsOrders(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t)
@@ -139,8 +142,8 @@
 	is.Equal(n, 16)
 }
 
-// A new holder reads the needed number of engines from the journal. It must not count the engines
-// that it sees, which are those that were ordered, spares included.
+// A new holder reads the number of engines that the service needs from the journal. It must not
+// derive it from the present engines, which are those that were ordered, spares included.
 func TestSuccessorKeepsTheNeed(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t)
--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -46,7 +46,7 @@
 	DataCentres []DataCentre
 }
 
-// Counts is how many engines of each kind a data centre should have.
+// Counts holds how many engines of each kind a data centre should have.
 type Counts struct {
 	OnDemand int
 	Spot     int
@@ -67,7 +67,8 @@
 	return out
 }
 
-// baseCounts returns the engines of each kind per data centre for when both kinds are available.
+// baseCounts returns how many engines of each kind every data centre should have while both kinds
+// are available in all of them.
 func (in *PlanInput) baseCounts() (onDemand, spot int) {
 	dataCentres := len(in.DataCentres)
 	perDataCentre := min(max(ceilDiv(in.Need, dataCentres), in.Min), in.Max)
@@ -90,8 +91,8 @@
 	return onDemand, min(max(spot, in.Min-onDemand), in.Max-onDemand)
 }
 
-// coverShortage makes up for data centres without spot engines: with spot engines in the other
-// data centres first, and with on-demand engines for what is still missing.
+// coverShortage adds engines to the plan out for data centres where no spot engines are available:
+// spot engines in the other data centres first, and on-demand engines for what is still missing.
 func (in *PlanInput) coverShortage(out map[string]Counts) {
 	available := 0
 	for _, c := range in.DataCentres {
@@ -130,8 +131,9 @@
 	}
 }
 
-// keepUntilReplaced keeps on-demand engines until the engines that replace them serve. An idle
-// service has no requests that would have to wait, so its engines are given back at once.
+// keepUntilReplaced keeps on-demand engines in the plan out until the engines that replace them
+// serve. An idle service has no requests that would have to wait, so its engines are given back
+// at once.
 func (in *PlanInput) keepUntilReplaced(out map[string]Counts) {
 	if in.Idle {
 		return
--- a/internal/scaling/plan_test.go
+++ b/internal/scaling/plan_test.go
@@ -46,6 +46,7 @@
 	}
 }
 
+// Where there are no spot engines, or they cost too much, all engines are on-demand engines.
 func TestPlanWithoutSpotEngines(t *testing.T) {
 	is := is.New(t)
 	for _, price := range []float64{0, 0.9} {
@@ -69,8 +70,8 @@
 	is.Equal(onDemand, 3*minOnDemand)
 }
 
-// When one data centre has lost its spot engines and none are available there, the others' spot
-// engines are enough. When all data centres have lost theirs, on-demand engines are ordered.
+// When one data centre has lost its spot engines and none are available there, the spot engines of
+// the others are enough. When all data centres have lost theirs, on-demand engines are ordered.
 func TestPlanWhileSpotEnginesAreUnavailable(t *testing.T) {
 	is := is.New(t)
 	in := PlanInput{Need: 57, Min: 1, Max: 38, SpotPrice: 0.15, DataCentres: threeDataCentres(2, 26)}
--- a/internal/scaling/series_test.go
+++ b/internal/scaling/series_test.go
@@ -20,9 +20,14 @@
 // 9.8 s, and those of a second data centre are reclaimed before the first ones are replaced. With
 // spares for only one data centre, 32 of 84 engines were left during a burst of prompts.
 const (
-	boot             = 4 * time.Second
-	spotOutage       = 9800 * time.Millisecond
-	reclaimInterval  = 10400 * time.Millisecond
+	// boot is how long a new engine takes until it serves.
+	boot = 4 * time.Second
+	// spotOutage is how long no spot engines are available after a reclaim.
+	spotOutage = 9800 * time.Millisecond
+	// reclaimInterval is the time between the two reclaims.
+	reclaimInterval = 10400 * time.Millisecond
+	// maxPerDataCentre is the maximum number of engines in a data centre, and perDataCentre the
+	// number at the start.
 	maxPerDataCentre = 38
 	perDataCentre    = 19
 )
@@ -80,7 +85,7 @@
 	p.updateTargets()
 }
 
-// updateTargets makes the target list hold the engines that serve.
+// updateTargets makes the list of targets hold the engines that serve.
 func (p *simulatedPlatform) updateTargets() {
 	var changes []fleet.TargetChange
 	for key, n := range p.serving {
@@ -105,6 +110,8 @@
 	return n
 }
 
+// After the first reclaim enough engines for the peak load are left, and after the second one all
+// engines of the third data centre and the on-demand engines of the other two.
 func TestReclaimsInARowLeaveOneDataCentreComplete(t *testing.T) {
 	is := is.New(t)
 	sim := clock.Simulate()
@@ -133,7 +140,7 @@
 	run(20 * time.Second)
 	is.True(p.total() <= 3*maxPerDataCentre)
 	p.reclaim("a")
-	is.True(run(reclaimInterval) >= 3*perDataCentre) // losing one data centre's spot engines leaves enough for the peak load
+	is.True(run(reclaimInterval) >= 3*perDataCentre) // enough for the peak load
 	p.reclaim("b")
-	is.True(run(spotOutage) >= maxPerDataCentre+2*minOnDemand) // losing a second data centre's leaves the third one complete
+	is.True(run(spotOutage) >= maxPerDataCentre+2*minOnDemand) // the third data centre is complete
 }
