--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,6 +1,7 @@
-// Package duty elects one VM at a time to make the calls to the platform that must come from a
-// single VM. The platform does not check fencing numbers, so a holder stops by its own clock
-// before another VM may begin.
+// Package duty elects one VM at a time, the holder, to make the calls to the platform that must
+// come from a single VM. Making these calls is the duty, or the duties, of the holder. The
+// election is by a lease. The platform does not check fencing numbers, so a holder stops by its
+// own clock before another VM may begin.
 package duty
 
 import (
@@ -16,9 +17,9 @@
 )
 
 const (
-	// stepInterval is the time between two checks whether the lease needs attention.
+	// stepInterval is the time between two checks whether to renew the lease or to contend for it.
 	stepInterval = 200 * time.Millisecond
-	// leaseTTL is how long a lease that is not renewed stays in force, and renewInterval the time
+	// leaseTTL is how long a lease that is not renewed stays valid, and renewInterval the time
 	// between renewals: three in a row may fail.
 	leaseTTL      = 4 * time.Second
 	renewInterval = time.Second
@@ -29,8 +30,9 @@
 	callTimeout = 700 * time.Millisecond
 )
 
-// The data centre and the service under which the lease is stored. No other lease uses the same
-// data centre, so its fencing numbers are its own.
+// The names of the data centre and the service under which the lease is stored. They are not those
+// of a real data centre and service. No other lease uses this data centre, so its sequence of
+// fencing numbers belongs to this lease alone.
 const (
 	leaseDataCentre = "duties"
 	leaseService    = "cloud"
@@ -78,7 +80,8 @@
 type Config struct {
 	// VM is the name of this VM.
 	VM string
-	// HandoverGap is the minimum time between the last call of one holder and the first call of the next.
+	// HandoverGap is the minimum time between the last call of one holder and the first call of
+	// the next.
 	HandoverGap time.Duration
 }
 
@@ -104,7 +107,7 @@
 	return &Holder{cfg: cfg, lease: lease.New(lc, table, clock), clock: clock, log: log}
 }
 
-// SetGroup sets the group. It must be called before Start.
+// SetGroup sets the group of VMs that contend for the duties. It must be called before Start.
 func (h *Holder) SetGroup(g Group) { h.group = g }
 
 // Start begins to contend for the lease.
@@ -113,7 +116,8 @@
 	return nil
 }
 
-// Stop releases the lease, so that a successor need not wait for it to lapse.
+// Stop stops contending and releases the lease, so that a successor need not wait for it to lapse.
+// A failure to release the lease is only logged.
 func (h *Holder) Stop(ctx context.Context) error {
 	if err := h.Background.Stop(ctx); err != nil {
 		return err
@@ -132,8 +136,8 @@
 	return t.Fence
 }
 
-// Held returns this VM's tenure once it may make calls. A new holder first waits for Gap, as the
-// previous one may have made a call until the end of its tenure.
+// Held returns this VM's tenure, or false while it may not make calls. A new holder first waits
+// for Config.HandoverGap, as the previous one may have made a call until the end of its tenure.
 func (h *Holder) Held() (Tenure, bool) {
 	t, ok := h.lease.Held()
 	if !ok || (t.Fence > 1 && h.clock()-t.Since < h.cfg.HandoverGap) {
@@ -142,7 +146,7 @@
 	return Tenure{Tenure: t, Condition: store.Cond{Key: lease.FenceKey(leaseDataCentre, leaseService), Version: t.FenceVersion}}, true
 }
 
-// Call returns the Call for calls within tenure t.
+// Call returns the identification for calls within tenure t.
 func (h *Holder) Call(t Tenure) Call {
 	return Call{Holder: h.cfg.VM, Fence: t.Fence, StillHeld: func() bool {
 		now, ok := h.lease.Held()
@@ -150,7 +154,8 @@
 	}}
 }
 
-// step renews the lease or contends for it when that is due.
+// step renews the lease if this VM holds it and renewInterval has passed. Otherwise it contends for
+// the lease every contendInterval, if this VM is a candidate and knows of no other holder.
 func (h *Holder) step(ctx context.Context) {
 	_, held := h.lease.Held()
 	every := contendInterval
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -14,6 +14,7 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
+// gap is the HandoverGap of the candidates.
 const gap = 3 * time.Second
 
 // cluster is a set of candidates for the duties with a common clock, and the calls that the
@@ -53,7 +54,7 @@
 	return false
 }
 
-// vmStore is the store as one VM reaches it.
+// vmStore is the store as one VM reaches it: it is unavailable while the VM is partitioned.
 type vmStore struct {
 	store.Table
 	v *vm
@@ -111,7 +112,7 @@
 	}
 }
 
-// violation describes how the calls violate the rule of a single holder, or returns "".
+// violation describes the first call that violates the rule of a single holder, or returns "".
 func (cl *cluster) violation() string {
 	last := make(map[string]time.Duration)
 	for i, c := range cl.calls {
@@ -119,9 +120,9 @@
 			before := cl.calls[i-1]
 			switch {
 			case c.fence < before.fence:
-				return fmt.Sprintf("call %v has a lower fence than the call %v before it", c, before)
+				return fmt.Sprintf("call %v has a lower fencing number than the call %v before it", c, before)
 			case c.fence == before.fence && c.vm != before.vm:
-				return fmt.Sprintf("call %v of another VM has the same fence as the call %v before it", c, before)
+				return fmt.Sprintf("call %v of another VM has the same fencing number as the call %v before it", c, before)
 			case c.vm != before.vm && last[c.vm] > 0 && c.at-last[c.vm] < gap:
 				return fmt.Sprintf("call %v is within the gap after the VM's own last call at %s, with another VM's call between", c, last[c.vm])
 			}
@@ -131,6 +132,7 @@
 	return ""
 }
 
+// Without faults, the first holder makes all calls.
 func TestOneHolderAtATime(t *testing.T) {
 	is := is.New(t)
 	cl := newCluster(3)
@@ -175,8 +177,8 @@
 	is.True(last.at > stopped)
 }
 
-// In any sequence of faults, most of which hit the holder, holders do not alternate within the gap
-// and fencing numbers never decrease.
+// In any sequence of faults, most of which hit the holder, fencing numbers never decrease, and a VM
+// that was replaced by another holder makes no call within the gap after its own last call.
 func TestSingleHolderUnderAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cl := newCluster(rapid.IntRange(1, 4).Draw(t, "vms"))
