--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -1,5 +1,11 @@
 // Package usage counts the runs of client accounts in fixed windows of wall-clock time, gathers
-// the counts of all VMs and reports each window to the platform once.
+// the counts of all VMs and reports each window to the platform once. A run is one request of a
+// client account that a target has begun to run, or may have begun to run.
+//
+// The holder of the duty (see package duty) reports. It asks the other VMs for their counts in
+// rounds of questions, and they reply: each question and each reply is one datagram. Once it has
+// the counts of a window, it finalizes the window's report, that is, it stores the sums. Then it
+// sends the report.
 //
 // Load pattern: hundreds of VMs each see a part of every account's requests. Some of them are
 // killed, frozen or cut off, and the holder of the duty changes. The sums of a window are
@@ -15,11 +21,11 @@
 )
 
 const (
-	// retention is how long a VM keeps the counts of a window. Outages of the store or of the
-	// platform of up to this length lose no usage.
+	// retention is how long a VM keeps the counts of a window. No usage is lost in an outage of
+	// the store or of the platform of up to this length.
 	retention = 2 * time.Minute
-	// maxAnswerCounts bounds the counts in one answer, so that it fits into a datagram.
-	maxAnswerCounts = 600
+	// maxReplyCounts bounds the counts in one reply, so that the reply fits into a datagram.
+	maxReplyCounts = 600
 )
 
 // Window numbers a window of time. Its start, in Unix time, is its number times the window
@@ -31,7 +37,7 @@
 	return Window(t.UnixMilli() / length.Milliseconds())
 }
 
-// End returns the end of a window of the given length.
+// End returns the end of window w, for windows of the given length.
 func (w Window) End(length time.Duration) time.Time {
 	return time.UnixMilli((int64(w) + 1) * length.Milliseconds())
 }
@@ -52,17 +58,19 @@
 	// the VM up to that revision.
 	Incarnation int64
 	Revision    uint64
-	// Number is the number of the round of questions. It is returned in the answer.
+	// Number is the number of the round of questions. It is returned in the reply.
 	Number uint64
 }
 
-// Answer holds the counts of a VM's process that have changed after revision From, up to
-// Revision.
+// Answer is the reply to a Question. It holds the counts of one process of a VM that have changed
+// after revision From, up to Revision.
 type Answer struct {
+	// Incarnation identifies the process.
 	Incarnation int64
 	From        uint64
 	Revision    uint64
-	Number      uint64
+	// Number is that of the question.
+	Number uint64
 	// More says that there are further changed counts, which did not fit.
 	More   bool
 	Counts []Count
@@ -74,14 +82,15 @@
 	incarnation  int64
 
 	// mu guards the fields below.
-	mu       sync.Mutex
+	mu sync.Mutex
+	// revision increases with each counted run.
 	revision uint64
 	counts   map[countKey]*runCount
 	// newestWindow is the latest window in which a run was counted.
 	newestWindow Window
 }
 
-// countKey identifies one count of a process.
+// countKey identifies one count of a process: the window and the account.
 type countKey struct {
 	window  Window
 	account string
@@ -100,8 +109,8 @@
 	return &Counter{windowLength: length, incarnation: incarnation, counts: make(map[countKey]*runCount)}
 }
 
-// Ran counts a run of an account that began at the given time. It ignores runs without an
-// account.
+// Ran counts a run of an account that began at the given time. It ignores runs of anonymous
+// requests, whose account is empty.
 func (c *Counter) Ran(account string, at time.Time) {
 	if account == "" {
 		return
@@ -132,8 +141,8 @@
 	}
 }
 
-// Answer returns the counts that have changed since the revision that the sender of the question
-// knows, the oldest changes first.
+// Answer returns the reply to a question: the counts that have changed since the revision that the
+// sender of the question knows, the oldest changes first, and at most maxReplyCounts of them.
 func (c *Counter) Answer(q Question) Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,9 +161,9 @@
 		}
 	}
 	slices.SortFunc(changes, func(a, b change) int { return cmp.Compare(a.revision, b.revision) })
-	if len(changes) > maxAnswerCounts {
-		changes = changes[:maxAnswerCounts]
-		a.Revision, a.More = changes[maxAnswerCounts-1].revision, true
+	if len(changes) > maxReplyCounts {
+		changes = changes[:maxReplyCounts]
+		a.Revision, a.More = changes[maxReplyCounts-1].revision, true
 	}
 	for _, ch := range changes {
 		a.Counts = append(a.Counts, ch.Count)
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -14,7 +14,7 @@
 const (
 	// KeyPrefix is the prefix of the store keys of reports.
 	KeyPrefix = "usage/"
-	// sentKey is the key of the row that holds the last window up to which all reports were sent.
+	// sentKey is the key of the sentRow.
 	sentKey = KeyPrefix + "sent"
 	// windowsPrefix is the prefix of the keys of finalized reports that may not have been sent
 	// yet.
@@ -25,7 +25,7 @@
 	maxDeletes = 40
 )
 
-// report holds the final sums of one window: the runs of each client account.
+// report holds the final sums of one window: the number of runs of each client account.
 type report struct {
 	window Window
 	counts map[string]int
@@ -38,23 +38,26 @@
 type ledger struct {
 	// anySent says whether the store holds the row of sentKey.
 	anySent bool
-	// lastSent is the last window up to which all reports are known to have been sent.
+	// lastSent is the latest window such that its report and all earlier ones are known to have
+	// been sent.
 	lastSent Window
-	// unsent holds the reports that were finalized and not sent yet, in order.
+	// unsent holds the reports that were finalized and not sent yet, in the order of windows.
 	unsent []*report
-	// stale holds the keys of the rows of windows that were sent.
+	// stale holds the keys of the rows of reports that were sent. The rows can be removed.
 	stale []string
 }
 
-// rowKey returns the key of one of the rows that a report is split into.
+// rowKey returns the key of the row that holds the given chunk of the report of window w. Chunks
+// are numbered from 0.
 func rowKey(w Window, chunk int) string { return fmt.Sprintf("%s%020d/%03d", windowsPrefix, w, chunk) }
 
-// sentRow is the JSON value of the row at sentKey.
+// sentRow is the JSON value of the row at sentKey. All reports up to and including Window have been
+// sent.
 type sentRow struct {
 	Window Window `json:"window"`
 }
 
-// readLedger reads the ledger from the store.
+// readLedger reads the ledger from the store. It fails if the store does or if a row is malformed.
 func readLedger(ctx context.Context, table store.Table) (*ledger, error) {
 	records, err := table.List(ctx, KeyPrefix)
 	if err != nil {
@@ -106,9 +109,9 @@
 	}
 }
 
-// finalize returns the transaction that makes a report final. The transaction fails if the window
-// was finalized before or the condition of the tenure does not hold. It also stores lastSent and
-// removes stale rows; removed is the number of these.
+// finalize returns the transaction that makes a report final, and sets r.rows. The transaction
+// fails if the window was finalized before or the condition of the tenure does not hold. It also
+// stores lastSent and removes the first stale rows; removed is the number of rows that it removes.
 func (l *ledger) finalize(r *report, tenure store.Cond) (txn store.Txn, removed int, err error) {
 	value, err := json.Marshal(r.counts)
 	if err != nil {
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	// stepInterval is the time between two checks of what is due.
+	// stepInterval is the time between two calls of step.
 	stepInterval = 250 * time.Millisecond
 	// queryInterval is the time between two rounds of questions by the holder, and
-	// standbyQueryInterval that by VMs that may take over. When a VM is killed, its counts since
-	// the last round are lost.
+	// standbyQueryInterval the same for the other candidates. When a VM is killed, its counts
+	// since the last round are lost.
 	queryInterval        = 500 * time.Millisecond
 	standbyQueryInterval = 2 * time.Second
 	// countGrace is how long after a window's end its counts are final. The run of a plain
-	// request counts from when the request was sent, so it may be counted that long after its
-	// window's end.
+	// request belongs to the window in which the request was sent, but is counted only after the
+	// call to the target, which may be that long after the window's end.
 	countGrace = time.Second
 	// missingVMTimeout is how long after a window's end the holder waits for VMs that do not
-	// answer.
+	// reply.
 	missingVMTimeout = 4500 * time.Millisecond
 	// callTimeout bounds one call to the store or to the platform.
 	callTimeout = 700 * time.Millisecond
-	// maxReportsPerStep bounds the reports that sendReports sends at once after an outage.
+	// maxReportsPerStep bounds the reports that one call of sendReports sends after an outage.
 	maxReportsPerStep = 4
 )
 
 // Platform receives usage reports.
 type Platform interface {
-	// ReportUsage reports the runs of each account in a window. It fails with an error of package
-	// duty.
+	// ReportUsage reports the number of runs of each account in a window. It fails with an error
+	// of package duty.
 	ReportUsage(ctx context.Context, c duty.Call, w Window, counts map[string]int) error
 }
 
 // Group is the set of VMs that are asked for their counts.
 type Group interface {
-	// AskUsage sends a question to a VM. Its answer is passed to Reporter.Hear.
+	// AskUsage sends a question to a VM. Its reply is passed to Reporter.HandleAnswer.
 	AskUsage(vm string, q Question)
 	// Others returns the names of the other VMs.
 	Others() []string
@@ -54,7 +54,9 @@
 // Holder says whether this VM may send reports, and identifies it in calls. duty.Holder
 // implements it.
 type Holder interface {
+	// Held returns this VM's tenure, or false if this VM may not send reports now.
 	Held() (duty.Tenure, bool)
+	// Call returns the identification for calls within tenure t.
 	Call(t duty.Tenure) duty.Call
 }
 
@@ -67,7 +69,7 @@
 }
 
 // Reporter gathers the counts of all VMs and, while this VM holds the duty, reports each window.
-// All candidates gather counts, so that they can take over.
+// All candidates for the duty gather counts, so that they can take over.
 type Reporter struct {
 	kernel.Background
 	*Counter
@@ -81,9 +83,9 @@
 	// firstWindow is the window in which this process started.
 	firstWindow Window
 
-	// ledger is the state of the reports in the store, as read in the tenure ledgerFence; nil if
-	// it has not been read. queriedAt is the start of the last round. Only the goroutine of step
-	// uses these fields.
+	// ledger is the state of the reports in the store, as read in the tenure with the fencing
+	// number ledgerFence. It is nil if it has to be read. queriedAt is the start of the last round
+	// of questions. Only the goroutine of step uses these fields.
 	ledger      *ledger
 	ledgerFence uint64
 	queriedAt   time.Time
@@ -98,11 +100,11 @@
 	}
 }
 
-// SetGroup sets the group. It must be called before Start.
+// SetGroup sets the group of VMs that are asked. It must be called before Start.
 func (r *Reporter) SetGroup(g Group) { r.group = g }
 
-// HandleAnswer merges another VM's answer. If the answer says that there is more, the VM is asked again
-// at once.
+// HandleAnswer merges another VM's reply into the counts. If the reply says that there is more, the
+// VM is asked again at once.
 func (r *Reporter) HandleAnswer(vm string, a Answer) {
 	if r.tally.Merge(vm, a) && a.More {
 		r.group.AskUsage(vm, r.tally.NextQuestion(vm, a.Number))
@@ -136,7 +138,9 @@
 	r.sendReports(ctx, t)
 }
 
-// queryVMs starts a round of questions to all VMs, this one included, when that is due.
+// queryVMs starts a round of questions to all VMs, this one included, if the last round is long
+// enough ago: queryInterval while this VM holds the duty, as held says, and standbyQueryInterval
+// otherwise. A VM that is neither the holder nor a candidate asks no questions.
 func (r *Reporter) queryVMs(now time.Time, held bool) {
 	every := standbyQueryInterval
 	if held {
@@ -158,7 +162,7 @@
 	r.tally.Forget(WindowAt(now, r.cfg.Length) - retainedWindows(r.cfg.Length))
 }
 
-// loadLedger reads the ledger from the store and reports whether it succeeded.
+// loadLedger reads the ledger from the store in tenure t and reports whether it succeeded.
 func (r *Reporter) loadLedger(ctx context.Context, t duty.Tenure) bool {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -185,7 +189,9 @@
 	return max(next, WindowAt(now, r.cfg.Length)-retainedWindows(r.cfg.Length)+1)
 }
 
-// finalizeNext finalizes the next window if its counts are known, and reports whether it did.
+// finalizeNext finalizes the report of the next window, and reports whether it did. It does so
+// countGrace after the window's end if all VMs have replied since, and after missingVMTimeout in
+// any case.
 func (r *Reporter) finalizeNext(ctx context.Context, t duty.Tenure, now time.Time) bool {
 	if r.ledger == nil {
 		return false
@@ -217,7 +223,8 @@
 	return true
 }
 
-// sendReports sends the finalized reports that have not been sent yet, in order.
+// sendReports sends the finalized reports that have not been sent yet, in the order of windows and
+// at most maxReportsPerStep. It stops at the first one that has to be sent again.
 func (r *Reporter) sendReports(ctx context.Context, t duty.Tenure) {
 	for range maxReportsPerStep {
 		if r.ledger == nil || len(r.ledger.unsent) == 0 {
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// Tally gathers the counts of all VMs. Answers hold absolute counts, not increments, so a
-// repeated or late answer does no harm. It is safe for concurrent use.
+// Tally gathers the counts of all VMs. Replies hold absolute counts, not increments, so a repeated
+// or late reply does no harm. A Tally is safe for concurrent use.
 type Tally struct {
+	// mu guards the fields below.
 	mu sync.Mutex
-	// processes holds the counts of each process that has answered.
+	// processes holds the counts of each process that has replied.
 	processes map[process]*processCounts
-	// latestIncarnation is the highest incarnation of each VM that has answered.
+	// latestIncarnation is the highest incarnation of each VM that has replied.
 	latestIncarnation map[string]int64
-	// answeredAt is, for each VM, the start of the latest round that it has answered in full.
-	answeredAt map[string]time.Time
-	// roundStart holds the start of each remembered round by its number, and lastRound the number
-	// of the latest round.
+	// repliedAt is, for each VM, the start of the latest round to which its reply is complete.
+	repliedAt map[string]time.Time
+	// roundStart holds the start of each of the last rounds of questions by the round's number,
+	// and lastRound the number of the latest round.
 	roundStart map[uint64]time.Time
 	lastRound  uint64
 }
@@ -37,7 +38,7 @@
 func NewTally() *Tally {
 	return &Tally{
 		processes: make(map[process]*processCounts), latestIncarnation: make(map[string]int64),
-		answeredAt: make(map[string]time.Time), roundStart: make(map[uint64]time.Time),
+		repliedAt: make(map[string]time.Time), roundStart: make(map[uint64]time.Time),
 	}
 }
 
@@ -54,8 +55,8 @@
 	return t.lastRound
 }
 
-// NextQuestion returns the question to send to a VM in a round, according to what is known of the
-// VM now.
+// NextQuestion returns the question to send to a VM in the round with the given number. It asks for
+// the counts that the tally does not have yet.
 func (t *Tally) NextQuestion(vm string, number uint64) Question {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,7 +67,7 @@
 	return q
 }
 
-// Merge merges a VM's answer into the tally and reports whether it contained anything new.
+// Merge merges a VM's reply into the tally and reports whether the reply contained anything new.
 func (t *Tally) Merge(vm string, a Answer) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,8 +91,8 @@
 	}
 	changed := a.Revision > v.revision
 	v.revision = max(v.revision, a.Revision)
-	if at := t.roundStart[a.Number]; !a.More && at.After(t.answeredAt[vm]) {
-		t.answeredAt[vm] = at
+	if at := t.roundStart[a.Number]; !a.More && at.After(t.repliedAt[vm]) {
+		t.repliedAt[vm] = at
 	}
 	return changed
 }
@@ -111,14 +112,14 @@
 	return sums
 }
 
-// Missing returns how many of the VMs have not answered any round that began after the given
-// time.
+// Missing returns how many of the VMs have not replied completely to any round that began after
+// the given time.
 func (t *Tally) Missing(vms []string, after time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for _, vm := range vms {
-		if !t.answeredAt[vm].After(after) {
+		if !t.repliedAt[vm].After(after) {
 			n++
 		}
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -21,21 +21,21 @@
 // length is the length of a window.
 const length = 5 * time.Second
 
-// vm is the counter of a VM, which answers unless it is unreachable.
+// vm is the counter of a VM, which replies to questions unless it is unreachable.
 type vm struct {
 	*Counter
 	unreachable bool
 }
 
-// group is a fake Group that passes answers to hear.
+// group is a fake Group of all VMs but the reporter's own. It passes replies to deliver.
 type group struct {
-	vms  map[string]*vm
-	hear func(vm string, a Answer)
+	vms     map[string]*vm
+	deliver func(vm string, a Answer)
 }
 
 func (g *group) AskUsage(name string, q Question) {
 	if v := g.vms[name]; !v.unreachable {
-		g.hear(name, v.Answer(q))
+		g.deliver(name, v.Answer(q))
 	}
 }
 
@@ -54,13 +54,14 @@
 type fakePlatform struct {
 	reports     map[Window]map[string]int
 	conflicting []Window
-	err         error
-	// loseAnswers makes ReportUsage accept reports and still return err.
-	loseAnswers bool
+	// err is returned by ReportUsage, which records no report while err is set.
+	err error
+	// loseResponses makes ReportUsage record reports and still return err.
+	loseResponses bool
 }
 
 func (p *fakePlatform) ReportUsage(_ context.Context, _ duty.Call, w Window, counts map[string]int) error {
-	if p.err != nil && !p.loseAnswers {
+	if p.err != nil && !p.loseResponses {
 		return p.err
 	}
 	if known, ok := p.reports[w]; ok && !maps.Equal(known, counts) {
@@ -83,8 +84,8 @@
 // ErrUnknown while loseAnswers is set.
 type faultyTable struct {
 	store.Table
-	loseAnswers bool
-	unavailable bool
+	loseResponses bool
+	unavailable   bool
 }
 
 func (f *faultyTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
@@ -92,13 +93,13 @@
 		return 0, store.ErrUnavailable
 	}
 	v, err := f.Table.Commit(ctx, txn)
-	if err == nil && f.loseAnswers {
+	if err == nil && f.loseResponses {
 		return 0, store.ErrUnknown
 	}
 	return v, err
 }
 
-// fixture is a store, a platform and a group of two VMs that answer questions.
+// fixture is a store, a platform and a group of two VMs that reply to questions.
 type fixture struct {
 	t        *testing.T
 	time     *clock.Simulated
@@ -127,13 +128,13 @@
 	h := &holder{fence: fence}
 	r := NewReporter(Config{VM: "own", Length: length}, NewCounter(length, 1), s.table, s.platform, h, telemetry.NewLogger(&bytes.Buffer{}, "test", "own"))
 	r.SetGroup(s.group)
-	s.group.hear = r.HandleAnswer
+	s.group.deliver = r.HandleAnswer
 	return r, h
 }
 
 // run calls the reporter's step at its usual interval for a span of simulated time.
 func (s *fixture) run(r *Reporter, span time.Duration) {
-	s.group.hear = r.HandleAnswer
+	s.group.deliver = r.HandleAnswer
 	for range int(span / stepInterval) {
 		s.time.Suspend(stepInterval)
 		r.step(context.Background())
@@ -161,6 +162,8 @@
 	return n
 }
 
+// Two windows after the last run, each account's runs at all VMs have been reported, and those of
+// anonymous requests have not.
 func TestWindowsAreReportedInTime(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t)
@@ -197,7 +200,7 @@
 	is.Equal(s.sum("a"), 11)
 }
 
-// The reporter waits for a VM that does not answer, but no longer than missingVMTimeout.
+// The reporter waits for a VM that does not reply, but no longer than missingVMTimeout.
 func TestUnreachableVMsAreWaitedFor(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t)
@@ -221,7 +224,7 @@
 // A holder that takes over after a window was finalized sends the stored sums, even if it knows
 // other counts by then, and whatever the outcome of the previous holder's calls was.
 func TestSuccessorSendsFinalizedSums(t *testing.T) {
-	for name, err := range map[string]error{"not sent": duty.ErrBusy, "answer lost": duty.ErrUnknown} {
+	for name, err := range map[string]error{"not sent": duty.ErrBusy, "response lost": duty.ErrUnknown} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := newFixture(t)
@@ -229,7 +232,7 @@
 			s.run(r, time.Second)
 			w := s.currentWindow(r)
 			s.group.vms["vm-1"].Ran("a", clock.Now())
-			s.platform.err, s.platform.loseAnswers = err, err == duty.ErrUnknown
+			s.platform.err, s.platform.loseResponses = err, err == duty.ErrUnknown
 			s.run(r, w.End(length).Sub(clock.Now())+2*time.Second)
 			h.fence = 0
 			s.platform.err = nil
@@ -242,8 +245,8 @@
 	}
 }
 
-// A write whose answer was lost has taken effect: the reporter reads it back and does not finalize
-// the window a second time.
+// A write whose response was lost has taken effect: the reporter reads the stored report back and
+// does not finalize the window a second time.
 func TestUnknownWritesAreReadBack(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t)
@@ -251,10 +254,10 @@
 	s.run(r, time.Second)
 	w := s.currentWindow(r)
 	s.group.vms["vm-1"].Ran("a", clock.Now())
-	s.table.loseAnswers = true
+	s.table.loseResponses = true
 	s.run(r, w.End(length).Sub(clock.Now())+2*time.Second)
 	s.group.vms["vm-1"].Ran("a", w.End(length).Add(-time.Second))
-	s.table.loseAnswers = false
+	s.table.loseResponses = false
 	s.run(r, length)
 	is.Equal(s.platform.reports[w], map[string]int{"a": 1})
 	is.Equal(len(s.platform.conflicting), 0)
@@ -302,7 +305,7 @@
 	}
 }
 
-// A report with many accounts takes several answers of a VM and several rows in the store.
+// A report with many accounts takes several replies of a VM and several rows in the store.
 func TestManyAccounts(t *testing.T) {
 	is := is.New(t)
 	const accounts = 16000
@@ -321,20 +324,20 @@
 	is.True(l.lastSent >= w)
 }
 
-// Answers that arrive twice, late, out of order or not at all never make a sum wrong, except that
-// counts are missing until a later answer brings them.
-func TestAnswersInAnyOrder(t *testing.T) {
+// Replies that arrive twice, late, out of order or not at all never make a sum wrong, except that
+// counts are missing until a later reply brings them.
+func TestRepliesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, tally := NewCounter(length, 1), NewTally()
 		now := time.UnixMilli(0)
-		var answers []Answer
+		var replies []Answer
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			for range rapid.IntRange(0, 3).Draw(t, "runs") {
 				c.Ran("a", now)
 			}
-			answers = append(answers, c.Answer(tally.NextQuestion("vm", tally.BeginRound(now))))
-			if i := rapid.IntRange(-1, len(answers)-1).Draw(t, "answer"); i >= 0 {
-				tally.Merge("vm", answers[i])
+			replies = append(replies, c.Answer(tally.NextQuestion("vm", tally.BeginRound(now))))
+			if i := rapid.IntRange(-1, len(replies)-1).Draw(t, "answer"); i >= 0 {
+				tally.Merge("vm", replies[i])
 			}
 		}
 		tally.Merge("vm", c.Answer(tally.NextQuestion("vm", tally.BeginRound(now))))
