--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,7 +1,10 @@
 // Package lease implements leases by records in the store. A lease gives one VM at a time the
-// authority over one service in one data centre. A holder that cannot renew its lease stops by
-// itself. Observers time out an unchanged record on their own monotonic clock, so that no two
-// clocks are compared. Each tenure has a higher fencing number than all earlier ones.
+// authority over one service in one data centre. A holder that cannot renew its lease stops acting
+// of its own accord. The other candidates observe the record and time it out on their own monotonic
+// clocks while it is unchanged, so that no two clocks are compared.
+//
+// A tenure is one uninterrupted period in which a candidate holds the lease. Its fencing number is
+// higher than those of all earlier tenures.
 package lease
 
 import (
@@ -19,15 +22,17 @@
 var ErrNotHeld = errors.New("lease: not held")
 
 // clockDriftDivisor determines how much longer than the TTL an observer waits before it regards a
-// lease as lapsed: one part in 20 of the TTL, for clocks that run at different rates.
+// lease as lapsed, for clocks that run at different rates: a twentieth of the TTL.
 const clockDriftDivisor = 20
 
 // Record is the JSON value of a lease's record in the store.
 type Record struct {
+	// Holder is the name of the VM that holds the lease.
 	Holder string `json:"holder"`
-	// Incarnation distinguishes two processes on one VM.
+	// Incarnation distinguishes the processes that run one after the other on one VM.
 	Incarnation uint64 `json:"incarnation"`
-	Fence       uint64 `json:"fence"`
+	// Fence is the fencing number of the tenure.
+	Fence uint64 `json:"fence"`
 	// Renewals counts the renewals in this tenure.
 	Renewals uint64 `json:"renewals"`
 	// Released is set by a holder that gives up the lease.
@@ -49,6 +54,7 @@
 
 // Tenure is one uninterrupted period in which a candidate holds the lease.
 type Tenure struct {
+	// Fence is the tenure's fencing number.
 	Fence uint64
 	// FenceVersion is the version of the record at FenceKey.
 	FenceVersion uint64
@@ -58,30 +64,34 @@
 
 // Config identifies a lease and a candidate for it.
 type Config struct {
-	DataCentre  string
-	Service     string
+	DataCentre string
+	Service    string
+	// Holder is the name of the candidate's VM, and Incarnation distinguishes its process from
+	// earlier ones on that VM.
 	Holder      string
 	Incarnation uint64
 	// TTL is how long the lease stays valid after a renewal.
 	TTL time.Duration
 }
 
-// Lease is one candidate for one lease. Step and Release must not be called at the same time;
-// Held is safe for concurrent use.
+// Lease is one candidate's side of a lease: it acquires, renews and releases the lease for the
+// candidate. Step and Release must not be called concurrently; Held is safe for concurrent use.
 type Lease struct {
 	cfg   Config
 	table store.Table
 	clock Clock
 
 	// The last observation of the record. Only Step and Release use it. unchangedSince is when
-	// the record was first seen at this version.
+	// the record was first seen at this version. haveRecord is false if there was no record.
 	version        uint64
 	record         Record
 	unchangedSince time.Duration
 	haveRecord     bool
 
 	// mu guards the fields below.
-	mu         sync.Mutex
+	mu sync.Mutex
+	// held is set from the start of the tenure until the candidate knows that it has ended. The
+	// lease has lapsed from validUntil on, even while held is set.
 	held       bool
 	tenure     Tenure
 	validUntil time.Duration
@@ -104,8 +114,9 @@
 }
 
 // Step observes the record once. It renews the lease if it is held, and acquires it if it has
-// lapsed and contend is set. An error means that the store did not answer or that the outcome of
-// a write is unknown; the next Step resolves it.
+// lapsed and contend is set. It fails if a call to the store fails, which may leave the outcome of
+// a write unknown, or if another candidate has changed the record in the meantime; the next Step
+// resolves both.
 func (l *Lease) Step(ctx context.Context, contend bool) error {
 	if _, ok := l.Held(); ok {
 		// A renewal is conditional on the known version, so the record need not be read first.
@@ -169,8 +180,8 @@
 // recordIsOwn reports whether the observed record is this candidate's.
 func (l *Lease) recordIsOwn() bool { return l.haveRecord && l.isOwn(l.record) }
 
-// tenureUnknown reports whether no tenure is known. If the record is this candidate's all the
-// same, an acquisition whose answer was lost has taken effect.
+// tenureUnknown reports whether this candidate knows of no tenure of its own. If the record is its
+// own nevertheless, an acquisition whose response was lost has taken effect.
 func (l *Lease) tenureUnknown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -186,8 +197,8 @@
 	return l.clock()-l.unchangedSince > l.cfg.TTL+l.cfg.TTL/clockDriftDivisor
 }
 
-// renew writes the next renewal. The lease is then valid for the TTL from before the write was
-// sent.
+// renew writes the next renewal. The lease is then valid for the TTL, counted from just before the
+// write was sent.
 func (l *Lease) renew(ctx context.Context) error {
 	next := l.record
 	next.Renewals++
@@ -243,9 +254,10 @@
 	return newFence{number: f.Fence + 1, version: rec.Version}, nil
 }
 
-// commit writes next on the condition that the record still has the observed version. When the
-// lease changes hands, f is the new fencing number, and commit also writes the counter, on the
-// condition that it has not changed, and the fence record. For a renewal f is nil.
+// commit writes next on the condition that the lease record still has the observed version, and
+// returns the new version. When the lease changes hands, f is the new fencing number, and commit
+// also writes the counter, on the condition that the counter has not changed, and the fence
+// record, which is the record at FenceKey. For a renewal or a release f is nil.
 func (l *Lease) commit(ctx context.Context, next Record, f *newFence) (uint64, error) {
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -272,7 +284,7 @@
 
 // confirm records that r is known to be written with the given version, and extends the validity
 // of the lease to the TTL after sent. A tenure begins with its first confirmed write. The version
-// of the fence record is read then, as the answer to the acquisition may have been lost.
+// of the fence record is read then, as the response to the acquisition may have been lost.
 func (l *Lease) confirm(ctx context.Context, r Record, version uint64, sent time.Duration) error {
 	l.haveRecord = true
 	l.unchangedSince = sent
@@ -295,7 +307,7 @@
 	return l.tenure, l.held && l.tenure.Fence == fence
 }
 
-// beginTenure begins the tenure of a confirmed record. It fails with ErrNotHeld if the fence
+// beginTenure begins the tenure of a confirmed lease record. It fails with ErrNotHeld if the fence
 // record already belongs to another tenure.
 func (l *Lease) beginTenure(ctx context.Context, r Record) error {
 	rec, err := l.table.Get(ctx, FenceKey(l.cfg.DataCentre, l.cfg.Service))
@@ -316,7 +328,8 @@
 	return nil
 }
 
-// Release gives up the lease if it is held, so that a successor need not wait for it to lapse.
+// Release gives up the lease if it is held, so that a successor need not wait for it to lapse. It
+// ends the tenure even if the write to the store fails.
 func (l *Lease) Release(ctx context.Context) error {
 	if _, ok := l.Held(); !ok {
 		return nil
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -14,6 +14,7 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
+// ttl is the TTL of the lease in all tests.
 const ttl = 6 * time.Second
 
 // fakeClock is a Clock that the test sets.
@@ -34,7 +35,7 @@
 	c.now += d
 }
 
-// candidate returns a candidate for the lease of one service.
+// candidate returns a candidate for one lease, which is the same in all tests.
 func candidate(table store.Table, name string, clock Clock) *Lease {
 	return New(Config{DataCentre: "kakkanad", Service: "hints", Holder: name, Incarnation: 1, TTL: ttl}, table, clock)
 }
@@ -53,6 +54,8 @@
 	return ok
 }
 
+// While the holder renews the lease, no other candidate acquires it. Once the lease has lapsed,
+// another one does, with a higher fencing number.
 func TestOneHolderAndSuccession(t *testing.T) {
 	is := is.New(t)
 	p, clock := store.NewMemory(), &fakeClock{}
@@ -79,8 +82,8 @@
 	is.True(second.Fence > first.Fence)
 }
 
-// A frozen holder that resumes after its lease has lapsed must not act, whether or not another VM
-// has taken over, and must not continue its old tenure.
+// A frozen holder that resumes after its lease has lapsed must not act, even if no other VM has
+// taken over, and must not continue its old tenure.
 func TestFrozenHolder(t *testing.T) {
 	is := is.New(t)
 	p, clock := store.NewMemory(), &fakeClock{}
@@ -115,6 +118,7 @@
 	is.True(held(b))
 }
 
+// Another candidate need not wait for a released lease to lapse.
 func TestReleasedLeaseIsAcquiredAtOnce(t *testing.T) {
 	is := is.New(t)
 	p, clock := store.NewMemory(), &fakeClock{}
@@ -126,7 +130,9 @@
 	is.True(held(b))
 }
 
-func TestFaults(t *testing.T) {
+// A renewal that fails does not end the tenure at once, nor does it extend the lease: another
+// candidate acquires the lease after it has lapsed.
+func TestFailedRenewal(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault store.Fault
@@ -136,7 +142,7 @@
 	}{
 		{"store is down", store.FaultDown, true},
 		{"renewal is lost", store.FaultLostWrites, true},
-		{"answer to the renewal is lost", store.FaultLostAnswers, true},
+		{"response to the renewal is lost", store.FaultLostAnswers, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -159,8 +165,8 @@
 	}
 }
 
-// An acquisition whose answer was lost is found by the next Step, which begins the tenure.
-func TestAcquisitionWithoutAnswer(t *testing.T) {
+// An acquisition whose response was lost is found by the next Step, which begins the tenure.
+func TestAcquisitionWithoutResponse(t *testing.T) {
 	is := is.New(t)
 	p, clock := store.NewMemory(), &fakeClock{}
 	a := candidate(p, "a", clock.read)
