--- a/internal/fleet/account.go
+++ b/internal/fleet/account.go
@@ -13,7 +13,8 @@
 	Priority *int
 }
 
-// RequestPriority returns the priority of the account's requests on a route. The account may be nil.
+// RequestPriority returns the priority of the account's requests on a route. The account is nil for
+// anonymous requests.
 func (a *Account) RequestPriority(r *Route) int {
 	if a == nil || a.Priority == nil {
 		return r.Priority
@@ -21,12 +22,12 @@
 	return *a.Priority
 }
 
-// accountsByKey holds the client accounts of a configuration by key.
+// accountsByKey holds the client accounts of a configuration by each of their keys.
 type accountsByKey map[string]*Account
 
-// indexAccounts returns the accounts by key. It fails if an account has no name, or if a name or
-// a key is not unique: a key that two accounts share would let one of them run requests as the
-// other.
+// indexAccounts returns the accounts by key. It fails if a name or a key is empty, or if two
+// accounts have the same name or share a key: a shared key would let one of them run requests as
+// the other. The error names the account.
 func indexAccounts(list []*Account) (accountsByKey, error) {
 	out := make(accountsByKey)
 	names := make(map[string]bool, len(list))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Kind says how often a request may be run and how it is answered.
+// Kind says how often a request of a route may be run and whether its answer is a stream.
 type Kind int
 
 // The kinds of route.
@@ -45,11 +45,12 @@
 
 // Route is one route of the operators' configuration.
 type Route struct {
-	Name   string
+	Name string
+	// Host and Prefix are the host and the path prefix of the requests that the route applies to.
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Shares lists the services that may run the route's requests.
+	// Shares holds the services that may run the route's requests, with their weights.
 	Shares []Share
 	// Timeout bounds how long a request may be kept waiting.
 	Timeout time.Duration
@@ -108,7 +109,7 @@
 	// Objective is the shortest objective of the service's routes, or 0 if none has one.
 	Objective time.Duration
 	// MaxGap is the shortest MaxGap of the service's routes, or 0 if none has one. It applies to
-	// all of them, as streams of all routes run side by side on an engine.
+	// all of them, as an engine runs the streams of all routes concurrently.
 	MaxGap time.Duration
 }
 
@@ -119,7 +120,7 @@
 	MaxConns int
 	// Engine is nil for a plain service.
 	Engine *EngineSpec
-	// Scaling is nil if the number of targets is not ours to choose.
+	// Scaling is nil if package scaling may not choose the number of targets.
 	Scaling *Scaling
 }
 
@@ -131,7 +132,7 @@
 	// BootTime is how long a new target takes until it serves.
 	BootTime time.Duration
 	// SpotPrice is the price of a spot target, which may be reclaimed, as a fraction of the price
-	// of an on-demand target; 0 is none available.
+	// of an on-demand target; 0 means that there are no spot targets.
 	SpotPrice float64
 	// Prices holds the price of one second of a target by data centre.
 	Prices map[string]float64
@@ -139,26 +140,31 @@
 
 // Limits bound what a caller may send.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
+	// HeaderBytes and BodyBytes are the maximum sizes of a request's header and body.
+	HeaderBytes int
+	BodyBytes   int64
+	// HeaderTimeout is the maximum time for sending a request header.
 	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	// IdleTimeout is how long a connection without requests is kept open.
+	IdleTimeout time.Duration
 }
 
 // Config is one version of the operators' configuration.
 type Config struct {
-	Version  uint64
+	Version uint64
+	// Services holds the services by name.
 	Services map[string]*Service
 	Limits   Limits
 	// accounts is nil if the configuration does not use client accounts. It is empty if all of
 	// them have been removed.
 	accounts accountsByKey
-	// byHost holds the routes of each host in lower case, longest prefix first.
+	// byHost holds the routes by host name in lower case, those of a host with the longest prefix
+	// first.
 	byHost map[string][]*Route
 }
 
-// NewConfig returns a configuration with its routes indexed for Match. It sets the objectives of
-// the services' engines from the routes.
+// NewConfig returns a configuration with its routes indexed for Match. It changes Engine.Objective
+// and Engine.MaxGap of the given services to the shortest of their routes.
 func NewConfig(version uint64, routes []*Route, services []*Service, limits Limits) *Config {
 	c := &Config{
 		Version: version, Limits: limits,
@@ -231,13 +237,14 @@
 	// Born is when the target started, as it states itself, in Unix milliseconds; 0 if it does
 	// not state it.
 	Born int64
-	// Run identifies the target's current run, as returned by the function RunID; if it is empty,
-	// ID does.
+	// Run identifies the target's current run, as returned by the function RunID. If it is empty,
+	// ID identifies the run.
 	Run        string
 	Service    string
 	Address    string
 	DataCentre string
-	Slots      int
+	// Slots is how many requests the target runs at once.
+	Slots int
 	// Leaving targets accept no new requests.
 	Leaving bool
 	// Spot targets may be reclaimed, all of a data centre at once.
@@ -248,9 +255,9 @@
 // runIDBase is the number base in which the start time is written in a run id.
 const runIDBase = 36
 
-// RunID returns the id of the target's current run, from its start to its end. State of a target
-// is kept by run id: the next run under the same target id has no cache, no work and no KV
-// handles of the previous one.
+// RunID returns the id of the target's current run. A run is the time from the start of a target's
+// process to its end. All state that is kept of a target is kept by run id: the next run under the
+// same target id has no cache, no work and no KV handles of the previous one.
 func (t *Target) RunID() string {
 	if t.Run == "" {
 		return t.ID
@@ -267,7 +274,8 @@
 	return id + "." + strconv.FormatInt(born, runIDBase)
 }
 
-// View is the state that one request is decided on. It must not be changed.
+// View is the state of the configuration and of the list of targets that one request is decided
+// on. It must not be changed.
 type View struct {
 	// Config is nil until the first configuration has been read.
 	Config *Config
@@ -291,7 +299,7 @@
 	return false
 }
 
-// Has reports whether the view lists target t and it is not leaving.
+// Has reports whether a target with the id and the service of t is in the view and not leaving.
 func (v *View) Has(t *Target) bool {
 	for _, other := range v.Targets[t.Service] {
 		if other.ID == t.ID {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,6 +8,7 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
+// Match ignores the case of the host and its port, but not the slash at the end of a prefix.
 func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
 	c := fleet.NewConfig(1, []*fleet.Route{
 		{Name: "short", Host: "a.example", Prefix: "/x/"},
@@ -35,6 +36,8 @@
 	}
 }
 
+// Pick divides the range of random numbers in proportion to the weights of the shares. It returns
+// the last share's service if no weight is positive or random is out of range.
 func TestPickFollowsTheWeights(t *testing.T) {
 	is := is.New(t)
 	r := fleet.Route{Shares: []fleet.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
@@ -46,6 +49,7 @@
 	is.Equal(zero.Pick(0.5), "b")
 }
 
+// A configuration that is not newer than the current one is not published.
 func TestKeeperIgnoresOlderConfigurations(t *testing.T) {
 	is := is.New(t)
 	k := fleet.NewKeeper()
@@ -56,6 +60,7 @@
 	is.Equal(k.View().Config.Version, uint64(7))
 }
 
+// A target that has been removed stays in the views that were published before.
 func TestViewIsNotChangedByLaterUpdates(t *testing.T) {
 	is := is.New(t)
 	k := fleet.NewKeeper()
@@ -68,7 +73,8 @@
 	is.Equal(k.View().TargetsRevision, uint64(4))
 }
 
-func TestLeavingTargetIsNotInTheView(t *testing.T) {
+// View.Has returns false for a leaving target, although the view holds the target.
+func TestHasIgnoresLeavingTargets(t *testing.T) {
 	is := is.New(t)
 	k := fleet.NewKeeper()
 	a := &fleet.Target{ID: "i-a", Service: "s", Leaving: true}
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -12,7 +12,8 @@
 	view atomic.Pointer[View]
 
 	// mu serializes changes and guards targets.
-	mu      sync.Mutex
+	mu sync.Mutex
+	// targets holds the list of targets by id.
 	targets map[string]*Target
 	// listeners are called with each new view.
 	listeners []func(*View)
@@ -33,8 +34,8 @@
 // keeper's lock.
 func (k *Keeper) OnChange(f func(*View)) { k.listeners = append(k.listeners, f) }
 
-// SetConfig publishes a view with configuration c, unless the current version is the same or
-// newer. It reports whether it did.
+// SetConfig publishes a view with configuration c, unless the version of the current configuration
+// is the same or newer. It reports whether it published one.
 func (k *Keeper) SetConfig(c *Config) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -54,7 +55,8 @@
 	Target *Target
 }
 
-// ApplyTargets publishes a view with changes to the list of targets, as of a store revision.
+// ApplyTargets applies changes to the list of targets, as of the given store revision, and
+// publishes a view with the new list.
 func (k *Keeper) ApplyTargets(changes []TargetChange, revision uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -68,14 +70,14 @@
 	k.publishTargets(revision)
 }
 
-// Target returns the listed target with the given id, or nil.
+// Target returns the target with the given id, or nil if it is not in the list of targets.
 func (k *Keeper) Target(id string) *Target {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.targets[id]
 }
 
-// TargetIDs returns the ids of all listed targets, in no particular order.
+// TargetIDs returns the ids of all targets in the list, in no particular order.
 func (k *Keeper) TargetIDs() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
