--- a/internal/target/engine.go
+++ b/internal/target/engine.go
@@ -1,6 +1,6 @@
-// Package target is a client of the targets of a service: engines and targets of plain services.
-// It defines the types of their HTTP protocol. client_test.go holds the contract tests of
-// engines.
+// Package target is a client of the targets of a service: engines, which serve language models, and
+// the targets of plain services. It defines the types of their HTTP protocol. client_test.go holds
+// the contract tests of engines.
 package target
 
 import (
@@ -34,7 +34,8 @@
 const (
 	// HeaderLastEventID is the id of the event after which a stream is to be resumed.
 	HeaderLastEventID = "Last-Event-ID"
-	// HeaderRequestID is the id of the request in the logs of both sides.
+	// HeaderRequestID is the id of the request, which the sender and the target write to their
+	// logs.
 	HeaderRequestID = "X-Request-Id"
 )
 
@@ -78,7 +79,7 @@
 	Boot uint64 `json:"boot"`
 	// Seq increases with every report of one Boot.
 	Seq uint64 `json:"seq"`
-	// Leaving is set once the target is shutting down.
+	// Leaving is set once the target is shutting down. It then accepts no new requests.
 	Leaving bool `json:"leaving"`
 	// Changing is set while the engine changes its role or model.
 	Changing bool `json:"changing"`
@@ -98,7 +99,7 @@
 	Slots int `json:"slots"`
 	// Fence is the highest fencing number that the engine has seen.
 	Fence uint64 `json:"fence"`
-	// LastOrder is the id of the order that the engine accepted last.
+	// LastOrder is the id of the last order that the engine accepted.
 	LastOrder string `json:"last_order"`
 	// PrefillTokens and DecodeTokens count the tokens processed since Boot.
 	PrefillTokens uint64 `json:"prefill_tokens"`
@@ -114,12 +115,12 @@
 }
 
 // Equal reports whether w and o ask for the same state. The order of adapters counts.
-func (w DesiredState) Equal(o DesiredState) bool {
-	if w.Role != o.Role || w.Model != o.Model || w.Version != o.Version || len(w.Adapters) != len(o.Adapters) {
+func (d DesiredState) Equal(o DesiredState) bool {
+	if d.Role != o.Role || d.Model != o.Model || d.Version != o.Version || len(d.Adapters) != len(o.Adapters) {
 		return false
 	}
-	for i := range w.Adapters {
-		if w.Adapters[i] != o.Adapters[i] {
+	for i := range d.Adapters {
+		if d.Adapters[i] != o.Adapters[i] {
 			return false
 		}
 	}
@@ -150,7 +151,10 @@
 // KVTransfer is the kv_transfer_params object, by which a decode engine fetches the KV cache of a
 // prompt from the prefill engine.
 type KVTransfer struct {
-	DoRemoteDecode  bool     `json:"do_remote_decode"`
+	// DoRemoteDecode is set in a request to a prefill engine: the answer is decoded elsewhere.
+	DoRemoteDecode bool `json:"do_remote_decode"`
+	// DoRemotePrefill is set in a request to a decode engine: the prompt was prefilled elsewhere,
+	// and the fields below say where its KV cache is.
 	DoRemotePrefill bool     `json:"do_remote_prefill"`
 	RemoteEngineID  string   `json:"remote_engine_id,omitempty"`
 	RemoteBlockIDs  []uint64 `json:"remote_block_ids,omitempty"`
