--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -7,7 +7,7 @@
 // the counts of a window, it finalizes the window's report, that is, it stores the sums. Then it
 // sends the report.
 //
-// Load pattern: hundreds of VMs each see a part of every account's requests. Some of them are
+// Load pattern: hundreds of VMs each see a fraction of every account's requests. Some of them are
 // killed, frozen or cut off, and the holder of the duty changes. The sums of a window are
 // therefore stored before they are sent, so that any VM that sends them again sends the same
 // sums.
@@ -62,8 +62,8 @@
 	Number uint64
 }
 
-// Answer is the reply to a Question. It holds the counts of one process of a VM that have changed
-// after revision From, up to Revision.
+// Answer holds the counts with which a VM replies to a Question: those of one process that have
+// changed after revision From, up to Revision.
 type Answer struct {
 	// Incarnation identifies the process.
 	Incarnation int64
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -43,7 +43,7 @@
 
 // Group is the set of VMs that are asked for their counts.
 type Group interface {
-	// AskUsage sends a question to a VM. Its reply is passed to Reporter.HandleAnswer.
+	// AskUsage sends a question to a VM. The VM's reply is passed to the Reporter.
 	AskUsage(vm string, q Question)
 	// Others returns the names of the other VMs.
 	Others() []string
