--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -15,22 +15,26 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// gapSamples is the weight of the moving average of the time between reports: each new gap counts
-// for one part in gapSamples.
+// gapSamples sets the weight of a new value in the moving average of the time between reports: it
+// is 1/gapSamples.
 const gapSamples = 8
 
-// maxDatagram is the maximum size of a datagram in bytes, below the limit of UDP.
+// maxDatagram is the maximum size of a datagram in bytes. It is below the limit of UDP.
 const maxDatagram = 60 << 10
 
-// sender keeps the last report of one kind, so that unchanged reports are sent less often.
+// sender numbers the reports of one kind and limits how often unchanged ones are sent.
 type sender struct {
+	// number is the number of the last report that was sent.
 	number uint64
+	// last is the encoding of that report without the fields that due ignores, and lastAt when it
+	// was sent.
 	last   string
 	lastAt time.Time
 }
 
-// due assigns r the next number and returns true if r must be sent now. Uses, ages and store
-// times are left out of the comparison with the last report; a report with uses is always sent.
+// due returns whether r must be sent now: if it contains uses, if it differs from the last report
+// or if that is heartbeatInterval old. If so, it assigns r the next number. Ages and store times
+// change all the time and are not compared.
 func (s *sender) due(r *report) bool {
 	uses, ages, storeTimes := r.Uses, r.AgesMS, r.StoreTimesMS
 	r.Uses, r.AgesMS, r.StoreTimesMS = nil, nil, nil
@@ -45,8 +49,8 @@
 	return true
 }
 
-// sendLoop sends reports to the VMs of this data centre. On the relay it also sends summaries to
-// the other data centres and digests to its own.
+// sendLoop sends this VM's reports until ctx ends. If this VM is the relay, it also sends summaries
+// to the other data centres and, in a large data centre, digests to its own.
 func (p *Peers) sendLoop(ctx context.Context) {
 	var own, summary, digest sender
 	var nextSummary, nextDigest, nextHeartbeat time.Time
@@ -83,8 +87,7 @@
 	}
 }
 
-// sendOwnReport sends this VM's report. If heartbeat is true, the VMs that send heartbeats send
-// it to the whole data centre.
+// sendOwnReport sends this VM's report to the VMs that reportAddrs returns for heartbeat.
 func (p *Peers) sendOwnReport(r *report, heartbeat bool) {
 	p.mu.Lock()
 	p.recordSent(decodeWork(r.Work))
@@ -92,7 +95,8 @@
 	p.sendTo(datagram{Report: r}, p.reportAddrs(heartbeat))
 }
 
-// ownReport returns this VM's report, unnumbered. It removes the new uses from the placer.
+// ownReport returns this VM's report, without a number. It takes the uses since the last report
+// from the placer.
 func (p *Peers) ownReport() *report {
 	r := &report{
 		From: p.self, Incarnation: p.incarnation, Work: encodeWork(p.placer.Own()),
@@ -121,7 +125,7 @@
 	return p.addrsLocked(dataCentre)
 }
 
-// addrsLocked is addrsOf for callers that hold p.mu.
+// addrsLocked is like addrsOf, but the caller must hold p.mu.
 func (p *Peers) addrsLocked(dataCentre string) []netip.AddrPort {
 	to := make([]netip.AddrPort, 0, len(p.members))
 	for vm, m := range p.members {
@@ -132,18 +136,18 @@
 	return to
 }
 
-// sendTo sends a datagram to each address. It logs and drops one that is too large.
+// sendTo sends a datagram to each address. It logs and drops a datagram that is too large.
 func (p *Peers) sendTo(d datagram, to []netip.AddrPort) {
 	data := encode(d)
 	if len(data) > maxDatagram {
-		// Receivers poll the store for a delta that they miss, and the load of a report that is
-		// not sent expires.
+		// Dropping it is safe: VMs that miss a delta poll the store, and a report that is not
+		// followed by another one expires.
 		p.log.Warn(telemetry.EventBadDatagram, telemetry.F("bytes", len(data)),
 			telemetry.F("limit", maxDatagram))
 		return
 	}
 	for _, addr := range to {
-		// Errors are ignored: the next report replaces a datagram that could not be sent.
+		// Errors are ignored: the next report replaces one that could not be sent.
 		_, _ = p.conn.WriteToUDPAddrPort(data, addr)
 	}
 }
@@ -179,10 +183,10 @@
 			p.handleHello(*d.Hello)
 		case d.Delta != nil:
 			p.handleDelta(d.Delta)
-		case d.UsageQuestion != nil:
-			p.handleUsageQuestion(d.UsageQuestion)
-		case d.UsageAnswer != nil:
-			p.handleUsageAnswer(d.UsageAnswer)
+		case d.UsageQuery != nil:
+			p.handleUsageQuery(d.UsageQuery)
+		case d.UsageReply != nil:
+			p.handleUsageReply(d.UsageReply)
 		case d.Suspects != nil:
 			p.handleSuspects(d.Suspects)
 		case d.Report != nil && d.Report.From.VM != p.self.VM:
@@ -191,8 +195,9 @@
 	}
 }
 
-// handleReport stores a report, passes its content on to the placer and the followed tables, and
-// forwards a summary of another data centre within this one.
+// handleReport stores a report, passes its uses to the placer and its versions to the followed
+// tables, and forwards a summary of another data centre within this one. It ignores a report that
+// is older than one already stored.
 func (p *Peers) handleReport(r *report) {
 	addr, err := netip.ParseAddrPort(r.From.Address)
 	if err != nil {
@@ -218,8 +223,8 @@
 	}
 }
 
-// forwardSummary forwards a summary of another data centre to the VMs of this one. If its sender
-// mistook this VM for the relay, it goes to the relay instead.
+// forwardSummary forwards a summary of another data centre to the VMs of this one. If this VM is
+// not the relay, as the sender believed, it forwards the summary to the relay instead.
 func (p *Peers) forwardSummary(r *report) {
 	if relay, ok := p.relayAddr(); ok {
 		p.sendTo(datagram{Report: r}, []netip.AddrPort{relay})
@@ -233,8 +238,8 @@
 	p.sendTo(datagram{Report: r}, p.localAddrs())
 }
 
-// storeReport stores a report unless a newer one of the same sender is known. It returns whether
-// the report was stored, and whether it is included in the sums of the other VMs' work.
+// storeReport stores a report unless it is older than one of the same sender that is still fresh.
+// It returns whether the report was stored, and whether its work is included in p.sums.
 func (p *Peers) storeReport(r *report, addr netip.AddrPort) (stored, included bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -248,8 +253,9 @@
 		return false, false
 	}
 	next := &receivedReport{
-		from: r.From, addr: addr, incarnation: r.Incarnation, number: r.Number, receivedAt: clock.Now(), digest: r.Digest,
-		work: decodeWork(r.Work), newest: r.Newest, changing: r.Changing, readTimes: r.readTimes(clock.Now()),
+		from: r.From, addr: addr, incarnation: r.Incarnation, number: r.Number,
+		receivedAt: clock.Now(), digest: r.Digest, work: decodeWork(r.Work), newest: r.Newest,
+		changing: r.Changing, readTimes: r.readTimes(clock.Now()),
 		storeTimesMS: r.StoreTimesMS, holdsDuties: r.HoldsDuties,
 	}
 	var before map[string]place.Work
@@ -263,7 +269,7 @@
 	} else {
 		p.queueUses(r.Uses, !r.Summary)
 	}
-	p.maxListed = max(p.maxListed, r.KnownVMs)
+	p.maxKnownVMs = max(p.maxKnownVMs, r.KnownVMs)
 	if p.inSums(next) {
 		p.replaceWork(before, next.work)
 	}
--- a/internal/peers/fan.go
+++ b/internal/peers/fan.go
@@ -10,11 +10,12 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// In a large data centre the VMs send their reports only to the relay and its standby, and the
-// relay sends every VM one digest of the work of all data centres. If every VM reported to every
-// other one, 60 VMs would exchange 47,000 datagrams a second, as computed from their report
-// interval. Measured with 99 VMs, 21 per data centre, over 28 s: the processes used 35.9 s of CPU
-// time with digests and 43.9 s without.
+// In a large data centre the VMs send their reports only to the relay and to its standby, the VM
+// that becomes relay next. The relay sends every VM of its data centre a digest: one report with
+// the total work of all data centres. If every VM reported to every other one, 60 VMs would
+// exchange 47,000 datagrams a second, as computed from their report interval. Measured with 99
+// VMs, 21 per data centre, over 28 s: the processes used 35.9 s of CPU time with digests and 43.9 s
+// without.
 
 const (
 	// digestMinVMs is the number of VMs in a data centre from which its relay sends digests. In
@@ -24,32 +25,34 @@
 	// digest of 10 KB every 80 ms.
 	digestMbpsPerVM = 2.0
 	// reportReceivers is the number of VMs that receive all reports: the relay and its standby.
-	// heartbeatSenders is the number of VMs that send heartbeats to the whole data centre, so
-	// that the VMs know a successor when the relay and its standby fail together.
-	reportReceivers  = 2
+	reportReceivers = 2
+	// heartbeatSenders is the number of VMs of highest rank that send a report to the whole data
+	// centre every heartbeatInterval. The third one becomes relay if the relay and its standby
+	// fail together, so the other VMs must know that it is live.
 	heartbeatSenders = reportReceivers + 1
 	// digestInterval is the time between reports, and the shortest time between digests, in a
 	// data centre whose relay sends digests.
 	digestInterval = 20 * time.Millisecond
-	// digestLinkShare is the share of the relay's link that digests may use.
+	// digestLinkShare is the fraction of the bandwidth of the relay's link that digests may use.
 	digestLinkShare = 0.5
 )
 
 // liveByRank returns the live VMs of this data centre, this one included, in the order in which
 // they become relay. The caller must hold p.mu.
-func (p *Peers) liveByRank() []listedMember {
-	live := []listedMember{{Member: p.self}}
+func (p *Peers) liveByRank() []knownMember {
+	live := []knownMember{{Member: p.self}}
 	for _, m := range p.members {
 		if m.VM != p.self.VM && m.DataCentre == p.self.DataCentre && p.isLive(m) {
 			live = append(live, m)
 		}
 	}
-	slices.SortFunc(live, func(a, b listedMember) int { return compareRank(a.Member, b.Member) })
+	slices.SortFunc(live, func(a, b knownMember) int { return compareRank(a.Member, b.Member) })
 	return live
 }
 
-// sendsDigests returns whether the relay of this data centre sends digests, judged by the members
-// that this VM knows.
+// sendsDigests returns whether the relay of this data centre sends digests, going by the members
+// that this VM knows: whether the data centre has digestMinVMs VMs and the relay has a fast enough
+// link.
 func (p *Peers) sendsDigests() bool {
 	n := p.localVMs()
 	if n < digestMinVMs {
@@ -60,8 +63,8 @@
 	return p.liveByRank()[0].LinkMbps >= digestMbpsPerVM*float64(n)
 }
 
-// receivesDigests returns whether a recent digest has arrived. A VM whose member list is
-// incomplete must use digests too, because nothing else tells it about the other VMs.
+// receivesDigests returns whether a recent digest has arrived. A VM whose member list is incomplete
+// may not expect digests, but must use them: the other VMs do not send it their reports.
 func (p *Peers) receivesDigests() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,8 +73,8 @@
 }
 
 // reportAddrs returns the destinations of this VM's report: the relay and its standby, or the
-// whole data centre where no digests are sent. If heartbeat is true, the heartbeatSenders VMs of
-// highest rank report to the whole data centre.
+// whole data centre if its relay sends no digests. If heartbeat is true and this VM is one of the
+// heartbeatSenders VMs of highest rank, the destination is the whole data centre too.
 func (p *Peers) reportAddrs(heartbeat bool) []netip.AddrPort {
 	if !p.sendsDigests() && !p.receivesDigests() {
 		return p.localAddrs()
@@ -80,7 +83,7 @@
 	defer p.mu.Unlock()
 	live := p.liveByRank()
 	if heartbeat && slices.ContainsFunc(live[:min(heartbeatSenders, len(live))],
-		func(m listedMember) bool { return m.VM == p.self.VM }) {
+		func(m knownMember) bool { return m.VM == p.self.VM }) {
 		return p.addrsLocked(p.self.DataCentre)
 	}
 	var to []netip.AddrPort
@@ -92,7 +95,7 @@
 	return to
 }
 
-// digest returns the total work of all VMs of all data centres. own is this VM's report.
+// digest returns a digest: the total work of all VMs of all data centres. own is this VM's report.
 func (p *Peers) digest(own *report) *report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,14 +116,15 @@
 	return out
 }
 
-// sentReport is a recent report of this VM. Digests include its work, so it is subtracted from
-// them.
+// sentReport is a recent report of this VM. subtractOwn subtracts its work from digests, which
+// include it.
 type sentReport struct {
 	at   time.Time
 	work map[string]place.Work
 }
 
-// recordSent keeps a report that is being sent. The caller must hold p.mu.
+// recordSent adds the work of a report that is being sent to sentReports. The caller must hold
+// p.mu.
 func (p *Peers) recordSent(work map[string]place.Work) {
 	p.sentReports = append(p.sentReports, sentReport{clock.Now(), work})
 	if len(p.sentReports) > maxSentReports {
@@ -128,12 +132,13 @@
 	}
 }
 
-// maxSentReports is the number of own reports kept. It exceeds the number of reports sent while a
-// digest is in transit.
+// maxSentReports is the maximum length of sentReports. It exceeds the number of reports that this
+// VM sends while a digest is in transit.
 const maxSentReports = 16
 
-// subtractOwn subtracts this VM's own work, as reported before the digest was made, from the work
-// of a digest. The caller must hold p.mu.
+// subtractOwn returns the work of a digest that has just arrived less this VM's own work in it.
+// That is the work of the last report sent before the digest was made, which is assumed to have
+// been digestInterval / 2 ago. The caller must hold p.mu.
 func (p *Peers) subtractOwn(work map[string]place.Work) map[string]place.Work {
 	var own map[string]place.Work
 	madeAt := clock.Now().Add(-digestInterval / 2)
@@ -150,8 +155,8 @@
 	return work
 }
 
-// selectSource selects the source of the other VMs' work: the relay's digests, or the reports and
-// summaries themselves.
+// selectSource selects the source of the other VMs' work, and recomputes p.sums if it changes: the
+// relay's digests if digests is true, otherwise the reports and summaries themselves.
 func (p *Peers) selectSource(digests bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,11 +174,12 @@
 	}
 }
 
-// inSums returns whether the work of s is included in the sums. A digest already contains all
-// reports and summaries, so only one of the two kinds is added. The caller must hold p.mu.
+// inSums returns whether the work of s is included in p.sums. A digest already contains the work of
+// all reports and summaries, so the sums contain either digests or the others. The caller must hold
+// p.mu.
 func (p *Peers) inSums(s *receivedReport) bool { return s.digest == p.usesDigests }
 
-// recordRelay records that the sender of a digest is alive. The caller must hold p.mu.
+// recordRelay records that the sender of a digest, the relay, is live. The caller must hold p.mu.
 func (p *Peers) recordRelay(r *report, addr netip.AddrPort) {
 	s := p.vmReports[r.From.VM]
 	if s == nil {
--- a/internal/peers/fan_test.go
+++ b/internal/peers/fan_test.go
@@ -14,14 +14,17 @@
 )
 
 const (
+	// largeVMs is the number of VMs in a data centre large enough for digests, and fastVMs the
+	// number of those whose link is fast enough to send them.
 	largeVMs = 34
 	fastVMs  = 3
 )
 
-// settleTime exceeds maxReportAge, the time for which a newly listed VM counts as live without a
+// settleTime exceeds maxReportAge, the time for which a newly added VM counts as live without a
 // report.
 const settleTime = 1300 * time.Millisecond
 
+// countSentinels returns the number of VMs that consider themselves sentinels.
 func countSentinels(vms []*vm) (n int) {
 	for _, v := range vms {
 		if v.peers.Sentinel() {
@@ -31,7 +34,9 @@
 	return n
 }
 
-// startLarge starts a large data centre, in which a few VMs have a fast link, and a small one.
+// startLarge starts a large data centre a, in which a few VMs have a fast link, and a small data
+// centre b, whose VMs have ordered engine e9 to change its stage. It waits until each VM knows all
+// others.
 func startLarge(t *testing.T, table store.Table) (large, small []*vm) {
 	t.Helper()
 	for i := range largeVMs {
@@ -56,9 +61,9 @@
 	return large, small
 }
 
-// The relay of a large data centre sends digests of all VMs' work, and each VM subtracts its own
-// part.
-func TestRelayOfALargeDataCentreFansOut(t *testing.T) {
+// The relay of a large data centre sends digests with the work of all VMs. Each VM subtracts its
+// own work and receives each use of another VM once.
+func TestRelayOfALargeDataCentreSendsDigests(t *testing.T) {
 	is := is.New(t)
 	large, small := startLarge(t, store.NewMemory())
 	all := append(large, small...)
@@ -122,19 +127,19 @@
 	is.True(large[2].peers.Sentinel())
 }
 
-// truncatedTable lists only the first records.
+// truncatedTable is a table whose List returns only the first limit records.
 type truncatedTable struct {
 	store.Table
-	most int
+	limit int
 }
 
 func (s truncatedTable) List(ctx context.Context, prefix string) ([]store.Record, error) {
 	records, err := s.Table.List(ctx, prefix)
-	return records[:min(s.most, len(records))], err
+	return records[:min(s.limit, len(records))], err
 }
 
-// A VM that has listed too few members to expect digests still uses those that arrive: the relay
-// is its only source for the other VMs' work.
+// A VM that knows too few members to expect digests still uses those that arrive: the relay is its
+// only source for the other VMs' work.
 func TestVMWithIncompleteMemberListUsesDigests(t *testing.T) {
 	table := store.NewMemory()
 	large, small := startLarge(t, table)
@@ -143,7 +148,7 @@
 	}
 	late := startIn(t, "a", "a99", 20, truncatedTable{table, 10}, nil)
 	defer late.stop(t)
-	busy := large[largeVMs-1] // not among the members that late lists
+	busy := large[largeVMs-1] // not among the members that late knows
 	eventually(t, "the others' work is known", func() bool {
 		busy.placer.set(map[string]place.Work{"e1": {Running: 4}})
 		return late.peers.Work("e1").Running == 4
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -17,62 +17,64 @@
 	// KeyPrefix is the prefix of the keys of member records in the store.
 	KeyPrefix = "vm/"
 	// registerSpread is the time over which the VMs of a group that starts for the first time
-	// write their records. The store executes about 150 writes a second, one after another, and
-	// rejects writes that would wait for more than a second: 300 VMs writing at once would each
-	// be rejected several times.
+	// write their records, each at a random moment. The store executes about 150 writes a second,
+	// one after another, and rejects writes that would wait for more than a second: 300 VMs
+	// writing at once would each be rejected several times.
 	registerSpread = 2 * time.Second
-	// Members are listed soon after the start, when other VMs start too, and rarely after that,
-	// because a new VM announces itself to all members that it has listed.
-	firstListDelay = 3 * time.Second
-	listInterval   = 30 * time.Second
-	// listIntervalPerVM scales the interval with the group: all VMs together list about once in
-	// this time.
-	listIntervalPerVM = time.Second
+	// firstReadDelay is the time after registration at which a VM reads the member records again,
+	// because other VMs may have started at the same time. memberReadInterval is the minimum time
+	// between later reads. It is long, because a new VM announces itself to all members.
+	firstReadDelay     = 3 * time.Second
+	memberReadInterval = 30 * time.Second
+	// memberReadIntervalPerVM times the number of VMs in the group is the time between later reads
+	// in a large group: all VMs together read the records about once in memberReadIntervalPerVM.
+	memberReadIntervalPerVM = time.Second
 )
 
-// registerRetry spreads retries over time. Without it, a store that rejects calls because of
-// their number would receive just as many again.
+// registerRetry is the policy for retries of calls to the store. It spreads them over time: a store
+// that rejects calls because they are too many would otherwise receive as many again.
 var registerRetry = kernel.RetryPolicy{InitialWait: 300 * time.Millisecond, MaxWait: 3 * time.Second,
 	Timeout: 2 * time.Second}
 
-// registerLoop registers this VM in the store and then lists the members periodically.
+// registerLoop registers this VM in the store, announces it to the other VMs, and then reads the
+// member records periodically until ctx ends.
 func (p *Peers) registerLoop(ctx context.Context) {
 	p.join(ctx)
 	close(p.joined)
 	p.sendHello()
-	kernel.Sleep(ctx, firstListDelay)
+	kernel.Sleep(ctx, firstReadDelay)
 	if !p.ForwardsChanges() {
-		p.relist(ctx)
+		p.refreshMembers(ctx)
 	}
 	for ctx.Err() == nil {
-		kernel.Sleep(ctx, max(listInterval, time.Duration(p.Size())*listIntervalPerVM))
-		p.relist(ctx)
+		kernel.Sleep(ctx, max(memberReadInterval, time.Duration(p.Size())*memberReadIntervalPerVM))
+		p.refreshMembers(ctx)
 	}
 }
 
-// join writes this VM's record unless it already exists, and lists the members after that: if two
-// VMs register at the same time, at least one of them sees the other.
+// join writes this VM's record unless it already exists, and reads the member records after that:
+// if two VMs register at the same time, at least one of them sees the other.
 func (p *Peers) join(ctx context.Context) {
 	if p.firstStart {
 		kernel.Sleep(ctx, rand.N(registerSpread))
 	} else {
-		kernel.RetryUntilDone(ctx, registerRetry, p.listMembers)
+		kernel.RetryUntilDone(ctx, registerRetry, p.readMembers)
 		if p.registered() {
 			return
 		}
 	}
 	kernel.RetryUntilDone(ctx, registerRetry, p.writeRecord)
-	kernel.RetryUntilDone(ctx, registerRetry, p.listMembers)
+	kernel.RetryUntilDone(ctx, registerRetry, p.readMembers)
 }
 
-// relist lists the members and announces this VM to them.
-func (p *Peers) relist(ctx context.Context) {
-	kernel.RetryUntilDone(ctx, registerRetry, p.listMembers)
+// refreshMembers reads the member records and announces this VM to all members.
+func (p *Peers) refreshMembers(ctx context.Context) {
+	kernel.RetryUntilDone(ctx, registerRetry, p.readMembers)
 	p.sendHello()
 }
 
-// registered returns whether the store lists this VM's record unchanged. A restarted process
-// finds the record of its predecessor.
+// registered returns whether the store holds this VM's current record, as of the last read. A
+// restarted process finds the record that the previous process of the VM wrote.
 func (p *Peers) registered() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,8 +92,8 @@
 	return err
 }
 
-// listMembers reads the member records of all VMs. It logs and skips invalid ones.
-func (p *Peers) listMembers(ctx context.Context) error {
+// readMembers reads the member records of all VMs. It logs and skips invalid ones.
+func (p *Peers) readMembers(ctx context.Context) error {
 	records, err := p.table.List(ctx, KeyPrefix)
 	if err != nil {
 		return err
@@ -113,8 +115,8 @@
 	return nil
 }
 
-// sendHello announces this VM to all listed VMs. Reports do not reach all of them, and they must
-// count this VM at once for their shares of common limits.
+// sendHello announces this VM to all known VMs. They must count it at once when they compute their
+// shares of common limits, and its reports do not reach all of them.
 func (p *Peers) sendHello() {
 	p.mu.Lock()
 	var to []netip.AddrPort
@@ -137,7 +139,7 @@
 	p.addMember(m, addr)
 }
 
-// addMember adds or updates a member.
+// addMember adds a member, or updates it if the VM is known already.
 func (p *Peers) addMember(m Member, addr netip.AddrPort) {
 	p.mu.Lock()
 	known, ok := p.members[m.VM]
@@ -145,7 +147,7 @@
 	if known.addr != addr {
 		since = clock.Now()
 	}
-	p.members[m.VM] = listedMember{Member: m, addr: addr, since: since}
+	p.members[m.VM] = knownMember{Member: m, addr: addr, since: since}
 	p.mu.Unlock()
 	if !ok || known.addr != addr {
 		p.log.Info(telemetry.EventPeerState, telemetry.F("peer", m.VM), telemetry.F("address", m.Address))
--- a/internal/peers/news.go
+++ b/internal/peers/news.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// changeGrace is how long compareVersions waits for a change that another VM has reported:
-	// this VM's own call or a sentinel's datagram may be about to deliver it.
+	// changeGrace is how long compareVersions waits for a row version that another VM has
+	// reported: this VM's own call or a sentinel's datagram may be about to deliver it.
 	changeGrace = 600 * time.Millisecond
-	// forwardMinVMs is the group size from which sentinels forward the changes that they read,
-	// and the other VMs do not poll the store themselves. In smaller groups the calls saved are
-	// worth less than reading the store directly. On a quiet day 19 VMs made 803 calls when each
-	// watched the store itself, and 476 with forwarding.
+	// forwardMinVMs is the minimum group size in which sentinels forward the changes that they
+	// read, so that the other VMs do not poll the store for them. In smaller groups, the calls
+	// saved are worth less than the up-to-date data that each VM gets by reading the store itself.
+	// On a quiet day 19 VMs made 803 calls when each watched the store itself, and 476 with
+	// forwarding.
 	forwardMinVMs = 12
 )
 
@@ -34,15 +35,16 @@
 	}
 }
 
-// handleDelta hands forwarded changes to their table.
+// handleDelta passes forwarded changes to the followed table that they belong to.
 func (p *Peers) handleDelta(n *tableDelta) {
 	if n.TableIndex >= 0 && n.TableIndex < len(p.followed) {
 		p.followed[n.TableIndex].Offer(n.decode())
 	}
 }
 
-// compareVersions passes the versions in a report to the followed tables. If another VM has a
-// newer row that does not arrive here within changeGrace, the table is told to read it.
+// compareVersions passes the versions in a report to the followed tables. If the report states a
+// newer version than this VM's copy of a table has, and the copy does not reach it within
+// changeGrace, compareVersions calls NotifyNewer on the table.
 func (p *Peers) compareVersions(r *report) {
 	newest, asOf := r.Newest, r.readTimes(clock.Now())
 	for i, f := range p.followed {
@@ -62,8 +64,9 @@
 	}
 }
 
-// startGrace starts the grace period of a followed table. It returns false while one is running,
-// as equal reports arrive many times a second.
+// startGrace starts the grace period of the followed table with index i, for which compareVersions
+// waits for a newer version. It returns false if one is running already, because many reports a
+// second state the same version.
 func (p *Peers) startGrace(i int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +77,7 @@
 	return true
 }
 
-// endGrace ends the grace period of a followed table.
+// endGrace ends the grace period of the followed table with index i.
 func (p *Peers) endGrace(i int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,11 +1,19 @@
 // Package peers exchanges UDP datagrams between VMs. They carry each VM's current load on every
 // target and the newest data that it has read from the store.
 //
-// A VM sends its reports to the other VMs of its data centre. One VM of each data centre, the
-// relay, sends the data centre's total as a summary to the relays of the other data centres and
-// forwards the summaries that it receives. This keeps traffic between data centres small, and
-// what a VM receives grows only with the size of its own data centre. Reports are best effort: a
-// lost report is replaced by the next one, and an old report is ignored.
+// The VMs that exchange datagrams form a group. Its members are the VMs that have a record in the
+// store. A VM sends its reports to the other VMs of its data centre. One VM of each data centre,
+// the relay, sends the data centre's total as a summary to the relays of the other data centres
+// and forwards the summaries that it receives. This keeps traffic between data centres small, and
+// what a VM receives grows only with the size of its own data centre. In a large data centre the
+// relay also sends digests, see digestMinVMs. Reports are best effort: a lost report is replaced by
+// the next one, and an old report is ignored.
+//
+// A report also carries uses (place.Use). A use is one request that the VM has sent to a target, or
+// one failure of a target.
+//
+// A few VMs, the sentinels, read changes from the store promptly and, in a large group, forward
+// them to the others.
 package peers
 
 import (
@@ -35,7 +43,7 @@
 	minReportInterval = 10 * time.Millisecond
 	// heartbeatInterval is the time between reports whose content does not change.
 	heartbeatInterval = 480 * time.Millisecond
-	// maxReportAge is the age from which a report is ignored.
+	// maxReportAge is the maximum age of a report that is used, counted from its arrival.
 	maxReportAge = 1200 * time.Millisecond
 )
 
@@ -48,10 +56,13 @@
 	LinkMbps float64 `json:"link_mbps,omitempty"`
 }
 
-// Placer provides this VM's own load and takes in the uses that other VMs report.
+// Placer is the part of place.Placer whose state is exchanged.
 type Placer interface {
+	// Own returns this VM's own work at each target.
 	Own() map[string]place.Work
+	// TakeUses returns this VM's uses since its last call.
 	TakeUses() []place.Use
+	// Observe records uses that other VMs have reported.
 	Observe(uses []place.Use, now time.Time)
 }
 
@@ -62,29 +73,34 @@
 	// Newest returns the highest row version that the copy has applied.
 	Newest() uint64
 	// ReadAt returns a time at which the copy held all rows of the store, according to the
-	// store's answers to this VM. It must be called before Newest, so that the version returned
-	// by Newest covers that time.
+	// store's responses to this VM. It must be called before Newest, so that the version that
+	// Newest returns is at least as new as the time.
 	ReadAt() time.Time
-	// ReadStoreTime returns ReadAt on the store's clock; 0 means unknown.
+	// ReadStoreTime returns the store's clock reading at the time that ReadAt returns; 0 means
+	// unknown.
 	ReadStoreTime() time.Duration
-	// ObservePeer records that another VM's copy, whose highest row version is version, held all rows
-	// of the store at asOf, and when the store's clock read storeTime.
+	// ObservePeer records that another VM's copy, whose highest row version is version, held all
+	// rows of the store at asOf, when the store's clock read storeTime; 0 means unknown.
 	ObservePeer(version uint64, asOf time.Time, storeTime time.Duration)
-	// NotifyNewer reports that other VMs have read a row of the given version.
+	// NotifyNewer tells the copy that other VMs have read a row of the given version, so that it
+	// reads the row too.
 	NotifyNewer(version uint64)
-	// Offer hands over changes that another VM has read.
+	// Offer passes changes that another VM has read to the copy.
 	Offer(store.Delta)
 }
 
-// Orders returns the stage changes that this VM has ordered and that are still open, by engine.
+// Orders keeps the stage changes of engines that this VM has ordered.
 type Orders interface {
+	// Open returns the new stage of each engine whose change is not finished.
 	Open() map[string]fleet.Stage
 }
 
 // Peers exchanges reports with the other VMs. It is safe for concurrent use.
 type Peers struct {
 	kernel.Background
-	self        Member
+	self Member
+	// incarnation identifies this process among all processes of the VM: it is the wall-clock time
+	// of its start in ns.
 	incarnation int64
 	table       store.Table
 	log         *telemetry.Logger
@@ -93,47 +109,52 @@
 	orders      Orders
 	suspects    Suspects
 	usage       Usage
-	dutyFence   func() uint64
-	conn        *net.UDPConn
-	firstStart  bool
-	age         atomic.Int64
+	// dutyFence returns this VM's fencing number while it holds the duties, and 0 otherwise.
+	dutyFence func() uint64
+	conn      *net.UDPConn
+	// firstStart is true if the whole group starts for the first time, see SetFirstStart.
+	firstStart bool
+	// age is the result of updateAge, in ns.
+	age atomic.Int64
 	// nextResend is when suspects are sent again; only sendLoop uses it.
 	nextResend time.Time
-	// joined is closed once the other members have been listed.
+	// joined is closed once this VM is registered and has read the member records.
 	joined chan struct{}
 
-	mu      sync.Mutex
-	members map[string]listedMember
-	// maxListed is the highest number of known VMs that any report has stated.
-	maxListed int
+	// mu guards the fields below.
+	mu sync.Mutex
+	// members holds the known VMs by name. It may include this VM.
+	members map[string]knownMember
+	// maxKnownVMs is the highest KnownVMs of any report.
+	maxKnownVMs int
 	// vmReports holds the last report of each VM of this data centre, and dataCentreReports the
 	// last summary of each other data centre. The entry of this data centre is the relay's
 	// digest.
 	vmReports         map[string]*receivedReport
 	dataCentreReports map[string]*receivedReport
-	// sums is the total work of all other VMs at each target. It is kept up to date on every
-	// report because it is read for each target and request.
+	// sums is the total work of all other VMs at each target. Each report that arrives updates it,
+	// because it is read for every target on every request.
 	sums map[string]place.Work
-	// pendingUses are the uses that the relay has yet to send to other data centres, and
-	// digestUses those for its next digest.
+	// pendingUses are the uses to send in the next summary, and digestUses those to send in the
+	// next digest.
 	pendingUses []use
 	digestUses  []use
 	// usesDigests is true while the other VMs' work is taken from the relay's digests, and
 	// sentReports holds the latest reports of this VM.
 	usesDigests bool
 	sentReports []sentReport
-	// inGrace marks the followed tables for which compareVersions waits for a newer row to
-	// arrive, by their index. lastBroadcast is when all VMs of a data centre were last sent a
-	// summary.
-	inGrace       map[int]bool
+	// inGrace marks the followed tables, by index, for which compareVersions waits for a newer
+	// version to arrive.
+	inGrace map[int]bool
+	// lastBroadcast is when a summary was last sent to all VMs of a data centre, by data centre.
 	lastBroadcast map[string]time.Time
 }
 
-// listedMember is a Member with its parsed address.
-type listedMember struct {
+// knownMember is a Member with its parsed address.
+type knownMember struct {
 	Member
 	addr netip.AddrPort
-	// since is when the member was first seen at this address.
+	// since is when the member was added with this address.
 	since time.Time
 }
 
@@ -144,28 +165,33 @@
 	incarnation int64
 	number      uint64
 	receivedAt  time.Time
-	// digest says that the report is a digest: it covers all VMs, this one included.
+	// digest is true if the report is a digest: it covers all VMs, this one included.
 	digest bool
 	// gap is the moving average of the time between reports of this sender.
-	gap       time.Duration
-	work      map[string]place.Work
-	newest    []uint64
-	readTimes []time.Time
-	// storeTimesMS is readTimes on the store's clock, in ms.
+	gap time.Duration
+	// work is nil once the report has expired. For a digest, this VM's own work is subtracted.
+	work map[string]place.Work
+	// newest, readTimes and storeTimesMS have an element for each followed table: the highest row
+	// version of the sender's copy, a time at which the copy held all rows of the store, and the
+	// store's clock reading at that time in ms.
+	newest       []uint64
+	readTimes    []time.Time
 	storeTimesMS []uint64
-	// holdsDuties says that the sender, or a VM of its data centre, holds the duties.
+	// holdsDuties is true if the sender, or a VM of its data centre, holds the duties.
 	holdsDuties bool
-	changing    map[string]fleet.Stage
+	// changing holds the engines that have been ordered to change to a stage.
+	changing map[string]fleet.Stage
 }
 
-// isFresh returns whether the report is recent enough to be used.
+// isFresh returns whether the report arrived at most maxReportAge ago.
 func (s *receivedReport) isFresh() bool { return clock.Since(s.receivedAt) <= maxReportAge }
 
-// New returns a Peers that knows only this VM.
+// New returns a Peers that knows only this VM. incarnation is the wall-clock time in ns at which
+// this process started.
 func New(self Member, incarnation int64, table store.Table, log *telemetry.Logger) *Peers {
 	return &Peers{
 		self: self, incarnation: incarnation, table: table, log: log,
-		members:   make(map[string]listedMember),
+		members:   make(map[string]knownMember),
 		vmReports: make(map[string]*receivedReport), dataCentreReports: make(map[string]*receivedReport),
 		sums:    make(map[string]place.Work),
 		inGrace: make(map[int]bool), lastBroadcast: make(map[string]time.Time),
@@ -173,8 +199,9 @@
 	}
 }
 
-// Joined returns a channel that is closed once this VM is registered in the store and has listed
-// the other members. Before that the size of the group and the roles of this VM are not known.
+// Joined returns a channel that is closed once this VM is registered in the store and has read the
+// member records. Before that the size of the group, and whether this VM is a relay or a sentinel,
+// are not known.
 func (p *Peers) Joined() <-chan struct{} { return p.joined }
 
 // SetFirstStart states that the whole group starts for the first time, so that the store cannot
@@ -184,8 +211,8 @@
 // SetPlacer sets the source of this VM's work and uses. It must be called before Start.
 func (p *Peers) SetPlacer(placer Placer) { p.placer = placer }
 
-// Follow sets the tables whose versions are reported. It must be called before Start, with the
-// same tables in the same order on every VM.
+// Follow sets the followed tables, whose versions are reported and whose changes are forwarded. It
+// must be called before Start, with the same tables in the same order on every VM.
 func (p *Peers) Follow(tables ...FollowedTable) { p.followed = tables }
 
 // SetOrders sets the source of the open stage changes. It must be called before Start.
@@ -231,16 +258,16 @@
 }
 
 // Size returns the number of VMs in the group, this one included: the highest number that this VM
-// or any report states. It does not fall when a VM cannot be reached, so that the VMs' shares of
-// common limits never add up to more than the limit.
+// knows or that any report has stated. It does not fall when a VM cannot be reached, so that the
+// VMs' shares of common limits never add up to more than the limit.
 func (p *Peers) Size() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(p.knownVMs(), p.maxListed)
+	return max(p.knownVMs(), p.maxKnownVMs)
 }
 
-// knownVMs returns the number of VMs that this VM has listed, itself included. The caller must
-// hold p.mu.
+// knownVMs returns the number of VMs that this VM knows, itself included. The caller must hold
+// p.mu.
 func (p *Peers) knownVMs() int {
 	n := len(p.members)
 	if _, ok := p.members[p.self.VM]; !ok {
@@ -249,7 +276,7 @@
 	return n
 }
 
-// localVMs returns the number of listed VMs of this data centre, this one included.
+// localVMs returns the number of known VMs of this data centre, this one included.
 func (p *Peers) localVMs() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -295,16 +322,16 @@
 	return max(minReportInterval, time.Duration(p.localVMs())*reportIntervalPerVM)
 }
 
-// Work implements place.PeerWork. It returns the total work that the other VMs last reported for a
-// target.
+// Work implements place.PeerWork. It returns the total work at a target that the other VMs last
+// reported.
 func (p *Peers) Work(target string) place.Work {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sums[target]
 }
 
-// replaceWork updates the sums from the previous work of a report's sender to its current work.
-// The caller must hold p.mu.
+// replaceWork subtracts before, the previous work of a report's sender, from p.sums and adds now,
+// its current work. The caller must hold p.mu.
 func (p *Peers) replaceWork(before, now map[string]place.Work) {
 	for target, w := range before {
 		left := p.sums[target].Minus(w)
@@ -319,7 +346,7 @@
 	}
 }
 
-// expire removes the work of outdated reports from the sums.
+// expire removes the work of reports that are no longer fresh from p.sums.
 func (p *Peers) expire() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -17,7 +17,7 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// placer holds the work and uses of one VM.
+// placer is a fake Placer that holds the work and uses of one VM.
 type placer struct {
 	mu       sync.Mutex
 	own      map[string]place.Work
@@ -62,16 +62,17 @@
 
 func (o orders) Open() map[string]fleet.Stage { return o }
 
-// followed is a fake FollowedTable.
+// followed is a fake FollowedTable. newerCalls counts the calls of NotifyNewer, and offers those of
+// Offer.
 type followed struct {
 	newest     atomic.Uint64
 	newerCalls atomic.Int64
 	offers     atomic.Int64
-	// readTimes is reported to other VMs, and heard holds the latest time reported by them for each
+	mu         sync.Mutex
+	// readAt is what ReadAt returns. observed holds the latest asOf of the calls of ObservePeer, by
 	// version.
-	mu     sync.Mutex
-	readAt time.Time
-	heard  map[uint64]time.Time
+	readAt   time.Time
+	observed map[uint64]time.Time
 }
 
 func (f *followed) ReadAt() time.Time {
@@ -91,19 +92,20 @@
 func (f *followed) ObservePeer(version uint64, asOf time.Time, _ time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.heard == nil {
-		f.heard = make(map[uint64]time.Time)
+	if f.observed == nil {
+		f.observed = make(map[uint64]time.Time)
 	}
-	if asOf.After(f.heard[version]) {
-		f.heard[version] = asOf
+	if asOf.After(f.observed[version]) {
+		f.observed[version] = asOf
 	}
 }
 
-// confirmedAt returns the latest time at which another VM reported version as the newest.
+// confirmedAt returns the latest time at which the store confirmed to another VM that version was
+// the newest, or the zero time if no report has stated that.
 func (f *followed) confirmedAt(version uint64) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.heard[version]
+	return f.observed[version]
 }
 
 func (f *followed) Name() string       { return "t" }
@@ -117,6 +119,7 @@
 	}
 }
 
+// vm is a running Peers with the fakes that it uses.
 type vm struct {
 	peers    *peers.Peers
 	placer   *placer
@@ -126,6 +129,7 @@
 // ports allocates ports for all tests of the package.
 var ports = proc.NewPorts()
 
+// address returns an unused loopback address.
 func address(t *testing.T) string {
 	t.Helper()
 	addrs, err := ports.Take(1)
@@ -135,11 +139,13 @@
 	return string(addrs[0])
 }
 
+// start starts a VM whose data centre has an empty name.
 func start(t *testing.T, name, addr string, incarnation int64, table store.Table, o orders) *vm {
 	t.Helper()
 	return startMember(t, peers.Member{VM: name, Address: addr}, incarnation, table, o)
 }
 
+// startMember starts a VM that has ordered the stage changes o.
 func startMember(t *testing.T, m peers.Member, incarnation int64, table store.Table, o orders) *vm {
 	t.Helper()
 	v := &vm{placer: &placer{}, followed: &followed{}}
@@ -160,6 +166,7 @@
 	}
 }
 
+// eventually fails the test with the text of condition unless ok returns true within 10 s.
 func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -170,7 +177,8 @@
 	t.Fatal(condition)
 }
 
-func TestVMsHearOfEachOther(t *testing.T) {
+// The VMs of a data centre receive each other's work, uses and open stage changes.
+func TestReportsReachOtherVMs(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	a := start(t, "a", address(t), 1, table, orders{"e1": fleet.Prefill})
@@ -192,7 +200,8 @@
 	is.Equal(stage, fleet.Prefill)
 }
 
-func TestWorkOfAVMThatIsGoneDoesNotCount(t *testing.T) {
+// The work of a VM that has stopped expires, but the VM still counts towards the group's size.
+func TestWorkOfAStoppedVMExpires(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	a := start(t, "a", address(t), 1, table, nil)
@@ -207,7 +216,7 @@
 
 // Reports of a restarted VM are accepted at once, even if its wall clock, and thus its
 // incarnation, has gone back.
-func TestRestartedVMIsHeard(t *testing.T) {
+func TestReportsOfARestartedVMAreAccepted(t *testing.T) {
 	table := store.NewMemory()
 	addr := address(t)
 	a := start(t, "a", address(t), 1, table, nil)
@@ -223,8 +232,8 @@
 		func() bool { return a.peers.Work("e1").Running == 2 })
 }
 
-// When a peer reports a newer version that does not arrive, the table is told to read it, but not
-// for every report.
+// When another VM reports a newer version that does not arrive here, NotifyNewer is called, but not
+// for every report, and no longer once the version has arrived.
 func TestNewerVersionTriggersPoll(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
@@ -246,6 +255,7 @@
 	is.Equal(a.followed.newerCalls.Load(), n)
 }
 
+// In a single data centre of six VMs, sentinelCount VMs are sentinels.
 func TestFewVMsAreSentinels(t *testing.T) {
 	table := store.NewMemory()
 	var vms []*vm
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -13,35 +13,38 @@
 )
 
 const (
-	// maxPendingUses limits the uses queued for other data centres. It covers about half
-	// a second of uses at fully grown installations.
+	// maxPendingUses is the length from which no more uses are added to the queues for the next
+	// summary and digest. It covers about half a second of uses at fully grown installations.
 	maxPendingUses = 512
 	// sentinelCount is the intended number of sentinels in all data centres together.
 	sentinelCount = 4
-	// summaryLinkShare is the share of a relay's link that summaries may use. maxSummaryPause is
-	// the longest time between summaries, well below maxReportAge.
+	// summaryLinkShare is the fraction of the bandwidth of a relay's link that forwarding the
+	// summaries of one data centre may use.
 	summaryLinkShare = 0.2
-	maxSummaryPause  = 400 * time.Millisecond
+	// maxSummaryPause is the maximum time between summaries that the limit on bandwidth may cause.
+	// It is well below maxReportAge, so that summaries do not expire.
+	maxSummaryPause = 400 * time.Millisecond
 	// twoSentinelsMinVMs is the number of VMs from which a data centre has at least two
 	// sentinels, so that one remains if the other fails.
 	twoSentinelsMinVMs = 5
 )
 
-// compareRank orders the VMs of a data centre by rank: faster links first, then by name.
+// compareRank orders the VMs of a data centre by rank: by bandwidth, fastest first, then by name.
 func compareRank(a, b Member) int {
 	return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(a.VM, b.VM))
 }
 
-// rank returns this VM's index among the live VMs of its data centre. The caller must hold p.mu.
+// rank returns this VM's index among the live VMs of its data centre, ordered by compareRank. The
+// VM with rank 0 is the relay. The caller must hold p.mu.
 func (p *Peers) rank() int {
-	return slices.IndexFunc(p.liveByRank(), func(m listedMember) bool { return m.VM == p.self.VM })
+	return slices.IndexFunc(p.liveByRank(), func(m knownMember) bool { return m.VM == p.self.VM })
 }
 
-// isLive returns whether a VM of this data centre is considered live: a recent report has
-// arrived, or the VM was listed so recently that none need have arrived yet. Without the second
-// rule each VM of a starting group would consider itself relay and sentinel and call the store on
+// isLive returns whether a VM of this data centre is considered live: its last report is fresh, or
+// none has arrived yet but the VM was added at most maxReportAge ago. Without the second rule each
+// VM of a starting group would consider itself relay and sentinel, and would call the store on
 // behalf of all. The caller must hold p.mu.
-func (p *Peers) isLive(m listedMember) bool {
+func (p *Peers) isLive(m knownMember) bool {
 	if s := p.vmReports[m.VM]; s != nil {
 		return s.isFresh()
 	}
@@ -63,15 +66,17 @@
 	return addr, addr.IsValid()
 }
 
-// Sentinel returns whether this VM is one of the few that long-poll the store with a short timeout,
-// in a large group on behalf of the other VMs.
+// Sentinel returns whether this VM is one of the few that long-poll the store with a short
+// timeout. In a large group they do so on behalf of the other VMs.
 func (p *Peers) Sentinel() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rank() < p.localSentinels()
 }
 
-// localSentinels returns the number of sentinels in this data centre. The caller must hold p.mu.
+// localSentinels returns the number of sentinels in this data centre: an equal share of
+// sentinelCount, but at least one, or two in a data centre of twoSentinelsMinVMs VMs. The caller
+// must hold p.mu.
 func (p *Peers) localSentinels() int {
 	dataCentres := map[string]bool{p.self.DataCentre: true}
 	local := 1
@@ -88,8 +93,8 @@
 	return n
 }
 
-// queueUses adds uses to the next digest and, if local is true, to the next summary. The caller
-// must hold p.mu.
+// queueUses adds uses to the next digest and, if local is true, to the next summary. local means
+// that they are uses of VMs of this data centre. The caller must hold p.mu.
 func (p *Peers) queueUses(uses []use, local bool) {
 	if local && len(p.pendingUses) < maxPendingUses {
 		p.pendingUses = append(p.pendingUses, uses...)
@@ -99,8 +104,9 @@
 	}
 }
 
-// queueOwnUses queues this VM's uses for the next summary and digest if this VM is the relay.
-// Otherwise it drops all queued uses, because the relay has received them too.
+// queueOwnUses queues this VM's uses for the next summary and digest if relay is true, that is, if
+// this VM is the relay. Otherwise it drops all queued uses, because the relay has received them
+// too.
 func (p *Peers) queueOwnUses(uses []use, relay bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,13 +117,15 @@
 	p.queueUses(uses, true)
 }
 
-// summaryPause returns how long to wait after sending summary r. The relay of the other data
-// centre forwards it to each of its VMs, and summaries of a large fleet are large, so their share
-// of its link is limited.
+// summaryPause returns how long to wait after sending summary r. The relay of another data centre
+// forwards the summary to each VM of that data centre, which takes up much of the relay's link if
+// the fleet and thus the summary is large. summaryPause limits that to summaryLinkShare, assuming
+// that the other data centre has as many VMs, and its relay as fast a link, as this one.
 func (p *Peers) summaryPause(r *report) time.Duration { return p.linkPause(r, summaryLinkShare) }
 
-// linkPause returns the time that sending r to all VMs of this data centre takes on the given
-// share of this VM's link, at most maxSummaryPause. It is 0 if the bandwidth is unknown.
+// linkPause returns the time that sending r to all VMs of this data centre takes with the given
+// fraction of the bandwidth of this VM's link, at most maxSummaryPause. It is 0 if the bandwidth is
+// unknown.
 func (p *Peers) linkPause(r *report, share float64) time.Duration {
 	if p.self.LinkMbps <= 0 {
 		return 0
@@ -127,7 +135,7 @@
 	return min(time.Duration(us*float64(time.Microsecond)), maxSummaryPause)
 }
 
-// summary returns the totals of this data centre. own is this VM's report.
+// summary returns a summary: the totals of this data centre. own is this VM's report.
 func (p *Peers) summary(own *report) *report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,13 +145,13 @@
 	return r
 }
 
-// aggregate returns the totals of this VM's report and the recent ones among others. The caller
-// must hold p.mu.
+// aggregate returns a report with the totals of own, this VM's report, and the fresh ones among
+// others. The caller must hold p.mu.
 func (p *Peers) aggregate(own *report, others []*receivedReport) *report {
 	work := decodeWork(own.Work)
 	newest := append([]uint64(nil), own.Newest...)
-	// Each copy held all rows of the store at its read time, and the maximum of the newest
-	// versions is at least that copy's. The latest read time is therefore valid for the maximum.
+	// At its read time each copy held all rows of the store, and the highest version of all copies
+	// is at least that copy's. The latest read time is therefore valid for the highest version.
 	now := clock.Now()
 	holdsDuties := own.HoldsDuties
 	readTimes, storeTimes := own.readTimes(now), slices.Clone(own.StoreTimesMS)
@@ -184,8 +192,8 @@
 }
 
 // sendSummary sends a summary to the relay of each other data centre, or to all VMs of one whose
-// relay has not been heard recently. It returns false if there are other data centres and none
-// was sent to.
+// relay is not known from a fresh report. It returns false if there are other data centres but the
+// summary was sent to none of them.
 func (p *Peers) sendSummary(r *report) bool {
 	d, relays := datagram{Report: r}, p.remoteRelays()
 	sent := len(relays) == 0
@@ -203,8 +211,8 @@
 	return sent
 }
 
-// requeueUses queues uses of a summary that was not sent for the next one. Uses are sent only
-// once and must not be lost before another data centre's relay has been heard.
+// requeueUses queues the uses of a summary that was not sent for the next summary. Each use is sent
+// only once, so it must not be lost while no relay of another data centre is known.
 func (p *Peers) requeueUses(uses []use) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -214,7 +222,7 @@
 }
 
 // remoteRelays returns the last report of the relay of each other data centre that has members,
-// or nil where none is recent.
+// or nil if it is not fresh.
 func (p *Peers) remoteRelays() map[string]*receivedReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -22,7 +22,9 @@
 		LinkMbps: link}, 1, table, o)
 }
 
-func TestDataCentresHearOfEachOther(t *testing.T) {
+// The VMs of a data centre learn the work, uses and open stage changes of another data centre
+// through the relays' summaries.
+func TestSummariesReachOtherDataCentres(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	a1 := startIn(t, "a", "a1", 10, table, orders{"e1": fleet.Prefill})
@@ -55,7 +57,7 @@
 	is.Equal(stage, fleet.Prefill)
 }
 
-// When the relays of two data centres fail, summaries arrive through their successors.
+// When the relays of two data centres fail at the same time, their successors exchange summaries.
 func TestLostRelayIsReplaced(t *testing.T) {
 	table := store.NewMemory()
 	a1 := startIn(t, "a", "a1", 200, table, nil)
@@ -73,13 +75,13 @@
 	eventually(t, "b2 knows a2's new work", func() bool { return b2.peers.Work("e1").Running == 9 })
 }
 
-// An added VM announces itself, so that other data centres count it before they list the members
-// again.
+// An added VM announces itself, so that VMs of other data centres count it before they read the
+// member records again.
 func TestAddedVMIsCountedElsewhere(t *testing.T) {
 	table := store.NewMemory()
 	a := startIn(t, "a", "a", 10, table, nil)
 	defer a.stop(t)
-	eventually(t, "a is listed", func() bool { return a.peers.Size() == 1 })
+	eventually(t, "a counts itself", func() bool { return a.peers.Size() == 1 })
 	b := startIn(t, "b", "b", 10, table, nil)
 	defer b.stop(t)
 	began := time.Now()
@@ -104,6 +106,8 @@
 	}
 }
 
+// In a large group, a change that a sentinel publishes reaches the other VMs of its data centre
+// once. A VM that is not a sentinel publishes nothing.
 func TestSentinelsOfALargeGroupForwardChanges(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
@@ -115,7 +119,7 @@
 		defer v.stop(t)
 		vms = append(vms, v)
 	}
-	// A VM forwards only to the VMs that it has listed.
+	// A VM forwards changes only to the VMs that it knows.
 	for _, v := range vms {
 		eventually(t, "all are counted", func() bool { return v.peers.Size() == others+len(vms) })
 	}
@@ -152,8 +156,8 @@
 	is.Equal(b.followed.offers.Load(), int64(0))
 }
 
-// The time at which the store confirmed a version to one VM reaches the VMs of all data centres
-// with its age. Only reports of the same version count for it.
+// The time at which the store confirmed to one VM that its version is the newest reaches the VMs of
+// all data centres, with the right age. It counts for that version only.
 func TestConfirmationsReachAllDataCentres(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
@@ -175,5 +179,6 @@
 			return v.followed.confirmedAt(7).Sub(at).Abs() < 100*time.Millisecond
 		})
 	}
-	is.True(a1.followed.confirmedAt(7).Before(at.Add(-time.Hour))) // the other VMs have no read time of their own
+	// The other VMs have not read the store, so they confirm nothing to a1.
+	is.True(a1.followed.confirmedAt(7).Before(at.Add(-time.Hour)))
 }
--- a/internal/peers/report.go
+++ b/internal/peers/report.go
@@ -12,53 +12,56 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
-// datagram is the message between VMs. Exactly one of its fields is set.
+// datagram is a message from one VM to another, encoded as CBOR. Exactly one of its fields is set.
 type datagram struct {
-	Report *report     `cbor:"1,keyasint,omitempty"`
-	Delta  *tableDelta `cbor:"2,keyasint,omitempty"`
-	// Hello introduces the sender to a VM that it has just listed.
+	Report *report `cbor:"1,keyasint,omitempty"`
+	// Delta carries changes of a followed table that the sender has read from the store.
+	Delta *tableDelta `cbor:"2,keyasint,omitempty"`
+	// Hello announces the sender to a VM whose member record it has just read.
 	Hello *Member `cbor:"3,keyasint,omitempty"`
-	// UsageQuestion asks for a VM's run counts of client accounts, and UsageAnswer returns them.
-	UsageQuestion *usageQuestion `cbor:"5,keyasint,omitempty"`
-	UsageAnswer   *usageAnswer   `cbor:"6,keyasint,omitempty"`
+	// UsageQuery asks a VM for its run counts of client accounts, and UsageReply returns them.
+	UsageQuery *usageQuery `cbor:"5,keyasint,omitempty"`
+	UsageReply *usageReply `cbor:"6,keyasint,omitempty"`
 	// Suspects describes requests that are suspected of crashing their targets.
 	Suspects *suspectsMessage `cbor:"4,keyasint,omitempty"`
 }
 
-// report is the work of one VM or, as a summary, the total of all VMs of one data centre. Its
-// CBOR keys are numbers because reports are sent often and some VMs have narrow links.
+// report is the work of one VM or a total: of all VMs of one data centre in a summary, of all VMs
+// of all data centres in a digest. Its CBOR keys are numbers because reports are sent often and
+// some VMs have narrow links.
 type report struct {
 	// From is the VM that made the report.
 	From Member `cbor:"1,keyasint"`
-	// Incarnation and Number order the reports of one VM. Incarnation identifies its process.
+	// Incarnation and Number order the reports of one VM. Incarnation is the wall-clock time in ns
+	// at which the VM's process started, and Number counts the reports of one kind of the process.
 	Incarnation int64  `cbor:"2,keyasint"`
 	Number      uint64 `cbor:"3,keyasint"`
-	// Summary says that the report covers all VMs of From's data centre. Forwarded says that a VM
-	// of the receiver's data centre has already forwarded it.
+	// Summary is true if the report covers all VMs of From's data centre.
 	Summary bool `cbor:"4,keyasint,omitempty"`
-	// Digest says that the report covers all VMs of all data centres, its receivers included.
-	Digest    bool       `cbor:"11,keyasint,omitempty"`
+	// Digest is true if the report covers all VMs of all data centres, its receivers included.
+	Digest bool `cbor:"11,keyasint,omitempty"`
+	// Forwarded is true if a VM of the receiver's data centre has forwarded the summary.
 	Forwarded bool       `cbor:"5,keyasint,omitempty"`
 	Work      []workItem `cbor:"6,keyasint"`
-	// Uses are the prompts sent to targets since the last report.
+	// Uses are the requests sent to targets, and the failures of targets, since the last report.
 	Uses []use `cbor:"7,keyasint,omitempty"`
 	// Newest is the highest applied row version of each followed table.
 	Newest []uint64 `cbor:"8,keyasint"`
 	// Changing holds the engines that have been ordered to change their stage.
 	Changing map[string]fleet.Stage `cbor:"9,keyasint,omitempty"`
-	// AgesMS is, for each followed table, how many ms ago the store told From, or a VM of its
-	// data centre, that no row is newer than Newest.
+	// AgesMS is, for each followed table, how many ms ago the store confirmed to a VM that the
+	// report covers that no row is newer than Newest.
 	AgesMS []uint32 `cbor:"10,keyasint,omitempty"`
-	// StoreTimesMS is what the store's clock read at those times, in ms. Unlike an age, it stays
-	// correct however long the report is in transit.
+	// StoreTimesMS is, for each followed table, the store's clock reading in ms when it confirmed
+	// that. Unlike an age, it stays correct however long the report is in transit.
 	StoreTimesMS []uint64 `cbor:"13,keyasint,omitempty"`
-	// HoldsDuties says that From, or a VM of its data centre, holds the duties.
+	// HoldsDuties is true if a VM that the report covers holds the duties, see package duty.
 	HoldsDuties bool `cbor:"14,keyasint,omitempty"`
-	// KnownVMs is the number of VMs that From has listed.
+	// KnownVMs is the number of VMs that From knows. Only summaries and digests state it.
 	KnownVMs int `cbor:"12,keyasint,omitempty"`
 }
 
-// agesMS returns the ages of times in ms, limited to the range of uint32.
+// agesMS returns the ages of times at now in ms, limited to the range of uint32.
 func agesMS(times []time.Time, now time.Time) []uint32 {
 	ages := make([]uint32, 0, len(times))
 	for _, t := range times {
@@ -91,14 +94,14 @@
 
 // use is the wire form of place.Use.
 type use struct {
-	_       struct{} `cbor:",toarray"`
-	Target  string
-	Parts   []uint64
-	Missing int
-	Failed  bool
-	Reads   bool
-	// Origin is the originHash of the VM that sent the prompt. Digests return a VM's own uses to
-	// it, and it skips them by this hash.
+	_        struct{} `cbor:",toarray"`
+	Target   string
+	Parts    []uint64
+	Missing  int
+	Failed   bool
+	Prefills bool
+	// Origin is the originHash of the VM that sent the request. A digest also contains the
+	// receiver's own uses, which it recognises by this hash and skips.
 	Origin uint16
 }
 
@@ -119,8 +122,7 @@
 		items = append(items, workItem{Target: id, PrefillUS: w.Prefill.Microseconds(),
 			Prefills: w.Prefills, Running: w.Running, Streams: w.Streams, Tokens: w.Tokens})
 	}
-	// Sorting gives equal work equal encodings, so that an unchanged report is recognised and not
-	// sent.
+	// Equal work must have equal encodings, so that due recognises an unchanged report.
 	slices.SortFunc(items, func(a, b workItem) int { return cmp.Compare(a.Target, b.Target) })
 	return items
 }
@@ -138,7 +140,7 @@
 	out := make([]use, 0, len(uses))
 	for _, u := range uses {
 		out = append(out, use{Target: u.Target, Parts: u.Parts, Missing: u.Missing,
-			Failed: u.Failed, Reads: u.Prefills, Origin: origin})
+			Failed: u.Failed, Prefills: u.Prefills, Origin: origin})
 	}
 	return out
 }
@@ -152,7 +154,7 @@
 	return uint16(h.Sum32())
 }
 
-// decodeUses returns the uses whose origin is not own, the hash of this VM.
+// decodeUses returns the uses whose Origin is not own, the originHash of this VM.
 func decodeUses(uses []use, own uint16) []place.Use {
 	out := make([]place.Use, 0, len(uses))
 	for _, u := range uses {
@@ -160,7 +162,7 @@
 			continue
 		}
 		out = append(out, place.Use{Target: u.Target, Parts: u.Parts, Missing: u.Missing,
-			Failed: u.Failed, Prefills: u.Reads})
+			Failed: u.Failed, Prefills: u.Prefills})
 	}
 	return out
 }
@@ -173,10 +175,9 @@
 	// Rows are the changes after revision From, up to revision To.
 	From uint64
 	To   uint64
-	// SinceBackMS is how many ms ago the store became reachable again, or -1 if it has not been
-	// unreachable.
-	SinceBackMS int64
-	Rows        []deltaRow
+	// SinceRecoveryMS is store.Delta.SinceRecovery in ms, or -1 if AfterOutage is false.
+	SinceRecoveryMS int64
+	Rows            []deltaRow
 }
 
 // deltaRow is the wire form of store.Row.
@@ -189,9 +190,9 @@
 }
 
 func encodeDelta(index int, d store.Delta) *tableDelta {
-	n := &tableDelta{TableIndex: index, From: d.From, To: d.Rows.Revision, SinceBackMS: -1}
+	n := &tableDelta{TableIndex: index, From: d.From, To: d.Rows.Revision, SinceRecoveryMS: -1}
 	if d.AfterOutage {
-		n.SinceBackMS = d.SinceRecovery.Milliseconds()
+		n.SinceRecoveryMS = d.SinceRecovery.Milliseconds()
 	}
 	for _, r := range d.Rows.Rows {
 		n.Rows = append(n.Rows, deltaRow{Key: r.Key, Value: r.Value, Version: r.Version,
@@ -202,8 +203,8 @@
 
 func (n *tableDelta) decode() store.Delta {
 	d := store.Delta{From: n.From, Rows: store.Rows{Revision: n.To}}
-	if n.SinceBackMS >= 0 {
-		d.AfterOutage, d.SinceRecovery = true, time.Duration(n.SinceBackMS)*time.Millisecond
+	if n.SinceRecoveryMS >= 0 {
+		d.AfterOutage, d.SinceRecovery = true, time.Duration(n.SinceRecoveryMS)*time.Millisecond
 	}
 	for _, r := range n.Rows {
 		d.Rows.Rows = append(d.Rows.Rows, store.Row{Key: r.Key, Value: r.Value, Version: r.Version,
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -11,34 +11,35 @@
 )
 
 const (
-	// suspectsPerDatagram keeps datagrams well below maxDatagram, at about 60 bytes for each
-	// crash of a suspect.
+	// suspectsPerDatagram is the maximum number of suspects in one datagram. It keeps datagrams
+	// well below maxDatagram, with about 60 bytes for each crash of a suspect.
 	suspectsPerDatagram = 150
-	// Every resendInterval, resendCount suspects are sent again to resendVMs random VMs, because
-	// datagrams get lost and VMs start later, or were cut off, frozen or suspended when a suspect
-	// was first sent. Each VM receives three such datagrams a second on average, whatever the
-	// size of the group, so that one in eight thousand receives none for 3 s.
+	// Every resendInterval, the resendCount most severe suspects are sent again to resendVMs random
+	// VMs, because datagrams get lost and VMs start later, or were cut off, frozen or suspended
+	// when a suspect was first sent. Each VM receives three such datagrams a second on average,
+	// whatever the size of the group, so that one VM in eight thousand receives none for 3 s.
 	resendCount    = suspectsPerDatagram
 	resendInterval = time.Second
 	resendVMs      = 3
 )
 
-// Suspects holds the requests that are suspected of crashing their targets.
+// Suspects holds an entry for each suspect, a request that may crash the targets that run it. Its
+// methods take and return snapshots of the entries.
 type Suspects interface {
 	// TakeChanged returns the entries that have changed since its last call, and Top the n
-	// most severe ones.
+	// entries with the most crashes.
 	TakeChanged(now time.Time) []quarantine.Snapshot
 	Top(n int, now time.Time) []quarantine.Snapshot
 	// MergeFrom merges the entries that another VM has sent.
 	MergeFrom(from string, snapshots []quarantine.Snapshot)
 }
 
-// SetSuspects sets the suspects to exchange. It must be called before Start.
+// SetSuspects sets the suspects that are exchanged with other VMs. It must be called before Start.
 func (p *Peers) SetSuspects(s Suspects) { p.suspects = s }
 
-// sendSuspects sends changed suspects to all VMs of all data centres, and periodically resends
-// the most severe ones to some. Suspects are sent directly and not through relays: they are few,
-// and they must also arrive just after a relay has failed.
+// sendSuspects sends changed suspects to all VMs of all data centres and, every resendInterval, the
+// most severe ones to some random VMs. Suspects are sent directly and not through relays: they are
+// few, and they must also arrive just after a relay has failed.
 func (p *Peers) sendSuspects(now time.Time) {
 	if p.suspects == nil {
 		return
@@ -55,8 +56,9 @@
 	}
 }
 
-// Owns returns whether this VM is the owner of a key, by rendezvous hashing over the listed VMs:
-// when a VM joins or leaves, few keys change their owner.
+// Owns returns whether this VM is the owner of a key, by rendezvous hashing over the known VMs:
+// when a VM joins or leaves, few keys change their owner. VMs that know the same members agree on
+// the owner.
 func (p *Peers) Owns(key []byte) bool {
 	own := ownerWeight(p.self.VM, key)
 	p.mu.Lock()
@@ -104,15 +106,17 @@
 	return all[:min(n, len(all))]
 }
 
-// suspectsMessage carries entries of suspects from one VM to others.
+// suspectsMessage carries the entries of suspects from one VM to others.
 type suspectsMessage struct {
+	// From is the name of the sending VM.
 	From    string         `cbor:"1,keyasint"`
 	Entries []suspectEntry `cbor:"2,keyasint"`
 }
 
 // suspectEntry is the wire form of quarantine.Snapshot.
 type suspectEntry struct {
-	_           struct{} `cbor:",toarray"`
+	_ struct{} `cbor:",toarray"`
+	// Source is the hash of Request.Source, and Key and Fingerprint are the request's ID.
 	Source      uint64
 	Key         uint64
 	Fingerprint []byte
@@ -123,6 +127,7 @@
 type suspectCrash struct {
 	_       struct{} `cbor:",toarray"`
 	RunHash uint64
+	// AgeMS is Age, and RanMS is RanFor, in ms.
 	AgeMS   int64
 	RanMS   int64
 	Cleared bool
@@ -162,6 +167,7 @@
 // milliseconds converts a number of ms received from another VM. It treats negative numbers as 0.
 func milliseconds(ms int64) time.Duration { return time.Duration(max(ms, 0)) * time.Millisecond }
 
+// handleSuspects merges the suspects that another VM has sent.
 func (p *Peers) handleSuspects(m *suspectsMessage) {
 	if p.suspects != nil {
 		p.suspects.MergeFrom(m.From, m.decode())
--- a/internal/peers/suspects_test.go
+++ b/internal/peers/suspects_test.go
@@ -33,6 +33,7 @@
 // Top implements peers.Suspects.
 func (v *suspectVM) Top(n int, now time.Time) []quarantine.Snapshot { return v.known.Top(n, now) }
 
+// startWithSuspects starts a VM that exchanges the suspects of its own quarantine table.
 func startWithSuspects(t *testing.T, dataCentre, name, addr string, table store.Table) *suspectVM {
 	t.Helper()
 	v := &suspectVM{vm: &vm{placer: &placer{}, followed: &followed{}}, known: quarantine.NewTable()}
@@ -46,18 +47,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		// The test may have stopped it already.
+		// Stop fails if the test has stopped the VM already.
 		_ = v.peers.Stop(context.Background())
 	})
 	return v
 }
 
+// quarantines returns whether the VM keeps r from all targets.
 func (v *suspectVM) quarantines(r quarantine.Request) bool {
 	return v.known.Verdict(&r, time.Now()).Quarantined(time.Now(), false)
 }
 
-// A suspect whose crashes were seen by different VMs reaches all VMs of all data centres. It also
-// reaches a VM that starts later and one that restarts, which the other VMs do not see as new.
+// A suspect whose crashes were seen by different VMs becomes known to all VMs of all data centres,
+// within spreadBound. It also becomes known to a VM that starts later and to one that restarts,
+// which the other VMs do not notice. A successful run at any VM clears it on all VMs within the
+// same time.
 func TestSuspectsReachAllVMs(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
@@ -111,7 +115,7 @@
 }
 
 // Each key has exactly one owner, and every VM owns some keys.
-func TestOneVMOwnsAKey(t *testing.T) {
+func TestEachKeyHasOneOwner(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
 	var vms []*suspectVM
--- a/internal/peers/usage.go
+++ b/internal/peers/usage.go
@@ -8,37 +8,42 @@
 	"garnethoist.org/garnethoist/internal/usage"
 )
 
-// Usage holds the run counts of client accounts.
+// Usage holds the run counts of client accounts: how many runs of their requests began in each
+// usage window.
 type Usage interface {
-	// Answer returns this VM's counts, and Hear takes in those of another VM.
+	// Answer returns this VM's counts that q asks for.
 	Answer(q usage.Question) usage.Answer
+	// HandleAnswer records the counts of another VM.
 	HandleAnswer(vm string, a usage.Answer)
 }
 
-// SetUsage sets the counts to exchange. It must be called before Start.
+// SetUsage sets the run counts that are exchanged with other VMs. It must be called before Start.
 func (p *Peers) SetUsage(u Usage) { p.usage = u }
 
-// SetDutyFence sets the function that returns this VM's fence while it holds the duties, and 0
-// otherwise. It must be called before Start.
+// SetDutyFence sets the function that returns this VM's fencing number while it holds the duties
+// (see package duty), and 0 otherwise. It must be called before Start.
 func (p *Peers) SetDutyFence(fence func() uint64) { p.dutyFence = fence }
 
-// usageQuestion is the wire form of usage.Question.
-type usageQuestion struct {
+// usageQuery is the wire form of usage.Question.
+type usageQuery struct {
+	// From is the name of the VM that asks.
 	From        string `cbor:"1,keyasint"`
 	Incarnation int64  `cbor:"2,keyasint"`
 	Revision    uint64 `cbor:"3,keyasint"`
 	Number      uint64 `cbor:"4,keyasint"`
 }
 
-// usageAnswer is the wire form of usage.Answer.
-type usageAnswer struct {
-	From        string       `cbor:"1,keyasint"`
-	Incarnation int64        `cbor:"2,keyasint"`
-	Since       uint64       `cbor:"3,keyasint"`
-	Revision    uint64       `cbor:"4,keyasint"`
-	Number      uint64       `cbor:"5,keyasint"`
-	More        bool         `cbor:"6,keyasint,omitempty"`
-	Counts      []usageCount `cbor:"7,keyasint,omitempty"`
+// usageReply is the wire form of usage.Answer.
+type usageReply struct {
+	// From is the name of the VM that replies.
+	From        string `cbor:"1,keyasint"`
+	Incarnation int64  `cbor:"2,keyasint"`
+	// Since is usage.Answer.From: the counts are those that have changed after this revision.
+	Since    uint64       `cbor:"3,keyasint"`
+	Revision uint64       `cbor:"4,keyasint"`
+	Number   uint64       `cbor:"5,keyasint"`
+	More     bool         `cbor:"6,keyasint,omitempty"`
+	Counts   []usageCount `cbor:"7,keyasint,omitempty"`
 }
 
 // usageCount is the wire form of usage.Count.
@@ -49,9 +54,9 @@
 	Runs    int
 }
 
-// AskUsage implements usage.Group. It sends a question to a VM.
+// AskUsage implements usage.Group. It sends a usage query to a VM.
 func (p *Peers) AskUsage(vm string, q usage.Question) {
-	p.sendToVM(vm, datagram{UsageQuestion: &usageQuestion{From: p.self.VM,
+	p.sendToVM(vm, datagram{UsageQuery: &usageQuery{From: p.self.VM,
 		Incarnation: q.Incarnation, Revision: q.Revision, Number: q.Number}})
 }
 
@@ -69,7 +74,7 @@
 	return names
 }
 
-// sendToVM sends a datagram to a VM, or does nothing if the VM is not listed.
+// sendToVM sends a datagram to a VM, or does nothing if the VM is not known.
 func (p *Peers) sendToVM(vm string, d datagram) {
 	p.mu.Lock()
 	m, ok := p.members[vm]
@@ -79,22 +84,24 @@
 	}
 }
 
-func (p *Peers) handleUsageQuestion(q *usageQuestion) {
+// handleUsageQuery replies to a usage query with this VM's run counts.
+func (p *Peers) handleUsageQuery(q *usageQuery) {
 	if p.usage == nil {
 		return
 	}
 	a := p.usage.Answer(usage.Question{Incarnation: q.Incarnation, Revision: q.Revision,
 		Number: q.Number})
-	out := &usageAnswer{From: p.self.VM, Incarnation: a.Incarnation, Since: a.From,
+	out := &usageReply{From: p.self.VM, Incarnation: a.Incarnation, Since: a.From,
 		Revision: a.Revision, Number: a.Number, More: a.More}
 	for _, c := range a.Counts {
 		out.Counts = append(out.Counts, usageCount{Window: int64(c.Window), Account: c.Account,
 			Runs: c.Runs})
 	}
-	p.sendToVM(q.From, datagram{UsageAnswer: out})
+	p.sendToVM(q.From, datagram{UsageReply: out})
 }
 
-func (p *Peers) handleUsageAnswer(in *usageAnswer) {
+// handleUsageReply passes the run counts in a reply to p.usage.
+func (p *Peers) handleUsageReply(in *usageReply) {
 	if p.usage == nil {
 		return
 	}
@@ -107,8 +114,8 @@
 	p.usage.HandleAnswer(in.From, a)
 }
 
-// Candidate implements duty.Group. In a large group only the sentinels compete for the duties,
-// because they watch the store anyway.
+// Candidate implements duty.Group. It returns whether this VM may compete for the duties: in a
+// large group only the sentinels do, because they watch the store anyway.
 func (p *Peers) Candidate() bool {
 	select {
 	case <-p.joined:
