--- a/internal/watch/current.go
+++ b/internal/watch/current.go
@@ -7,26 +7,29 @@
 )
 
 // AsOf returns a time at which this copy of the table held all rows of the store, according to
-// the store's answers or to the reports of other VMs.
+// the store's responses or to the reports of other VMs.
 func (t *Table) AsOf() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.asOf
 }
 
-// ReadAt is like AsOf, but counts only the store's answers to this VM. Other VMs are sent this
-// time and not AsOf: a reported time appears younger by the time that the report was in transit,
-// so it would stay young for ever if VMs passed it back and forth. Call ReadAt before Newest: the
-// version that Newest then returns covers that time.
+// ReadAt is like AsOf, but only according to the store's responses to this VM. Reports to other VMs
+// contain ReadAt and not AsOf: the receiver does not know how long a report was in transit and
+// takes the time in it to be later by that. If VMs passed AsOf back and forth, it would advance at
+// each pass and never grow old. Call ReadAt before Newest, so that the version is at least as new
+// as the time.
 func (t *Table) ReadAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.readAt
 }
 
-// ConservativeAsOf is like AsOf, but never too late. It is computed from the store's clock, so
-// that a datagram or an answer that waited in a queue while the process was stopped does not
-// appear younger than it is.
+// ConservativeAsOf is like AsOf, but is never later than the time at which the copy held all rows.
+// AsOf can be too late by the time that a datagram or a response waited in a queue while the
+// process was stopped. ConservativeAsOf is computed from the store's clock reading instead. If that
+// is unknown or gives an impossible time, it is the time at which the last call began that the
+// store responded to.
 func (t *Table) ConservativeAsOf() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,17 +40,17 @@
 	return at
 }
 
-// ReadStoreTime returns ReadAt on the store's clock, or 0 if the store does not state its clock. Call
-// it before Newest too.
+// ReadStoreTime returns the store's clock reading at the time that ReadAt returns, or 0 if the
+// store's responses do not state it. Call it before Newest too.
 func (t *Table) ReadStoreTime() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.readStoreTime
 }
 
-// ObservePeer records that another VM's copy, whose highest row version is version, held all rows of
-// the store at asOf, when the store's clock read storeTime. The same then holds for this copy if
-// it has reached that version.
+// ObservePeer records that another VM's copy, whose highest row version is version, held all rows
+// of the store at asOf, when the store's clock read storeTime. If this copy has reached that
+// version, it held all rows at that time too. Otherwise the other copy is ahead, see behind.
 func (t *Table) ObservePeer(version uint64, asOf time.Time, storeTime time.Duration) {
 	if version <= t.sharedRevision.Load() {
 		t.raiseStoreTime(storeTime)
@@ -73,8 +76,7 @@
 	t.asOfStoreTime = max(t.asOfStoreTime, storeTime)
 }
 
-// raiseAsOf advances asOf to the given time, unless it is later already, and wakes the callers
-// that wait for it.
+// raiseAsOf advances t.asOf to asOf and closes t.confirmed, unless t.asOf is that late already.
 func (t *Table) raiseAsOf(asOf time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,8 +90,8 @@
 	}
 }
 
-// Confirm requests a call to the store that confirms that this copy is the newest, at most once
-// per pollGap. The returned channel is closed when asOf next advances.
+// Confirm requests a poll that confirms that this copy holds all rows of the store. It does so at
+// most once per pollGap. The returned channel is closed when AsOf next advances.
 func (t *Table) Confirm() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,9 +106,13 @@
 	return t.confirmed
 }
 
-// behind returns whether copies that were the newest less than bound ago hold rows that this copy
-// lacks, and have held them for bound, less the time that a sentinel may take to read them. Until
-// other VMs had newer rows, this copy was as new as any.
+// behind returns whether other VMs have had rows for long that this copy lacks, while the store was
+// reachable for them. That is the case if
+//   - a copy that was confirmed at most bound ago has a version that this copy has not reached, and
+//   - this copy was last confirmed, and the first such version was reported, more than bound ago,
+//     less maxCallGap, the time that a sentinel may take to read a change.
+//
+// Until the first such report, this copy was as new as any.
 func (t *Table) behind(bound time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/watch/entries_test.go
+++ b/internal/watch/entries_test.go
@@ -27,21 +27,23 @@
 	return watch.NewFleet(k, d, watch.NewLink(telemetry.Discard()), telemetry.Discard()), k
 }
 
+// entryRows returns the row of one target, written at the given revision.
 func entryRows(id string, value string, revision uint64) store.Rows {
 	return store.Rows{Revision: revision, Rows: []store.Row{{Key: id, Value: []byte(value),
 		Version: revision}}}
 }
 
-func entryValue(value int64) string { return fmt.Sprintf(`{"Born":%d}`, value) }
+// entryValue returns the entry of a target that started at born.
+func entryValue(born int64) string { return fmt.Sprintf(`{"Born":%d}`, born) }
 
-// Of two runs with the same target ID the later one is used, whichever entry is applied last.
-func TestLaterStartCounts(t *testing.T) {
+// If a target is restarted, the entry of its later run is used, whichever entry is applied last.
+func TestEntryOfTheLaterRunIsUsed(t *testing.T) {
 	is := is.New(t)
 	f, k := newFleet()
 	f.ApplyTargets(entryRows("i", entryValue(100), 1), true)
 	f.ApplyTargets(entryRows("i", entryValue(200), 2), false)
 	is.Equal(k.Target("i").Born, int64(200))
-	f.ApplyTargets(entryRows("i", entryValue(100), 3), false) // a delayed write of the previous run
+	f.ApplyTargets(entryRows("i", entryValue(100), 3), false) // a delayed write of the earlier run
 	is.Equal(k.Target("i").Born, int64(200))
 	f.ApplyTargets(entryRows("i", entryValue(100), 4), true)
 	is.Equal(k.Target("i").Born, int64(200))
@@ -49,9 +51,9 @@
 	is.Equal(k.Target("i").RunID(), fleet.RunID("i", 300))
 }
 
-// An entry that cannot be decoded removes its target, both as a change and in a full list. The
-// other targets stay, and the target returns with its next valid entry.
-func TestUnreadableEntryNamesNoTarget(t *testing.T) {
+// An entry that cannot be decoded removes its target, both as a change and in a read of the whole
+// table. The other targets stay, and the target returns with its next valid entry.
+func TestInvalidEntryRemovesTarget(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		is := is.New(t)
 		f, k := newFleet()
--- a/internal/watch/fleet.go
+++ b/internal/watch/fleet.go
@@ -9,16 +9,20 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// lapseGrace is how long a target whose entry disappeared while the store was unreachable stays
-// listed: live targets register again about two seconds after the store's return. Requests to
-// targets that have left must stop within two seconds too, so it is a little less.
-const lapseGrace = 1700 * time.Millisecond
+// removalGrace is how long after an outage of the store a target is kept although its entry has
+// disappeared. Entries expire unless targets renew them, which they cannot do during an outage.
+// Live targets register again about two seconds after the store is reachable again. Requests to
+// targets that have left must stop within two seconds too, so removalGrace is a little less.
+const removalGrace = 1700 * time.Millisecond
 
 // Decoder decodes configuration rows and target rows.
 type Decoder struct {
+	// ConfigKey is the key of the row that holds the configuration.
 	ConfigKey string
-	Config    func(value []byte) (*fleet.Config, error)
-	Target    func(id string, value []byte) (*fleet.Target, error)
+	// Config decodes the value of that row.
+	Config func(value []byte) (*fleet.Config, error)
+	// Target decodes the value of a target's row, whose key is id.
+	Target func(id string, value []byte) (*fleet.Target, error)
 }
 
 // Fleet applies the configuration table and the target table to a fleet.Keeper.
@@ -29,17 +33,19 @@
 	log    *telemetry.Logger
 
 	mu sync.Mutex
-	// lapsed holds the targets whose entries disappeared around the time when the store was
-	// unreachable, with the timers that remove them.
-	lapsed map[string]*time.Timer
+	// pendingRemovals holds the timers that remove targets whose entries disappeared during an
+	// outage of the store or shortly after it, by target ID.
+	pendingRemovals map[string]*time.Timer
 }
 
-// NewFleet returns a Fleet. Its methods ApplyConfig and ApplyTargets are meant for NewTable.
+// NewFleet returns a Fleet. Its methods ApplyConfig and ApplyTargets are meant as the apply
+// arguments of NewTable, with the same link.
 func NewFleet(k *fleet.Keeper, d Decoder, link *Link, log *telemetry.Logger) *Fleet {
-	return &Fleet{keeper: k, decode: d, link: link, log: log, lapsed: make(map[string]*time.Timer)}
+	return &Fleet{keeper: k, decode: d, link: link, log: log, pendingRemovals: make(map[string]*time.Timer)}
 }
 
-// ApplyConfig applies rows of the configuration table.
+// ApplyConfig applies rows of the configuration table. It logs and skips a row that cannot be
+// decoded, so that the previous configuration stays in use.
 func (f *Fleet) ApplyConfig(rows store.Rows, _ bool) {
 	for _, row := range rows.Rows {
 		if row.Key != f.decode.ConfigKey || row.Removed {
@@ -58,7 +64,7 @@
 }
 
 // ApplyTargets applies rows of the target table. If full is true, the rows are the whole table,
-// and targets without a row are removed.
+// and targets without a row are removed. A removal may be delayed, see removalGrace.
 func (f *Fleet) ApplyTargets(rows store.Rows, full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,8 +90,8 @@
 	f.keeper.ApplyTargets(changes, rows.Revision)
 }
 
-// applyEntry returns the change for the row of one target. A row that another program wrote, or
-// that cannot be decoded, removes the target that was listed before. It returns false if nothing
+// applyEntry returns the change for the row of one target. A row that cannot be decoded, for
+// example because another program wrote it, removes the target. It returns false if nothing
 // changes. The caller must hold f.mu.
 func (f *Fleet) applyEntry(row store.Row) (fleet.TargetChange, bool) {
 	known := f.keeper.Target(row.Key)
@@ -114,37 +120,39 @@
 	return fleet.TargetChange{ID: t.ID, Target: t}, true
 }
 
-// remove removes a target from the list, at once or, if its entry may have lapsed only because
-// the store was unreachable, after lapseGrace. The caller must hold f.mu.
+// remove removes a target whose entry has disappeared: at once, by appending to changes, which it
+// returns, or removalGrace after the end of an outage of the store, because the entry may have
+// expired only for lack of renewals. The caller must hold f.mu.
 func (f *Fleet) remove(changes []fleet.TargetChange, id string) []fleet.TargetChange {
-	since, wasDown := f.link.SinceBack()
-	if !wasDown || since >= lapseGrace {
+	since, wasDown := f.link.SinceRecovery()
+	if !wasDown || since >= removalGrace {
 		f.log.Info(telemetry.EventTargets, telemetry.F("target", id), telemetry.F("gone", true))
 		return append(changes, fleet.TargetChange{ID: id})
 	}
-	if f.lapsed[id] == nil {
-		f.lapsed[id] = time.AfterFunc(lapseGrace-since, func() { f.removeLapsed(id) })
+	if f.pendingRemovals[id] == nil {
+		f.pendingRemovals[id] = time.AfterFunc(removalGrace-since, func() { f.removePending(id) })
 	}
 	return changes
 }
 
-// cancelRemoval cancels the pending removal of a target that is listed again. The caller must
-// hold f.mu.
+// cancelRemoval cancels the pending removal of a target, if any, because the target has an entry
+// again. The caller must hold f.mu.
 func (f *Fleet) cancelRemoval(id string) {
-	if timer := f.lapsed[id]; timer != nil {
+	if timer := f.pendingRemovals[id]; timer != nil {
 		timer.Stop()
-		delete(f.lapsed, id)
+		delete(f.pendingRemovals, id)
 	}
 }
 
-// removeLapsed removes a lapsed target unless its removal has been cancelled.
-func (f *Fleet) removeLapsed(id string) {
+// removePending removes a target whose timer in pendingRemovals has fired, unless the removal has
+// been cancelled.
+func (f *Fleet) removePending(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lapsed[id] == nil {
+	if f.pendingRemovals[id] == nil {
 		return
 	}
-	delete(f.lapsed, id)
+	delete(f.pendingRemovals, id)
 	f.log.Info(telemetry.EventTargets, telemetry.F("target", id), telemetry.F("gone", true),
 		telemetry.F("lapsed", true))
 	f.keeper.ApplyTargets([]fleet.TargetChange{{ID: id}}, 0)
--- /dev/null
+++ b/internal/watch/freshness.go
@@ -0,0 +1,91 @@
+package watch
+
+import (
+	"context"
+	"time"
+
+	"garnethoist.org/garnethoist/internal/clock"
+)
+
+const (
+	// reportDelay is how long another VM's report may be delayed on a full link. The age that it
+	// states is too short by that.
+	reportDelay = 500 * time.Millisecond
+	// confirmWait is how long a request waits for the store to confirm that there is no newer
+	// configuration. It is a few times the duration of a call across data centres (12 ms each
+	// way, 8 ms in the store).
+	confirmWait = 150 * time.Millisecond
+)
+
+// Freshness tells whether this VM's copy of the configuration is recent enough to act on.
+type Freshness struct {
+	config *Table
+	// maxAge is the maximum age, by AsOf, at which the copy is taken for the newest
+	// configuration.
+	maxAge time.Duration
+	// keysMaxAge is the maximum age, by ConservativeAsOf, at which keys are served from the copy;
+	// 0 means no maximum.
+	keysMaxAge time.Duration
+}
+
+// NewFreshness returns the Freshness of config, the configuration table. bound is the time within
+// which a change must take effect on every VM.
+func NewFreshness(config *Table, bound time.Duration) *Freshness {
+	return &Freshness{config: config, maxAge: max(bound-reportDelay, bound/2)}
+}
+
+const (
+	// inFlightShare is the fraction of the revocation bound that is reserved for requests which
+	// this VM has already sent on.
+	inFlightShare = 0.05
+	// keysPollShare is the fraction of keysMaxAge after which the store is polled. That is longer
+	// than the time between the sentinels' calls, so that a VM that receives their reports makes
+	// no calls of its own.
+	keysPollShare = 0.75
+)
+
+// SetRevokeBound sets the time after which no request with a removed key may be served; 0 means
+// no bound. It must be called before the first request.
+func (k *Freshness) SetRevokeBound(bound time.Duration) {
+	k.keysMaxAge = time.Duration((1 - inFlightShare) * float64(bound))
+}
+
+// KeysCurrent returns whether the copy was confirmed to be the newest configuration so recently
+// that the keys in it may be served. If the last confirmation is older than keysPollShare of the
+// time allowed, it requests a poll of the store, but does not wait for it.
+func (k *Freshness) KeysCurrent() bool {
+	if k.keysMaxAge == 0 {
+		return true
+	}
+	age := clock.Since(k.config.ConservativeAsOf())
+	if age > time.Duration(keysPollShare*float64(k.keysMaxAge)) {
+		k.config.Confirm()
+	}
+	return age <= k.keysMaxAge
+}
+
+// Confirmed returns whether the copy is the newest configuration, apart from changes so recent that
+// they need not have taken effect yet. If it has not been confirmed recently, Confirmed requests a
+// poll of the store and waits for it for at most confirmWait. A view of the fleet that is read
+// after Confirmed contains the confirmed configuration.
+func (k *Freshness) Confirmed(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, confirmWait)
+	defer cancel()
+	for !k.recent() {
+		select {
+		case <-k.config.Confirm():
+		case <-ctx.Done():
+			return false
+		}
+	}
+	return true
+}
+
+// recent returns whether the copy was confirmed at most maxAge ago.
+func (k *Freshness) recent() bool { return clock.Since(k.config.AsOf()) <= k.maxAge }
+
+// Behind returns whether other VMs, which can reach the store, have read a configuration that this
+// VM lacks and that must have taken effect by now. Callers are then better served by those VMs.
+// While no VM can reach the store, none is behind, and all keep serving with the configuration that
+// they have.
+func (k *Freshness) Behind() bool { return k.config.behind(k.maxAge) }
--- a/internal/watch/keys_test.go
+++ b/internal/watch/keys_test.go
@@ -16,9 +16,10 @@
 // revokeBound is the time after which no request with a removed key may be served.
 const revokeBound = 5 * time.Second
 
-// timeStore is a store that states its clock. The clock can be set, and the store does not
-// answer while down.
+// timeStore is a store whose responses state its clock reading. The clock can be set, and the store
+// does not respond while down is true.
 type timeStore struct {
+	// zero is the local time at which the store's clock was zero, in ns since the Unix epoch.
 	zero atomic.Int64
 	down atomic.Bool
 }
@@ -29,12 +30,13 @@
 	return c
 }
 
-// set sets the store's clock.
+// set sets the store's clock to now.
 func (c *timeStore) set(now time.Duration) { c.zero.Store(clock.Now().Add(-now).UnixNano()) }
 
 func (c *timeStore) now() time.Duration { return clock.Since(time.Unix(0, c.zero.Load())) }
 
-func (c *timeStore) answer(ctx context.Context) (store.Rows, error) {
+// serve responds to any call with the table at revision 5.
+func (c *timeStore) serve(ctx context.Context) (store.Rows, error) {
 	if c.down.Load() {
 		<-ctx.Done()
 		return store.Rows{}, store.ErrUnavailable
@@ -44,13 +46,14 @@
 	return rows, nil
 }
 
-func (c *timeStore) ListRows(ctx context.Context, _ string) (store.Rows, error) { return c.answer(ctx) }
+func (c *timeStore) ListRows(ctx context.Context, _ string) (store.Rows, error) { return c.serve(ctx) }
 
 func (c *timeStore) Changes(ctx context.Context, _ string, _ uint64, _ time.Duration) (store.Rows, error) {
-	return c.answer(ctx)
+	return c.serve(ctx)
 }
 
-// startCutOff returns the state of a VM that has read the store once, before the store went down.
+// startCutOff returns the configuration table and its Freshness on a VM that has read the store
+// once, before the store went down, and the store and the clock, which the test controls.
 func startCutOff(t *testing.T) (*watch.Table, *watch.Freshness, *timeStore, *clock.Simulated) {
 	t.Helper()
 	sim := clock.Simulate()
@@ -58,56 +61,57 @@
 	c := newTimeStore()
 	config, a := startTable(t, c, &largeGroup{}, (*watch.Table).SetListOnPoll)
 	eventually(t, func() bool { return a.last() == 5 })
-	known := watch.NewFreshness(config, bound)
-	known.SetRevokeBound(revokeBound)
-	eventually(t, known.KeysCurrent)
+	fresh := watch.NewFreshness(config, bound)
+	fresh.SetRevokeBound(revokeBound)
+	eventually(t, fresh.KeysCurrent)
 	c.down.Store(true)
-	return config, known, c, sim
+	return config, fresh, c, sim
 }
 
-// A VM that loses the store serves keys until it may have missed a removal, or for longer if a VM
-// that reaches the store reports that this VM's configuration is the newest.
-func TestOthersConfirmKeys(t *testing.T) {
+// A VM that can no longer reach the store serves keys until it may have missed a removal, or for
+// longer if a VM that reaches the store reports that this VM's configuration is the newest.
+func TestOtherVMsConfirmKeys(t *testing.T) {
 	is := is.New(t)
-	config, known, c, sim := startCutOff(t)
+	config, fresh, c, sim := startCutOff(t)
 	sim.Suspend(4 * time.Second)
-	is.True(known.KeysCurrent())
+	is.True(fresh.KeysCurrent())
 	sim.Suspend(time.Second)
-	is.True(!known.KeysCurrent())
+	is.True(!fresh.KeysCurrent())
 	config.ObservePeer(5, clock.Now(), c.now())
-	is.True(known.KeysCurrent())
+	is.True(fresh.KeysCurrent())
 	sim.Suspend(revokeBound)
 	config.ObservePeer(6, clock.Now(), c.now()) // another VM has a newer configuration
-	is.True(!known.KeysCurrent())
+	is.True(!fresh.KeysCurrent())
 }
 
-// Guards against serving removed keys after a pause. A VM is stopped for 10 s while a datagram in
-// its socket says that its configuration is the newest. It reads the datagram after the pause and
-// takes it to be as young as it states.
+// Guards against serving removed keys after a pause. A VM is stopped for 10 s while a datagram
+// waits in its socket that says that its configuration is the newest. The VM reads the datagram
+// after the pause and must not take the age in it, which does not include the pause, for the
+// current age.
 func TestOldReportDoesNotConfirmKeys(t *testing.T) {
 	is := is.New(t)
-	config, known, c, sim := startCutOff(t)
+	config, fresh, c, sim := startCutOff(t)
 	reported := c.now()
 	sim.Suspend(10 * time.Second)
 	config.ObservePeer(5, clock.Now(), reported)
-	is.True(known.Confirmed(context.Background())) // by the age that the datagram states
-	is.True(!known.KeysCurrent())
+	is.True(fresh.Confirmed(context.Background())) // Confirmed goes by the age that the datagram states
+	is.True(!fresh.KeysCurrent())
 	config.ObservePeer(5, clock.Now(), 0) // from a VM that does not know the store's clock
-	is.True(!known.KeysCurrent())
+	is.True(!fresh.KeysCurrent())
 }
 
 // After the store's clock is set back, or on a report with a clock reading in the future, keys
-// are served only for as long as the store's own answers allow.
+// are served only for as long as the store's own responses allow.
 func TestKeysAfterTheStoresClockWasSet(t *testing.T) {
 	is := is.New(t)
-	config, known, c, sim := startCutOff(t)
+	config, fresh, c, sim := startCutOff(t)
 	sim.Suspend(10 * time.Second)
 	config.ObservePeer(5, clock.Now(), c.now()+time.Hour)
-	is.True(!known.KeysCurrent())
+	is.True(!fresh.KeysCurrent())
 	c.set(time.Minute)
 	c.down.Store(false)
-	eventually(t, known.KeysCurrent)
+	eventually(t, fresh.KeysCurrent)
 	c.down.Store(true)
 	sim.Suspend(revokeBound)
-	is.True(!known.KeysCurrent())
+	is.True(!fresh.KeysCurrent())
 }
--- a/internal/watch/knowledge_test.go
+++ b/internal/watch/knowledge_test.go
@@ -12,17 +12,19 @@
 	"garnethoist.org/garnethoist/internal/watch"
 )
 
-// bound is the time within which changes must take effect. A copy older than bound - 500 ms is
-// not trusted.
+// bound is the time within which changes must take effect. A copy that was confirmed more than
+// bound - 500 ms ago is not taken for the newest.
 const bound = 1500 * time.Millisecond
 
-// fakeStore is a store that answers all calls at once or, while down, none.
+// fakeStore is a store that responds to all calls at once or, while down is true, to none. calls
+// counts the calls.
 type fakeStore struct {
 	down  atomic.Bool
 	calls atomic.Int64
 }
 
-func (s *fakeStore) answer(ctx context.Context) (store.Rows, error) {
+// serve responds to any call with the table at revision 5.
+func (s *fakeStore) serve(ctx context.Context) (store.Rows, error) {
 	s.calls.Add(1)
 	if s.down.Load() {
 		<-ctx.Done()
@@ -31,13 +33,14 @@
 	return stepAt(5).rows, nil
 }
 
-func (s *fakeStore) ListRows(ctx context.Context, _ string) (store.Rows, error) { return s.answer(ctx) }
+func (s *fakeStore) ListRows(ctx context.Context, _ string) (store.Rows, error) { return s.serve(ctx) }
 
 func (s *fakeStore) Changes(ctx context.Context, _ string, _ uint64, _ time.Duration) (store.Rows, error) {
-	return s.answer(ctx)
+	return s.serve(ctx)
 }
 
-// startIdle returns the state of a VM that reads the store only on request.
+// startIdle returns the configuration table and its Freshness on a VM that has read the store once
+// and calls it only for polls, and the store.
 func startIdle(t *testing.T) (*watch.Table, *watch.Freshness, *fakeStore) {
 	t.Helper()
 	f := &fakeStore{}
@@ -46,74 +49,75 @@
 	return config, watch.NewFreshness(config, bound), f
 }
 
-// An old copy is confirmed by the store, with one call for all concurrent requests. Without the
-// store it is not confirmed.
-func TestOldKnowledgeIsConfirmedByTheStore(t *testing.T) {
+// The store confirms an old copy, with one call for all requests in a row. While the store is
+// unreachable, the copy is not confirmed.
+func TestStoreConfirmsOldCopy(t *testing.T) {
 	is := is.New(t)
-	_, known, f := startIdle(t)
-	is.True(known.Confirmed(context.Background()))
+	_, fresh, f := startIdle(t)
+	is.True(fresh.Confirmed(context.Background()))
 	is.Equal(f.calls.Load(), int64(1))
 	time.Sleep(bound)
 	for range 3 {
-		is.True(known.Confirmed(context.Background()))
+		is.True(fresh.Confirmed(context.Background()))
 	}
 	is.Equal(f.calls.Load(), int64(2))
 	f.down.Store(true)
 	time.Sleep(bound)
-	is.True(!known.Confirmed(context.Background()))
+	is.True(!fresh.Confirmed(context.Background()))
 }
 
 // Reports of other VMs confirm an old copy without a call, if it has reached their version.
-func TestOldKnowledgeIsConfirmedByOthers(t *testing.T) {
+func TestOtherVMsConfirmOldCopy(t *testing.T) {
 	is := is.New(t)
-	config, known, f := startIdle(t)
+	config, fresh, f := startIdle(t)
 	f.down.Store(true)
 	time.Sleep(bound)
 	config.ObservePeer(4, time.Now(), 0)
-	is.True(known.Confirmed(context.Background()))
+	is.True(fresh.Confirmed(context.Background()))
 	time.Sleep(bound)
 	config.ObservePeer(6, time.Now(), 0) // newer than this VM's copy
-	is.True(!known.Confirmed(context.Background()))
+	is.True(!fresh.Confirmed(context.Background()))
 }
 
 // A VM is behind if other VMs that reach the store have had a newer version for longer than a
 // change may take, but not while the store is unreachable for them too.
-func TestVMIsBehindWhereOthersKnowMore(t *testing.T) {
+func TestVMIsBehindIfOthersHaveNewerRows(t *testing.T) {
 	is := is.New(t)
-	config, known, f := startIdle(t)
+	config, fresh, f := startIdle(t)
 	f.down.Store(true)
 	config.ObservePeer(6, time.Now(), 0)
-	is.True(!known.Behind()) // the change is recent
+	is.True(!fresh.Behind()) // the change is recent
 	time.Sleep(bound)
-	is.True(!known.Behind()) // no VM has reached the store recently
+	is.True(!fresh.Behind()) // no VM has reached the store recently
 	config.ObservePeer(6, time.Now(), 0)
-	is.True(known.Behind())
+	is.True(fresh.Behind())
 	config.Offer(delta(5, 6))
-	eventually(t, func() bool { return !known.Behind() })
+	eventually(t, func() bool { return !fresh.Behind() })
 	time.Sleep(bound)
 	config.ObservePeer(6, time.Now(), 0)
-	is.True(!known.Behind())
+	is.True(!fresh.Behind())
 }
 
 // A VM with an old copy is not behind at once when it first learns of a newer version: it has as
 // long as any other VM to read it.
 func TestVMIsNotBehindAtTheFirstReport(t *testing.T) {
 	is := is.New(t)
-	config, known, f := startIdle(t)
+	config, fresh, f := startIdle(t)
 	f.down.Store(true)
 	time.Sleep(bound)
 	config.ObservePeer(6, time.Now(), 0)
-	is.True(!known.Behind())
+	is.True(!fresh.Behind())
 	time.Sleep(bound)
 	config.ObservePeer(6, time.Now(), 0)
-	is.True(known.Behind())
+	is.True(fresh.Behind())
 }
 
-// delayedStore is a store whose answers to calls for changes are in transit for a while.
+// delayedStore is a store whose responses to calls of Changes are in transit for delay.
 type delayedStore struct {
+	// started is when the store's clock was zero.
 	started time.Time
 	delay   time.Duration
-	// made is the store's clock reading when the last such answer was made, in ns.
+	// made is the store's clock reading when the last such response was made, in ns.
 	made atomic.Int64
 }
 
@@ -131,8 +135,8 @@
 	return rows, nil
 }
 
-// The age of an answer that was long in transit counts from when the store made it.
-func TestKnowledgeIsAsOldAsTheStoreSays(t *testing.T) {
+// The age of a copy counts from when the store made its response, even if that was long in transit.
+func TestAgeIncludesTransitOfTheResponse(t *testing.T) {
 	is := is.New(t)
 	f := &delayedStore{started: time.Now().Add(-time.Hour), delay: 400 * time.Millisecond}
 	table, a := startTable(t, f, &largeGroup{})
@@ -144,8 +148,8 @@
 	is.True(time.Since(table.AsOf()) >= f.delay-50*time.Millisecond)
 }
 
-// Only the store's answers to this VM are reported to other VMs. A time that VMs passed back and
-// forth would never grow old.
+// The time that is reported to other VMs comes only from the store's responses to this VM. A time
+// that VMs passed back and forth would never grow old.
 func TestReportedTimesAreNotReportedAgain(t *testing.T) {
 	is := is.New(t)
 	config, _, _ := startIdle(t)
--- a/internal/watch/link.go
+++ b/internal/watch/link.go
@@ -8,31 +8,36 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// Link tracks whether the store is reachable, from the results of its followers' calls.
+// Link tracks whether this VM can reach the store, from the results of the calls of all tables that
+// share it.
 type Link struct {
 	log   *telemetry.Logger
 	clock storeClock
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// downSince holds the tables whose last call failed, by name, with the time at which the first
+	// of the successive failures was noticed.
 	downSince map[string]time.Time
-	// failedAt is when the last failed call began: the store was unreachable then.
-	failedAt   time.Time
-	regainedAt time.Time
+	// failedAt is when the latest of the calls that failed began: the store was unreachable then.
+	failedAt time.Time
+	// recoveredAt is when the store is assumed to have become reachable again after the last
+	// outage. It is zero if there has been none.
+	recoveredAt time.Time
 }
 
-// maxDetection limits how long after the start of a failed call the store is still assumed to
-// have been unreachable. A VM must meet its bounds 3 s after the last disturbance, according to
-// the user documentation. A target whose entry has gone must not be kept beyond that, and 200 ms
-// are left for requests on their way to it.
-const maxDetection = 3*time.Second - lapseGrace - 200*time.Millisecond
+// maxRecoveryDelay is the maximum time, from the start of a failed call, for which the store is
+// assumed to have stayed unreachable. According to the user documentation, a VM must meet its
+// bounds 3 s after the last disturbance. A target whose entry has gone must not be kept beyond
+// that, and 200 ms are left for requests on their way to it.
+const maxRecoveryDelay = 3*time.Second - removalGrace - 200*time.Millisecond
 
-// NewLink returns a Link that is up.
+// NewLink returns a Link on which no call has failed yet.
 func NewLink(log *telemetry.Logger) *Link {
 	return &Link{log: log, downSince: make(map[string]time.Time)}
 }
 
-// down records that a call for a table, begun at began, has failed.
-func (l *Link) down(table string, began time.Time, cause error) {
+// recordFailure records that a call for a table, begun at began, has failed.
+func (l *Link) recordFailure(table string, began time.Time, cause error) {
 	l.mu.Lock()
 	if began.After(l.failedAt) {
 		l.failedAt = began
@@ -47,13 +52,13 @@
 	}
 }
 
-// up records that a call for a table has succeeded.
-func (l *Link) up(table string) {
+// recordSuccess records that a call for a table has succeeded.
+func (l *Link) recordSuccess(table string) {
 	l.mu.Lock()
 	since, wasDown := l.downSince[table]
 	if wasDown {
 		delete(l.downSince, table)
-		l.regainedAt = l.backAt(clock.Now())
+		l.recoveredAt = l.recoveryTime(clock.Now())
 	}
 	l.mu.Unlock()
 	if wasDown {
@@ -62,11 +67,11 @@
 	}
 }
 
-// backAt returns when the store is assumed to have become reachable if that is noticed at now. A
-// call that had to time out, and the pause after it, may have hidden it for long. The caller must
-// hold l.mu.
-func (l *Link) backAt(now time.Time) time.Time {
-	if latest := l.failedAt.Add(maxDetection); latest.Before(now) {
+// recoveryTime returns when the store is assumed to have become reachable again if the first call
+// succeeds at now. That may be long before now, because a failed call had to time out and was
+// followed by a pause. The caller must hold l.mu.
+func (l *Link) recoveryTime(now time.Time) time.Time {
+	if latest := l.failedAt.Add(maxRecoveryDelay); latest.Before(now) {
 		return latest
 	}
 	return now
@@ -80,27 +85,27 @@
 	return down
 }
 
-// peerRegained records that another VM found the store reachable again sinceBack ago.
-func (l *Link) peerRegained(sinceBack time.Duration) {
+// peerRecovered records that another VM found the store reachable again sinceRecovery ago.
+func (l *Link) peerRecovered(sinceRecovery time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if at := clock.Now().Add(-sinceBack); at.After(l.regainedAt) {
-		l.regainedAt = at
+	if at := clock.Now().Add(-sinceRecovery); at.After(l.recoveredAt) {
+		l.recoveredAt = at
 	}
 }
 
-// SinceBack returns for at least how long the store has been reachable again. If a table's calls
-// still fail, it returns the time as if they succeeded now. It returns false if the store has not
-// been unreachable.
-func (l *Link) SinceBack() (time.Duration, bool) {
+// SinceRecovery returns for at least how long the store has been reachable since the last outage.
+// If calls still fail, it returns the time that would result if they succeeded now. It returns
+// false if there has been no outage.
+func (l *Link) SinceRecovery() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
 	switch {
 	case len(l.downSince) > 0:
-		return now.Sub(l.backAt(now)), true
-	case l.regainedAt.IsZero():
+		return now.Sub(l.recoveryTime(now)), true
+	case l.recoveredAt.IsZero():
 		return 0, false
 	}
-	return now.Sub(l.regainedAt), true
+	return now.Sub(l.recoveredAt), true
 }
--- a/internal/watch/offer.go
+++ b/internal/watch/offer.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// maxOffers limits the queue of forwarded changes.
-	maxOffers = 32
-	// idleCheck is how often an idle VM checks whether it must watch the store itself. It is
-	// shorter than the time after which a silent VM counts as failed.
+	// maxForwarded is the capacity of the queue of forwarded changes.
+	maxForwarded = 32
+	// idleCheck is how often an idle VM, which does not long-poll the store, checks whether it has
+	// become a sentinel and must do so. It is shorter than the time after which a VM that sends no
+	// reports counts as failed.
 	idleCheck = 200 * time.Millisecond
 )
 
@@ -20,44 +21,46 @@
 // store instead.
 func (t *Table) Offer(d store.Delta) {
 	select {
-	case t.offers <- d:
+	case t.forwarded <- d:
 	default:
 		t.NotifyNewer(d.Rows.Revision)
 	}
 }
 
-// idle returns whether the VM makes no calls and waits for changes that sentinels forward.
+// idle returns whether this VM is to make no call now, but to wait for changes that sentinels
+// forward.
 func (t *Table) idle() bool { return !t.watchesStore() && !t.pollDue() }
 
-// waitForOffer waits for an offer, or until this VM may have to call the store itself.
-func (t *Table) waitForOffer(ctx context.Context) {
+// waitForForwarded waits for forwarded changes and applies them. It returns early if this VM may
+// have to call the store itself.
+func (t *Table) waitForForwarded(ctx context.Context) {
 	timer := time.NewTimer(idleCheck)
 	defer timer.Stop()
 	select {
-	case d := <-t.offers:
-		t.applyOffer(d)
+	case d := <-t.forwarded:
+		t.applyForwarded(d)
 	case <-t.wake:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// applyOffers applies the changes that arrived while this VM made a call. If its own calls fail,
-// other VMs may still be reachable.
-func (t *Table) applyOffers() {
+// applyAllForwarded applies the forwarded changes that arrived while this VM made a call. Sentinels
+// use them too: if their own calls fail, other VMs may still be reachable.
+func (t *Table) applyAllForwarded() {
 	for t.listed {
 		select {
-		case d := <-t.offers:
-			t.applyOffer(d)
+		case d := <-t.forwarded:
+			t.applyForwarded(d)
 		default:
 			return
 		}
 	}
 }
 
-// applyOffer applies changes that continue this copy. If some in between are missing, it requests
-// a poll instead.
-func (t *Table) applyOffer(d store.Delta) {
+// applyForwarded applies forwarded changes unless this copy has them already. If changes between
+// its revision and the first forwarded one may be missing, it requests a poll instead.
+func (t *Table) applyForwarded(d store.Delta) {
 	switch {
 	case d.Rows.Revision <= t.revision:
 		return
@@ -68,7 +71,7 @@
 	t.log.Info(telemetry.EventChangesForwarded, telemetry.F("table", t.name), telemetry.F("from", d.From),
 		telemetry.F("revision", d.Rows.Revision))
 	if d.AfterOutage {
-		t.link.peerRegained(d.SinceRecovery)
+		t.link.peerRecovered(d.SinceRecovery)
 	}
 	t.lastChange = d.Rows.Revision
 	t.raiseNewest(d.Rows)
@@ -76,9 +79,10 @@
 	t.setRevision(d.Rows.Revision)
 }
 
-// publish forwards changes to the idle VMs. from is the revision of the last change before them.
+// publish forwards changes to other VMs if this VM is a sentinel. from is the revision of the last
+// change before them.
 func (t *Table) publish(from uint64, rows store.Rows) {
 	d := store.Delta{From: from, Rows: rows}
-	d.SinceRecovery, d.AfterOutage = t.link.SinceBack()
+	d.SinceRecovery, d.AfterOutage = t.link.SinceRecovery()
 	t.group.Publish(t.name, d)
 }
--- a/internal/watch/offer_test.go
+++ b/internal/watch/offer_test.go
@@ -14,10 +14,12 @@
 	"garnethoist.org/garnethoist/internal/watch"
 )
 
-// largeGroup is a group whose sentinels forward the changes that they read.
+// largeGroup is a fake group whose sentinels forward the changes that they read.
 type largeGroup struct {
-	sentinel  atomic.Bool
-	mu        sync.Mutex
+	// sentinel says whether this VM is a sentinel.
+	sentinel atomic.Bool
+	mu       sync.Mutex
+	// published holds the changes that this VM forwarded.
 	published []store.Delta
 }
 
@@ -54,13 +56,17 @@
 	return a.revisions[len(a.revisions)-1]
 }
 
+// stepAt returns a response with one row, written at the given revision.
 func stepAt(revision uint64) step {
 	return step{rows: store.Rows{Revision: revision,
 		Rows: []store.Row{{Key: "k", Value: []byte(`{}`), Version: revision}}}}
 }
 
+// delta returns forwarded changes after revision from, with one row, written at revision to.
 func delta(from, to uint64) store.Delta { return store.Delta{From: from, Rows: stepAt(to).rows} }
 
+// startTable starts a table on a feed until the test ends, and returns it with the recorder of what
+// it applies. The options are called before the start.
 func startTable(t *testing.T, f store.Feed, g watch.Group,
 	options ...func(*watch.Table)) (*watch.Table, *recorder) {
 	t.Helper()
@@ -80,13 +86,14 @@
 	return table, a
 }
 
+// called returns the number of calls so far.
 func (f *feed) called() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.calls)
 }
 
-// A VM that receives all changes from sentinels makes no call.
+// A VM that receives all changes from sentinels makes no call after its first read of the table.
 func TestForwardedChangesNeedNoCall(t *testing.T) {
 	is := is.New(t)
 	f := &feed{steps: []step{stepAt(5)}}
@@ -118,9 +125,9 @@
 	is.Equal(a.revisions, []uint64{5, 9, 10})
 }
 
-// An idle VM polls when told of a newer version, and watches the store itself once it is a
-// sentinel.
-func TestIdleVMPollsWhenTold(t *testing.T) {
+// An idle VM polls when NotifyNewer reports a newer version. Once it is a sentinel, it watches the
+// store itself and publishes changes.
+func TestIdleVMPollsWhenNotified(t *testing.T) {
 	g := &largeGroup{}
 	f := &feed{steps: []step{stepAt(5), stepAt(6), stepAt(7)}}
 	table, a := startTable(t, f, g)
@@ -136,8 +143,8 @@
 	is.New(t).Equal(last.Rows.Revision, uint64(7))
 }
 
-// An idle VM whose poll fails tries again until it gets an answer.
-func TestIdleVMPollsUntilAnswered(t *testing.T) {
+// An idle VM whose poll fails polls again until the store responds.
+func TestIdleVMRetriesFailedPoll(t *testing.T) {
 	f := &feed{steps: []step{stepAt(5), {err: store.ErrUnavailable}, {err: store.ErrUnavailable},
 		stepAt(8)}}
 	table, a := startTable(t, f, &largeGroup{})
@@ -146,9 +153,10 @@
 	eventually(t, func() bool { return a.last() == 8 })
 }
 
-// Published changes follow the last change of the table: idle VMs have not seen revisions without
-// a change, and must not take them for a gap.
-func TestForwardedChangesFollowTheLastChange(t *testing.T) {
+// The field From of published changes is the revision of the last change before them, even if the
+// publishing VM has since read later revisions without a change. Idle VMs have not read those, and
+// would take a later From for a gap.
+func TestPublishedChangesFollowTheLastChange(t *testing.T) {
 	is := is.New(t)
 	g := &largeGroup{}
 	g.sentinel.Store(true)
@@ -165,7 +173,7 @@
 	is.Equal(g.published[0].From, uint64(5))
 }
 
-// slowFeed is a feed whose answers take a while, as on a narrow link.
+// slowFeed is a feed whose responses to calls of Changes take a while, as on a narrow link.
 type slowFeed struct {
 	feed
 	takes time.Duration
@@ -181,9 +189,9 @@
 	}
 }
 
-// Being told again of newer versions does not cancel the poll that is in progress for them.
-// Otherwise it would never be answered if an answer takes longer than the time between reports.
-func TestPollIsNotCancelledByNewerVersions(t *testing.T) {
+// Calling NotifyNewer again does not cancel the poll that is in progress for the newer version.
+// Otherwise no poll would succeed if a response takes longer than the time between reports.
+func TestNotifyNewerDoesNotCancelPoll(t *testing.T) {
 	f := &slowFeed{feed: feed{steps: []step{stepAt(5), stepAt(6)}}, takes: 200 * time.Millisecond}
 	table, a := startTable(t, f, &largeGroup{})
 	eventually(t, func() bool { return a.last() == 5 })
@@ -196,7 +204,8 @@
 	is.New(t).Equal(a.last(), uint64(6))
 }
 
-// lagStore is a store whose reads are older than what other VMs have read.
+// lagStore is a store that returns older rows than other VMs have read. calls counts the calls of
+// Changes.
 type lagStore struct{ calls atomic.Int64 }
 
 func (b *lagStore) ListRows(context.Context, string) (store.Rows, error) { return stepAt(5).rows, nil }
@@ -206,8 +215,8 @@
 	return store.Rows{Revision: 5}, nil
 }
 
-// A store that does not yet return what other VMs have read is polled again, but not without
-// pause: calls cost money, and all VMs would make them at once.
+// A store that does not yet return rows that other VMs have read is polled again, but not without
+// pause: calls cost money, and all VMs would make them at the same time.
 func TestPollsForMissingRowsAreRateLimited(t *testing.T) {
 	is := is.New(t)
 	f := &lagStore{}
@@ -222,9 +231,9 @@
 	is.True(n <= 4) // one poll per 800 ms
 }
 
-// A table of few, large rows is polled by listing it, because its changes would contain every
-// version of a row.
-func TestTableOfFewRowsIsListedOnPoll(t *testing.T) {
+// With SetListOnPoll, which is meant for tables of few, large rows, a poll reads the whole table,
+// because the changes would contain every version of a row.
+func TestTableIsListedOnPoll(t *testing.T) {
 	is := is.New(t)
 	g := &largeGroup{}
 	f := &feed{steps: []step{stepAt(5), stepAt(9), stepAt(10)}}
@@ -232,14 +241,14 @@
 	eventually(t, func() bool { return a.last() == 5 })
 	table.NotifyNewer(8)
 	eventually(t, func() bool { return a.last() == 9 })
-	g.sentinel.Store(true) // now it waits for changes itself
+	g.sentinel.Store(true) // a sentinel long-polls for changes
 	eventually(t, func() bool { return a.last() == 10 })
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	is.Equal(f.calls[:3], []string{"list", "list", "changes"})
 }
 
-// A sentinel whose own calls fail applies changes that another sentinel forwards.
+// A sentinel whose own calls fail still applies changes that another sentinel forwards.
 func TestCutOffSentinelAppliesForwardedChanges(t *testing.T) {
 	g := &largeGroup{}
 	g.sentinel.Store(true)
--- a/internal/watch/storeclock.go
+++ b/internal/watch/storeclock.go
@@ -5,53 +5,58 @@
 	"time"
 )
 
-// clockPeriod is the period over which the minimum delay of answers is taken; the previous period
-// counts too. Two clocks that drift by 100 parts per million differ by 60 ms after two periods.
-const clockPeriod = 5 * time.Minute
+// windowLength is the length of the windows over which storeClock keeps the minimum delay of the
+// store's responses. It uses the current and the previous window. Two clocks that drift by 100
+// parts per million differ by 60 ms after two windows.
+const windowLength = 5 * time.Minute
 
-// storeClock maps readings of the store's clock to local times. An answer may be delayed for
-// seconds, in the network or while this process is stopped.
+// storeClock maps readings of the store's clock to local times. The time at which a response
+// arrives does not tell when the store made it: it may be delayed for seconds, in the network or
+// while this process is stopped.
 type storeClock struct {
 	mu sync.Mutex
 	// zero is the estimated local time at which the store's clock was zero. It is too late by the
-	// minimum delay of the answers in this period. prevZero is the same for the previous period.
-	zero, prevZero time.Time
-	// floor is a lower bound of the local time at which the store's clock was zero: an answer is
-	// made after its call began. It is the latest bound of this period, and prevFloor that of the
-	// previous one.
-	floor, prevFloor time.Time
-	// periodEnd is when the period ends.
-	periodEnd time.Time
+	// minimum delay of the responses in the current window. previousZero is the estimate of the
+	// previous window.
+	zero, previousZero time.Time
+	// floor is a lower bound of the local time at which the store's clock was zero. Each response
+	// gives such a bound, because the store made it after the call began. floor is the latest
+	// bound of the current window, and previousFloor that of the previous window.
+	floor, previousFloor time.Time
+	// windowEnd is when the current window ends.
+	windowEnd time.Time
 }
 
-// driftSlack exceeds the drift between two clocks in two periods.
-const driftSlack = 100 * time.Millisecond
+// maxDrift exceeds the drift between two clocks in two windows.
+const maxDrift = 100 * time.Millisecond
 
-// observe returns the local time at which an answer was made. now is the store's clock reading in
-// it, began when the call began and received when the answer arrived.
-func (c *storeClock) observe(now time.Duration, began, received time.Time) time.Time {
+// observe returns the estimated local time at which the store made a response. storeTime is the
+// store's clock reading in the response, began is when the call began, and received is when the
+// response arrived.
+func (c *storeClock) observe(storeTime time.Duration, began, received time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	zero, floor := received.Add(-now), began.Add(-now)
-	if zero.Add(driftSlack).Before(later(c.floor, c.prevFloor)) {
+	zero, floor := received.Add(-storeTime), began.Add(-storeTime)
+	if zero.Add(maxDrift).Before(later(c.floor, c.previousFloor)) {
 		// The store's clock has been set.
-		c.prevZero, c.zero, c.prevFloor, c.floor, c.periodEnd = time.Time{}, zero, time.Time{}, floor, received.Add(clockPeriod)
+		c.previousZero, c.zero, c.previousFloor, c.floor, c.windowEnd =
+			time.Time{}, zero, time.Time{}, floor, received.Add(windowLength)
 	}
-	if received.After(c.periodEnd) {
-		c.prevZero, c.zero, c.periodEnd = c.zero, zero, received.Add(clockPeriod)
-		c.prevFloor, c.floor = c.floor, floor
+	if received.After(c.windowEnd) {
+		c.previousZero, c.zero, c.windowEnd = c.zero, zero, received.Add(windowLength)
+		c.previousFloor, c.floor = c.floor, floor
 	}
 	c.zero, c.floor = earlier(zero, c.zero), later(floor, c.floor)
-	return earlier(c.zero, c.prevZero).Add(now)
+	return earlier(c.zero, c.previousZero).Add(storeTime)
 }
 
-// earliest returns a local time that is not after the moment at which the store's clock read now.
-// It returns false before the first answer.
-func (c *storeClock) earliest(now time.Duration) (time.Time, bool) {
+// earliest returns a lower bound of the local time at which the store's clock read storeTime. It
+// returns false before the first response.
+func (c *storeClock) earliest(storeTime time.Duration) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	floor := later(c.floor, c.prevFloor)
-	return floor.Add(now - driftSlack), !floor.IsZero()
+	floor := later(c.floor, c.previousFloor)
+	return floor.Add(storeTime - maxDrift), !floor.IsZero()
 }
 
 // earlier returns the earlier of two times. A zero b is ignored.
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,7 +1,10 @@
-// Package watch keeps a local copy of tables in the store. It lists a table once and then follows
+// Package watch keeps local copies of tables in the store. It reads a table once and then follows
 // its changes by long polling. While the store is unreachable, the last state stays in use. In a
-// large group only a few VMs, the sentinels, long-poll the store. They forward changes to the
-// other VMs, which call the store only for what they have missed.
+// large group only a few VMs, the sentinels, long-poll the store. They forward changes to the other
+// VMs, which are idle: they call the store only for changes that they have missed.
+//
+// A copy is confirmed when a response of the store, or the report of another VM, shows that it
+// holds all rows of the store as of some time.
 package watch
 
 import (
@@ -28,30 +31,32 @@
 	// pollWait is the timeout of a poll, a call that does not wait for changes. Idle VMs poll
 	// only for what they have missed. Any VM polls after a failed call: in a long poll, a
 	// connection that has gone silent would make the store appear unreachable for the whole
-	// timeout. Some stores take zero as no timeout.
+	// timeout. pollWait is not zero, because some stores take zero as no timeout.
 	pollWait = time.Millisecond
-	// callGapPerVM times the number of VMs in the group is the least time between two calls of
-	// one VM. Changes in quick succession are read in one call, and the number of calls of all
-	// VMs together does not grow with the group.
+	// callGapPerVM times the number of VMs in the group is the minimum time between two calls of
+	// one VM, up to maxCallGap. Changes in quick succession are read in one call, and the number
+	// of calls of all VMs together does not grow with the group.
 	callGapPerVM = 6 * time.Millisecond
-	// maxCallGap keeps the delay of changes well within the two seconds allowed.
+	// maxCallGap limits that time, so that changes are read well within the two seconds allowed.
 	maxCallGap = 400 * time.Millisecond
-	// pollGap is the least time between two polls for newer rows of other VMs: versions in quick succession are read in one call.
-	// Together with the grace period of reports and a sentinel's own
+	// pollGap is the minimum time between two polls for newer rows of other VMs, and between two
+	// polls for callers of Confirm. Versions in quick succession are read in one call. Including
+	// the time for which package peers waits before it calls NotifyNewer, and a sentinel's own
 	// call gap, a change still takes less than the two seconds that the strictest installation
 	// allows.
 	pollGap = 800 * time.Millisecond
 	// joinWait is how long the first call waits until the members of the group are known. It
 	// exceeds the time over which the VMs of a starting group register.
 	joinWait = 3 * time.Second
-	// Backoff between failed calls. A process that has just lost the store retries soon, one that
-	// has waited for long retries less often.
+	// firstBackoff and maxBackoff are the first and the longest pause after a failed call. A
+	// process that has just lost the store retries soon, one that has retried for long does so
+	// less often.
 	firstBackoff = 50 * time.Millisecond
 	maxBackoff   = 800 * time.Millisecond
 )
 
 // Apply applies rows to the local state. If full is true, the rows are the whole table, otherwise
-// its changes.
+// they are changes of it.
 type Apply func(rows store.Rows, full bool)
 
 // Table is the local copy of one table. Its exported methods are safe for concurrent use.
@@ -64,52 +69,54 @@
 	link  *Link
 	group Group
 
-	// revision is the newest applied revision, and lastChange the revision at which the table
-	// last changed or was listed: no row has changed between the two. Only followLoop uses
-	// revision, lastChange and listed.
+	// revision is the newest applied revision of the store. lastChange is the revision at which the
+	// table last changed or was read whole; no row has changed between the two. listed is true once
+	// the whole table has been read, until the store loses its history. Only followLoop uses these
+	// fields.
 	revision   uint64
 	lastChange uint64
 	listed     bool
 	// newest is the highest version of an applied row.
 	newest atomic.Uint64
-	// sharedRevision is revision, for use by other goroutines.
+	// sharedRevision is a copy of revision for use by other goroutines.
 	sharedRevision atomic.Uint64
 
-	// listOnPoll says that polls list the table, see SetListOnPoll.
+	// listOnPoll says that polls read the whole table, see SetListOnPoll.
 	listOnPoll bool
 
-	// offers are the changes that sentinels have forwarded. wake signals that a poll is due.
-	offers chan store.Delta
-	wake   chan struct{}
+	// forwarded queues the changes that sentinels have forwarded. wake signals that a poll is due.
+	forwarded chan store.Delta
+	wake      chan struct{}
 
+	// mu guards the fields below.
 	mu sync.Mutex
-	// cancel cancels the long poll in progress, if any. interrupted says that it was cancelled in
-	// order to poll.
+	// cancel cancels the long poll in progress, if any. interrupted says that a long poll was
+	// cancelled in order to poll.
 	cancel      context.CancelFunc
 	interrupted bool
-	// wantedVersion is the highest version that another VM is known to have read. nextPoll is
-	// when the next poll for it may be made.
+	// wantedVersion is the highest version that NotifyNewer has reported. nextPoll is when the
+	// next poll for it may be made.
 	wantedVersion uint64
 	nextPoll      time.Time
-	// asOf is a time at which this copy held all rows of the store. readAt is the same by the
-	// store's answers to this VM only.
+	// asOf and readAt are the results of AsOf and ReadAt.
 	asOf   time.Time
 	readAt time.Time
-	// asOfStoreTime is asOf, and readStoreTime readAt, on the store's clock. lastCallBegan is
-	// when the last answered call began; it replaces asOfStoreTime if the store states no clock.
+	// asOfStoreTime and readStoreTime are the store's clock readings at asOf and readAt.
+	// lastCallBegan is when the last call began that the store responded to. It is used instead of
+	// asOfStoreTime if the responses state no clock reading.
 	asOfStoreTime time.Duration
 	readStoreTime time.Duration
 	lastCallBegan time.Time
-	// aheadVersion is the highest version of another VM's copy that this copy has not reached.
-	// aheadAsOf is the latest asOf of such copies, and aheadSince when the first such version was
-	// reported.
+	// aheadVersion is the highest version that another VM has reported to ObservePeer and that
+	// this copy had not reached then. aheadAsOf is the latest asOf of such reports, and aheadSince
+	// when the first of them arrived.
 	aheadVersion uint64
 	aheadAsOf    time.Time
 	aheadSince   time.Time
 	// confirmed, if not nil, is closed when asOf advances.
 	confirmed chan struct{}
-	// confirm says that a caller waits for that. nextConfirm is when the next poll for callers
-	// may be made.
+	// confirm says that a poll for callers of Confirm is due. nextConfirm is when the next such
+	// poll may be requested.
 	confirm     bool
 	nextConfirm time.Time
 }
@@ -123,27 +130,27 @@
 	Sentinel() bool
 	// Size returns the number of VMs.
 	Size() int
-	// ForwardsChanges returns whether sentinels forward the changes that they read, so that other VMs
-	// need not call the store.
+	// ForwardsChanges returns whether sentinels forward the changes that they read, so that other
+	// VMs need not call the store.
 	ForwardsChanges() bool
 	// Publish forwards changes of a table to other VMs if this VM is a sentinel and the group
 	// forwards changes.
 	Publish(table string, d store.Delta)
 }
 
-// NewTable returns a Table that follows the store's table of the given name. All tables of one
-// store share a link. apply is called from one goroutine.
+// NewTable returns a Table that follows the store's table of the given name once it is started. All
+// tables of one store share a link. apply is called from one goroutine.
 func NewTable(feed store.Feed, name string, link *Link, group Group, apply Apply,
 	log *telemetry.Logger) *Table {
 	return &Table{
 		feed: feed, name: name, link: link, group: group, apply: apply, log: log,
-		offers: make(chan store.Delta, maxOffers), wake: make(chan struct{}, 1),
+		forwarded: make(chan store.Delta, maxForwarded), wake: make(chan struct{}, 1),
 	}
 }
 
-// SetListOnPoll makes polls list the whole table. It is meant for tables of few, large rows: changes
-// contain every version of a row, and on a narrow link several versions take longer to transfer
-// than a change may take. It must be called before Start.
+// SetListOnPoll makes polls read the whole table instead of its changes. It is meant for tables of
+// few, large rows: changes contain every version of a row, and on a narrow link several versions
+// take longer to transfer than a change may take. It must be called before Start.
 func (t *Table) SetListOnPoll() { t.listOnPoll = true }
 
 // Name returns the table's name.
@@ -152,9 +159,10 @@
 // Newest returns the highest version of an applied row.
 func (t *Table) Newest() uint64 { return t.newest.Load() }
 
-// NotifyNewer reports that another VM has read a row of the given version. If this copy has not reached
-// it, the table polls as soon as pollGap allows. A long poll is cancelled, because it may be on a
-// dead connection; a poll is not, because it ends by itself.
+// NotifyNewer tells the table that another VM has read a row of the given version. If this copy has
+// not reached that version, the table polls as soon as pollGap allows. For this it cancels a long
+// poll in progress, which may be on a dead connection. It does not cancel a poll, which ends soon
+// in any case.
 func (t *Table) NotifyNewer(version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,7 +172,7 @@
 	}
 }
 
-// triggerPoll wakes the loop for a poll and cancels a long poll in progress. The caller must hold
+// triggerPoll wakes followLoop for a poll and cancels a long poll in progress. The caller must hold
 // t.mu.
 func (t *Table) triggerPoll() {
 	if t.cancel != nil {
@@ -177,21 +185,21 @@
 	}
 }
 
-// pollDueLocked is pollDue for callers that hold t.mu.
+// pollDueLocked is like pollDue, but the caller must hold t.mu.
 func (t *Table) pollDueLocked() bool {
 	return t.confirm || (t.wantedVersion > t.sharedRevision.Load() && !clock.Now().Before(t.nextPoll))
 }
 
-// pollDue returns whether the next call must be a poll: for a newer version of other VMs, or for
-// callers of Confirm.
+// pollDue returns whether the next call must be a poll: for a newer version that another VM has
+// read, or for callers of Confirm.
 func (t *Table) pollDue() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.pollDueLocked()
 }
 
-// beginCall returns pollDue for the call that now begins, and clears confirm: callers of Confirm
-// that come later need another call.
+// beginCall returns whether the call that now begins must be a poll. It clears confirm, because
+// later callers of Confirm need another call.
 func (t *Table) beginCall() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -200,15 +208,16 @@
 	return poll
 }
 
-// polled records that a poll has been answered.
-func (t *Table) polled() {
+// recordPoll records that the store has responded to a poll.
+func (t *Table) recordPoll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.nextPoll = clock.Now().Add(pollGap)
 }
 
-// longPoll makes one call that waits for changes. triggerPoll can cancel it.
-func (t *Table) longPoll(ctx context.Context, f func(ctx context.Context) (store.Rows, error)) (store.Rows, error) {
+// longPoll calls f, which waits for changes. triggerPoll can cancel the call.
+func (t *Table) longPoll(ctx context.Context,
+	f func(ctx context.Context) (store.Rows, error)) (store.Rows, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	t.mu.Lock()
@@ -231,13 +240,13 @@
 	return interrupted
 }
 
-// setRevision records that all changes up to a revision have been applied.
+// setRevision records that all changes up to the given revision have been applied.
 func (t *Table) setRevision(revision uint64) {
 	t.revision = revision
 	t.sharedRevision.Store(revision)
 }
 
-// raiseNewest raises newest to the highest version of the rows.
+// raiseNewest raises t.newest to the highest version of the rows, unless it is higher already.
 func (t *Table) raiseNewest(rows store.Rows) {
 	for _, r := range rows.Rows {
 		if r.Version > t.newest.Load() {
@@ -246,15 +255,15 @@
 	}
 }
 
-// Start starts to follow the table in the background.
+// Start starts to follow the table in the background. It never fails.
 func (t *Table) Start(context.Context) error {
 	t.Run(t.followLoop)
 	return nil
 }
 
-// awaitGroup waits until the members of the group are known, at most for joinWait, so that only
-// the group's sentinels watch the store. Without it every VM would take itself for a sentinel. If
-// the members cannot be listed, the VM goes on by itself.
+// awaitGroup waits until the members of the group are known, but not longer than joinWait. Until
+// then every VM takes itself for a sentinel, and all would watch the store. After joinWait the VM
+// does so without knowing the other members.
 func (t *Table) awaitGroup(ctx context.Context) {
 	timer := time.NewTimer(joinWait)
 	defer timer.Stop()
@@ -265,17 +274,17 @@
 	}
 }
 
-// followLoop lists the table and follows its changes until ctx ends.
+// followLoop reads the table and follows its changes until ctx ends.
 func (t *Table) followLoop(ctx context.Context) {
 	t.awaitGroup(ctx)
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval, wait.MaxInterval = firstBackoff, maxBackoff
 	for ctx.Err() == nil {
 		if t.listed && t.idle() {
-			t.waitForOffer(ctx)
+			t.waitForForwarded(ctx)
 			continue
 		}
-		t.applyOffers()
+		t.applyAllForwarded()
 		poll := t.beginCall()
 		began := clock.Now()
 		err := t.callStore(ctx, poll || !t.watchesStore())
@@ -284,9 +293,9 @@
 		}
 		if err == nil {
 			wait.Reset()
-			t.link.up(t.name)
+			t.link.recordSuccess(t.name)
 			if poll {
-				t.polled()
+				t.recordPoll()
 			}
 			kernel.Sleep(ctx, min(maxCallGap, time.Duration(t.group.Size())*callGapPerVM))
 			continue
@@ -299,16 +308,18 @@
 		if interrupted {
 			continue
 		}
-		t.link.down(t.name, began, err)
+		t.link.recordFailure(t.name, began, err)
 		kernel.Sleep(ctx, wait.NextBackOff())
 	}
 }
 
-// errStale is returned when a read returns a revision older than one already applied.
+// errStale is the error of a call to which the store responds with an older revision than this copy
+// has already applied.
 var errStale = errors.New("watch: the store returned an older revision than the one already applied")
 
-// callStore makes one call and applies its answer: a poll if poll is true, otherwise a long poll.
-// It lists the table if that has not been done yet, or if polls list it.
+// callStore makes one call to the store and applies the response. The call is a poll if poll is
+// true, otherwise a long poll. It reads the whole table if that has not been done yet, if polls do
+// so (see SetListOnPoll), or if the store no longer has the changes.
 func (t *Table) callStore(ctx context.Context, poll bool) error {
 	if !t.listed || (poll && t.listOnPoll) {
 		return t.list(ctx)
@@ -334,15 +345,16 @@
 		t.apply(rows, false)
 	}
 	t.setRevision(rows.Revision)
-	t.recordAnswer(rows, began)
+	t.recordResponse(rows, began)
 	if len(rows.Rows) > 0 {
 		t.publish(from, rows)
 	}
 	return nil
 }
 
-// changes calls the store for changes. After a failed call it does not wait for one, so that the
-// next answer shows whether the store is back.
+// changes calls the store for changes. The call is a poll if poll is true, and also if the last
+// call failed, so that the response shows at once whether the store is reachable again. Otherwise
+// it is a long poll.
 func (t *Table) changes(ctx context.Context, poll bool) (store.Rows, error) {
 	if poll || t.link.isDown(t.name) {
 		return t.feed.Changes(ctx, t.name, t.revision, pollWait)
@@ -373,12 +385,13 @@
 	t.raiseNewest(rows)
 	t.apply(rows, true)
 	t.setRevision(rows.Revision)
-	t.recordAnswer(rows, began)
+	t.recordResponse(rows, began)
 	return nil
 }
 
-// recordAnswer records the time of an answer that has been applied. began is when its call began.
-func (t *Table) recordAnswer(rows store.Rows, began time.Time) {
+// recordResponse records the time as of which a response that has been applied was current. began
+// is when its call began.
+func (t *Table) recordResponse(rows store.Rows, began time.Time) {
 	at := began
 	if rows.StoreTime > 0 {
 		at = t.link.clock.observe(rows.StoreTime, began, clock.Now())
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -19,18 +19,22 @@
 
 // feed is a scripted store: each call returns the next step, and calls after the last step fail.
 type feed struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// steps are the steps that are left.
 	steps []step
+	// calls holds "list" for each call of ListRows and "changes" for each call of Changes.
 	calls []string
-	// waits are the timeouts of the calls for changes.
+	// waits are the timeouts of the calls of Changes.
 	waits []time.Duration
 }
 
+// step is the result of one call.
 type step struct {
 	rows store.Rows
 	err  error
 }
 
+// next records a call and returns the next step.
 func (f *feed) next(call string) (store.Rows, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,12 +57,14 @@
 	return f.next("changes")
 }
 
+// left returns the number of steps that are left.
 func (f *feed) left() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.steps)
 }
 
+// eventually fails the test unless ok returns true within 5 s.
 func eventually(t *testing.T, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -89,7 +95,8 @@
 
 func row(key string) store.Row { return store.Row{Key: key, Value: []byte(`{}`)} }
 
-// follow runs a table through the steps and returns what it applied and the calls that it made.
+// follow runs a table through the steps. It returns the rows that the table applied, whether they
+// were the whole table, and the calls that it made.
 func follow(t *testing.T, steps []step) (applied []store.Rows, full []bool, calls []string) {
 	t.Helper()
 	f := &feed{steps: steps}
@@ -110,19 +117,21 @@
 	return applied, full, f.calls
 }
 
-func TestFollowerListsOnceAndThenTakesChanges(t *testing.T) {
+// A table is read whole once, and then its changes are read.
+func TestTableIsListedOnceAndThenChangesAreRead(t *testing.T) {
 	is := is.New(t)
 	applied, full, calls := follow(t, []step{
 		{rows: store.Rows{Rows: []store.Row{row("a")}, Revision: 5}},
 		{rows: store.Rows{Revision: 6}},
 		{rows: store.Rows{Rows: []store.Row{row("b")}, Revision: 8}},
 	})
-	is.Equal(full, []bool{true, false}) // the answer without rows is not applied
+	is.Equal(full, []bool{true, false}) // the response without rows is not applied
 	is.Equal(applied[1].Revision, uint64(8))
 	is.Equal(calls[:3], []string{"list", "changes", "changes"})
 }
 
-func TestFailuresKeepTheRevision(t *testing.T) {
+// After failed calls the table goes on with changes and is not read whole again.
+func TestFailedCallsDoNotCauseAnotherList(t *testing.T) {
 	is := is.New(t)
 	_, _, calls := follow(t, []step{
 		{rows: store.Rows{Revision: 5}},
@@ -133,9 +142,9 @@
 	is.Equal(calls[:4], []string{"list", "changes", "changes", "changes"})
 }
 
-// The call after a failed one is a poll, so that the store's return is noticed at once and not
+// The call after a failed one is a poll, so that the end of an outage is noticed at once and not
 // after a long poll.
-func TestCallAfterAFailureDoesNotWait(t *testing.T) {
+func TestCallAfterAFailureIsAPoll(t *testing.T) {
 	is := is.New(t)
 	f := &feed{steps: []step{
 		{rows: store.Rows{Revision: 5}}, {rows: store.Rows{Revision: 5}},
@@ -155,7 +164,9 @@
 	is.True(f.waits[4] > soon)
 }
 
-func TestLostHistoryIsListedAgainButNeverOlder(t *testing.T) {
+// If the store no longer has the changes, the table is read whole again. A stale read is not
+// applied.
+func TestTableIsListedAgainWhenHistoryIsGone(t *testing.T) {
 	is := is.New(t)
 	applied, full, _ := follow(t, []step{
 		{rows: store.Rows{Rows: []store.Row{row("a")}, Revision: 9}},
@@ -167,15 +178,15 @@
 	is.Equal(applied[1].Rows[0].Key, "new")
 }
 
-// lapseFixture is a fleet with the link that it uses.
-type lapseFixture struct {
+// fleetFixture is a fleet of two targets, i-a and i-b, with the link that it uses.
+type fleetFixture struct {
 	keeper *fleet.Keeper
 	link   *watch.Link
 	fleet  *watch.Fleet
 }
 
-func newLapseFixture() *lapseFixture {
-	w := &lapseFixture{keeper: fleet.NewKeeper(), link: watch.NewLink(telemetry.Discard())}
+func newFleetFixture() *fleetFixture {
+	w := &fleetFixture{keeper: fleet.NewKeeper(), link: watch.NewLink(telemetry.Discard())}
 	d := watch.Decoder{
 		ConfigKey: "config",
 		Config: func(value []byte) (*fleet.Config, error) {
@@ -190,12 +201,14 @@
 	return w
 }
 
-func (w *lapseFixture) lists(id string) bool {
+// has returns whether the fleet has the target.
+func (w *fleetFixture) has(id string) bool {
 	return w.keeper.View().Has(&fleet.Target{ID: id, Service: "s"})
 }
 
-// reconnect takes the link down and up again.
-func (w *lapseFixture) reconnect(t *testing.T) {
+// reconnect makes a call on the link fail and the next one succeed, as after a short outage of the
+// store.
+func (w *fleetFixture) reconnect(t *testing.T) {
 	t.Helper()
 	f := &feed{steps: []step{{err: store.ErrUnavailable}, {rows: store.Rows{Revision: 1}}}}
 	table := watch.NewTable(f, "t", w.link, soloGroup{}, func(store.Rows, bool) {}, telemetry.Discard())
@@ -208,41 +221,46 @@
 	}
 }
 
-func TestRemovedTargetGoesAtOnceWhileTheStoreIsThere(t *testing.T) {
+// Without an outage of the store, a target whose entry is removed is removed at once.
+func TestTargetIsRemovedAtOnceWithoutAnOutage(t *testing.T) {
 	is := is.New(t)
-	w := newLapseFixture()
+	w := newFleetFixture()
 	w.fleet.ApplyTargets(store.Rows{Rows: []store.Row{{Key: "i-a", Removed: true}}, Revision: 2}, false)
-	is.True(!w.lists("i-a"))
-	is.True(w.lists("i-b"))
+	is.True(!w.has("i-a"))
+	is.True(w.has("i-b"))
 }
 
-func TestLapsedTargetStaysForAWhileAfterTheStoreCameBack(t *testing.T) {
+// A target whose entry disappears just after an outage of the store is kept for removalGrace, and
+// stays if it registers again in that time. Later, targets are removed at once again.
+func TestTargetIsKeptForAWhileAfterAnOutage(t *testing.T) {
 	is := is.New(t)
-	w := newLapseFixture()
+	w := newFleetFixture()
 	w.reconnect(t)
 	w.fleet.ApplyTargets(store.Rows{Rows: []store.Row{row("i-b")}, Revision: 2}, true)
-	is.True(w.lists("i-a")) // its entry may only have lapsed
+	is.True(w.has("i-a")) // the entry may have expired only because of the outage
 	w.fleet.ApplyTargets(store.Rows{Rows: []store.Row{row("i-a")}, Revision: 3}, false)
 	time.Sleep(2 * time.Second)
-	is.True(w.lists("i-a")) // it has registered again
+	is.True(w.has("i-a")) // the target has registered again
 	w.fleet.ApplyTargets(store.Rows{Rows: []store.Row{{Key: "i-b", Removed: true}}, Revision: 4}, false)
-	is.True(!w.lists("i-b")) // the store has been back for longer than the grace period
+	is.True(!w.has("i-b")) // the outage ended more than removalGrace ago
 }
 
-func TestLapsedTargetThatDoesNotComeBackIsGone(t *testing.T) {
+// A target whose entry disappears just after an outage and that does not register again is removed.
+func TestTargetThatDoesNotRegisterAgainIsRemoved(t *testing.T) {
 	is := is.New(t)
-	w := newLapseFixture()
+	w := newFleetFixture()
 	w.reconnect(t)
 	w.fleet.ApplyTargets(store.Rows{Rows: []store.Row{row("i-b")}, Revision: 2}, true)
-	is.True(w.lists("i-a"))
-	eventually(t, func() bool { return !w.lists("i-a") })
+	is.True(w.has("i-a"))
+	eventually(t, func() bool { return !w.has("i-a") })
 }
 
-// failingStore is a store whose first call for changes fails after a while, as on a cut link. The
-// next one says that a target is gone.
+// failingStore is a store whose first call of Changes fails after a while, as on a link that is
+// cut. The next one returns the removal of a target.
 type failingStore struct {
+	// takes is how long the first call of Changes takes.
 	takes time.Duration
-	// began is when the first call for changes began, once it has.
+	// began is when the first call of Changes began, or nil before that.
 	began atomic.Pointer[time.Time]
 }
 
@@ -266,22 +284,22 @@
 
 // Guards against sending requests to a target 3.4 s after its entry disappeared, although the VM
 // had been undisturbed for 3 s. A VM is cut off from the store, the entry disappears, and the cut
-// ends during a call that must time out. The VM learns of the missing entry after the timeout and
-// a pause, and keeps the target for another 1.7 s because the entry may only have lapsed. The
-// store's return had been counted from the VM's first answer, up to 1.5 s after the cut's end.
-// The logs showed store_call_failed ms=700, store_regained 1.5 s after the cut's end, and
-// gone=true lapsed=true another 1.7 s later.
-func TestLapsedTargetIsKeptFromWhenTheStoreMayHaveBeenBack(t *testing.T) {
+// ends during a call that must time out. The VM learns of the removal after the timeout and a
+// pause, and keeps the target for another 1.7 s, because the entry may have expired only because of
+// the outage. The end of the outage had been taken to be the first response to the VM, up to 1.5 s
+// after the end of the cut. The logs showed store_call_failed ms=700, store_regained 1.5 s after
+// the end of the cut, and gone=true lapsed=true another 1.7 s later.
+func TestRemovalGraceCountsFromTheEndOfTheCut(t *testing.T) {
 	is := is.New(t)
-	w := newLapseFixture()
+	w := newFleetFixture()
 	f := &failingStore{takes: 1300 * time.Millisecond}
 	table := watch.NewTable(f, "t", w.link, soloGroup{}, w.fleet.ApplyTargets, telemetry.Discard())
 	is.NoErr(table.Start(context.Background()))
 	eventually(t, func() bool { return f.began.Load() != nil })
 	began := *f.began.Load()
 	time.Sleep(time.Until(began.Add(2 * time.Second)))
-	is.True(w.lists("i-a")) // its entry may only have lapsed
+	is.True(w.has("i-a")) // the entry may have expired only because of the outage
 	time.Sleep(time.Until(began.Add(2900 * time.Millisecond)))
-	is.True(!w.lists("i-a"))
+	is.True(!w.has("i-a"))
 	is.NoErr(table.Stop(context.Background()))
 }
