--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -8,61 +8,70 @@
 )
 
 const (
-	// suspectCrashes is the number of crashes from which a request is a suspect, and
-	// quarantineCrashes the number from which it is quarantined, that is, kept from all targets.
-	// With two, a request that twice happened to run beside the one at fault would be refused.
+	// suspectCrashes is the minimum number of crashes of a suspect, and quarantineCrashes that of a
+	// request that is quarantined, that is, kept from all targets for a time. If two crashes were
+	// enough, a request that twice happened to run on the same target as the one at fault would
+	// be refused.
 	suspectCrashes    = 2
 	quarantineCrashes = 3
-	// BlameWindow is how long after a request's first event a crash of its target may be blamed on it.
-	// A request that runs for longer is not at fault, and a target that crashes later, with other
-	// requests running, says nothing about it.
+	// BlameWindow is how long after the first event of a request's answer a crash of its target may
+	// be blamed on the request. A request that runs for longer is not at fault: when a target
+	// crashes later, while it runs other requests too, that says nothing about this one.
 	BlameWindow = 500 * time.Millisecond
-	// othersFactor is how many times longer all other VMs wait than the VM that runs the trial:
-	// that VM may be down, or may not receive the request.
+	// othersFactor is how many times longer than the VM that runs the trial all other VMs keep a
+	// request from their targets. They may send it after that, because the VM that runs the trial
+	// may be down, or may not receive the request.
 	othersFactor = 12
-	// maxTerm is the longest quarantine, used once all trials have failed.
-	maxTerm = 24 * time.Hour
-	// minRetention is how long the crashes of a request that is not quarantined are remembered.
-	minRetention = 10 * time.Minute
-	// maxCrashes limits the crashes kept for one request. More would not lengthen its quarantine.
+	// maxBlockTime is the longest quarantine. It follows each crash after the trials at
+	// trialDelays.
+	maxBlockTime = 24 * time.Hour
+	// retention is how long the crashes of a request that is not quarantined are remembered.
+	retention = 10 * time.Minute
+	// maxCrashes is the maximum number of crashes kept for one request. More would not lengthen its
+	// quarantine.
 	maxCrashes = 16
 )
 
 // ID identifies a request in the table.
 type ID struct {
+	// Key is the result of Request.Key, and Fingerprint that of Request.Fingerprint.
 	Key         uint64
 	Fingerprint Fingerprint
 }
 
-// Crash describes the unexpected end of a target's run, soon after the target began to run a request.
+// Crash describes the unexpected end of a target's process soon after the target began to run a
+// request.
 type Crash struct {
-	// Run identifies the target's run.
+	// Run identifies the target's run, that is, one process of it. A restarted target has another
+	// run.
 	Run string
 	// Began is when the request was sent to the target, and At when the target crashed.
 	Began time.Time
 	At    time.Time
 }
 
-// crash is a crash of a target under a request.
+// crash is a crash of a target that had begun to run a request.
 type crash struct {
+	// began and at are the fields Began and At of Crash.
 	began time.Time
 	at    time.Time
-	// cleared is set once the request has run successfully on another target, so it was not at
-	// fault.
+	// cleared is true once the request has run successfully on another target. The crash was then
+	// not the request's fault and is no longer counted.
 	cleared bool
 }
 
-// entry is the state of one request. crashes is keyed by the hash of the target's run. All
-// methods require that the caller holds Table.mu.
+// entry is the state of one request. All methods require that the caller holds Table.mu.
 type entry struct {
-	id      ID
-	source  uint64
+	id ID
+	// source is the hash of Request.Source.
+	source uint64
+	// crashes is keyed by the hash of the target's run.
 	crashes map[uint64]crash
-	// crashCount is the number of successive crashes that are not cleared. lastCrash is the time of
-	// the latest crash, cleared or not.
+	// crashCount is the number of successive crashes that are not cleared, see countSuccessive.
 	crashCount int
-	lastCrash  time.Time
-	// trials is the number of sends of the request that this VM has in progress.
+	// lastCrash is the time of the latest crash, cleared or not.
+	lastCrash time.Time
+	// trials is the number of trials of the request that this VM has in progress.
 	trials int
 }
 
@@ -81,10 +90,11 @@
 	e.crashCount = countSuccessive(counted)
 }
 
-// countSuccessive counts crashes that happened one after another. Of crashes whose runs
-// overlapped in time, only one counts: copies of one request run on many targets, and when these
-// crash together, as in a power failure, the cause is something that they share. A request that
-// crashes its targets will also crash the next target that it is sent to.
+// countSuccessive counts crashes of targets to which the request was sent one after another. Of
+// crashes of targets that ran the request concurrently, only one counts: if copies of one request
+// run on many targets and these crash together, as in a power failure, the cause may be something
+// that the targets share. A request that does crash its targets will also crash the next target
+// that it is sent to, and that crash counts. It sorts crashes.
 func countSuccessive(crashes []crash) int {
 	slices.SortFunc(crashes, func(a, b crash) int { return a.at.Compare(b.at) })
 	n := 0
@@ -98,60 +108,63 @@
 	return n
 }
 
-// trialTerms are the shortest times after the third, fourth and fifth crash until one VM sends
-// the request again. A request that many callers send alike may have run beside another one at
-// each of its crashes, and the first trial soon shows that. A request that does crash its targets
-// crashes three more; after these it is tried once every maxTerm.
-var trialTerms = []time.Duration{5 * time.Second, time.Minute, 10 * time.Minute}
+// trialDelays are the minimum times after the third, fourth and fifth crash before one VM sends the
+// request to a target again, as a trial. A request that many callers send in identical copies may
+// each time have run on the same target as the one at fault, and the first trial soon shows that.
+// A request that does crash its targets crashes three more targets in these trials. After that
+// there is one trial every maxBlockTime.
+var trialDelays = []time.Duration{5 * time.Second, time.Minute, 10 * time.Minute}
 
-// trialTerm returns how long a request is kept from all targets after the last of n crashes.
-func trialTerm(n int) time.Duration {
+// trialDelay returns the minimum time after the last of n crashes before the trial.
+func trialDelay(n int) time.Duration {
 	switch i := n - quarantineCrashes; {
 	case i < 0:
 		return 0
-	case i < len(trialTerms):
-		return trialTerms[i]
+	case i < len(trialDelays):
+		return trialDelays[i]
 	}
-	return maxTerm
+	return maxBlockTime
 }
 
-// term returns how long VMs other than the one that runs the trial keep a request from all
-// targets after the last of n crashes.
-func term(n int) time.Duration { return min(othersFactor*trialTerm(n), maxTerm) }
+// blockTime returns how long after the last of n crashes a request stays quarantined, and is thus
+// blocked, on the VMs that do not run the trial.
+func blockTime(n int) time.Duration { return min(othersFactor*trialDelay(n), maxBlockTime) }
 
-// quarantineEnd returns when the quarantine ends for all VMs.
-func (e *entry) quarantineEnd() time.Time { return e.lastCrash.Add(term(e.crashCount)) }
+// quarantineEnd returns when the quarantine ends on all VMs.
+func (e *entry) quarantineEnd() time.Time { return e.lastCrash.Add(blockTime(e.crashCount)) }
 
-// expiry returns when the entry may be removed. It is kept for as long after its quarantine as
-// the quarantine lasted, so that a request that comes again in that time continues with its
+// expiry returns when the entry may be removed. The entry is kept for as long after its quarantine
+// as the quarantine lasted, so that the crashes of a request that is sent again in that time still
 // count.
-func (e *entry) expiry() time.Time { return e.lastCrash.Add(max(2*term(e.crashCount), minRetention)) }
+func (e *entry) expiry() time.Time { return e.lastCrash.Add(max(2*blockTime(e.crashCount), retention)) }
 
 // Verdict is the table's assessment of a request.
 type Verdict struct {
-	// ID is set only if the table has an entry of the request.
+	// ID is the request's ID, or zero if the table has no entry of the request.
 	ID ID
-	// Crashes is the number of targets that crashed as they began to run the request.
+	// Crashes is the number of successive crashes of targets that had begun to run the request,
+	// without those that a successful run has cleared.
 	Crashes int
 	// TrialAt is when the VM that runs the trial may send the request, and Until when all VMs
-	// may. Both are zero if the request is not quarantined.
+	// may. Both are zero if the request has fewer than quarantineCrashes crashes.
 	TrialAt time.Time
 	Until   time.Time
 }
 
-// Suspect returns whether the request may crash its target. A suspect is sent by itself, and this
-// system does not retry it.
+// Suspect returns whether the request may crash its target. The gateway sends a suspect in one
+// attempt at a time and does not retry it.
 func (v Verdict) Suspect() bool { return v.Crashes >= suspectCrashes }
 
-// Quarantined returns whether the request must not be sent at now. tries says whether this VM is
-// the one that runs the trial.
-func (v Verdict) Quarantined(now time.Time, tries bool) bool {
-	if tries {
+// Quarantined returns whether the request must not be sent at now. runsTrial says whether this VM
+// is the one that runs the trial.
+func (v Verdict) Quarantined(now time.Time, runsTrial bool) bool {
+	if runsTrial {
 		return now.Before(v.TrialAt)
 	}
 	return now.Before(v.Until)
 }
 
+// verdict returns the Verdict on the entry's request.
 func (e *entry) verdict() Verdict {
 	v := Verdict{ID: e.id, Crashes: e.crashCount}
 	if e.crashCount >= quarantineCrashes {
@@ -160,19 +173,20 @@
 	return v
 }
 
-// trialAt returns when one VM may try the request.
+// trialAt returns when one VM may send the request as a trial.
 func (e *entry) trialAt() time.Time {
-	return e.lastCrash.Add(min(jitter(trialTerm(e.crashCount), e.id.Fingerprint), term(e.crashCount)))
+	return e.lastCrash.Add(min(jitter(trialDelay(e.crashCount), e.id.Fingerprint), blockTime(e.crashCount)))
 }
 
-// jitter lengthens a term by up to its own length, depending on the request's fingerprint:
-// requests that were involved in the same crashes are not tried at the same time.
-func jitter(term time.Duration, p Fingerprint) time.Duration {
-	return term + time.Duration(float64(term)*float64(p[0])/math.MaxUint8)
+// jitter lengthens a delay by up to its own length, depending on the request's fingerprint, so that
+// the trials of requests that were involved in the same crashes do not coincide.
+func jitter(delay time.Duration, p Fingerprint) time.Duration {
+	return delay + time.Duration(float64(delay)*float64(p[0])/math.MaxUint8)
 }
 
-// addCrash adds a crash, or merges it with the known one of the same run: the earlier time and
-// the cleared mark win. It drops the oldest crash beyond maxCrashes.
+// addCrash adds a crash of the run with the given hash, or merges it with a known crash of that
+// run: the result has the earlier times, and is cleared if either is. If there are then more than
+// maxCrashes, it drops the oldest.
 func (e *entry) addCrash(runHash uint64, c crash) {
 	if known, ok := e.crashes[runHash]; ok {
 		c.cleared = c.cleared || known.cleared
@@ -199,7 +213,8 @@
 	return oldest
 }
 
-// compareSeverity orders entries by the number of their crashes, then by the time of the latest.
+// compareSeverity orders entries by severity: by crashCount, then by the time of the latest crash.
+// The least severe entry comes first.
 func compareSeverity(a, b *entry) int {
 	return cmp.Or(cmp.Compare(a.crashCount, b.crashCount), a.lastCrash.Compare(b.lastCrash))
 }
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// KeyPrefix is the prefix of the keys of quarantined requests in the store.
+	// KeyPrefix is the prefix of the keys of the records of quarantined requests in the store.
 	KeyPrefix = "quarantine/"
-	// expireInterval is how often old entries are removed.
+	// expireInterval is how often expired entries are removed from the table.
 	expireInterval = 10 * time.Second
-	// maxUnsaved limits the queue of records to write to the store.
+	// maxUnsaved is the capacity of the queue of requests whose records are to be written.
 	maxUnsaved = 256
 )
 
-// storeRetry limits the calls to the store. A quarantine takes effect here and is sent to the
-// other VMs without the store: the stored record is for VMs that start when no other VM is left
-// to inform them.
+// storeRetry is the policy for retries of calls to the store. They need not be fast: a quarantine
+// takes effect on this VM and is sent to the other VMs without the store. The stored record is for
+// VMs that start when no other VM is left that knows the quarantine.
 var storeRetry = kernel.RetryPolicy{InitialWait: 300 * time.Millisecond, MaxWait: 3 * time.Second,
 	Timeout: 2 * time.Second}
 
@@ -36,19 +36,21 @@
 	kernel.Background
 	store store.Table
 	log   *telemetry.Logger
+	// clock returns the current time, see NewKeeper.
 	clock func() time.Time
-	// unsaved queues the requests whose records must be written.
+	// unsaved queues the requests whose records must be written or deleted.
 	unsaved chan ID
 }
 
-// NewKeeper returns a Keeper that is empty until Start loads it. clock must also count the time
-// for which the machine is suspended.
+// NewKeeper returns a Keeper whose table is empty until Start loads the records. clock returns the
+// current time and must also count the time for which the machine is suspended.
 func NewKeeper(s store.Table, log *telemetry.Logger, clock func() time.Time) *Keeper {
 	return &Keeper{Table: NewTable(), store: s, log: log, clock: clock,
 		unsaved: make(chan ID, maxUnsaved)}
 }
 
-// Start starts to load, save and expire the records in the background.
+// Start starts to load the records, to save changes and to remove expired entries, all in the
+// background. It never fails.
 func (k *Keeper) Start(context.Context) error {
 	k.Run(
 		func(ctx context.Context) { kernel.RetryUntilDone(ctx, storeRetry, k.load) },
@@ -60,11 +62,12 @@
 	return nil
 }
 
-// RecordCrash records that a target crashed as it began to run a request.
-func (k *Keeper) RecordCrash(r *Request, end Crash) {
-	v, starts := k.Table.RecordCrash(r, end)
-	k.log.Warn(telemetry.EventTargetCrashed, telemetry.F("target", end.Run),
-		telemetry.F("ran_ms", end.At.Sub(end.Began).Milliseconds()), telemetry.F("print", v.ID.Fingerprint),
+// RecordCrash records that a target crashed as it began to run a request. If that starts or extends
+// the request's quarantine, the record is saved in the store.
+func (k *Keeper) RecordCrash(r *Request, c Crash) {
+	v, starts := k.Table.RecordCrash(r, c)
+	k.log.Warn(telemetry.EventTargetCrashed, telemetry.F("target", c.Run),
+		telemetry.F("ran_ms", c.At.Sub(c.Began).Milliseconds()), telemetry.F("print", v.ID.Fingerprint),
 		telemetry.F("caller", r.Source), telemetry.F("ends", v.Crashes))
 	if starts {
 		k.logQuarantined(v, "here")
@@ -72,7 +75,8 @@
 	}
 }
 
-// RecordSuccess records that a target has run a request successfully.
+// RecordSuccess records that a target has run a request successfully. If the request was
+// quarantined, its record is deleted from the store.
 func (k *Keeper) RecordSuccess(r *Request) {
 	before := k.Verdict(r, k.clock())
 	if !k.Table.RecordSuccess(r) {
@@ -85,21 +89,23 @@
 	}
 }
 
-// MergeFrom merges entries that another VM, or the store, has sent.
+// MergeFrom merges snapshots of entries into the table. from is their origin for the log: the name
+// of another VM, or "store".
 func (k *Keeper) MergeFrom(from string, snapshots []Snapshot) {
 	for _, v := range k.Merge(snapshots, k.clock()) {
 		k.logQuarantined(v, from)
 	}
 }
 
+// logQuarantined logs that a request is quarantined. from is "here" or the argument of MergeFrom.
 func (k *Keeper) logQuarantined(v Verdict, from string) {
 	k.log.Warn(telemetry.EventQuarantined, telemetry.F("print", v.ID.Fingerprint), telemetry.F("ends", v.Crashes),
 		telemetry.F("trial_s", int(v.TrialAt.Sub(k.clock()).Seconds())),
 		telemetry.F("until_s", int(v.Until.Sub(k.clock()).Seconds())), telemetry.F("from", from))
 }
 
-// queueSave queues a request's record for writing. If the queue is full because the store is
-// unreachable, the record is not written, but the running VMs know it.
+// queueSave queues a request for saveRecord. If the queue is full because the store is unreachable,
+// the record is not written, but the running VMs know the quarantine.
 func (k *Keeper) queueSave(id ID) {
 	select {
 	case k.unsaved <- id:
@@ -109,7 +115,7 @@
 	}
 }
 
-// saveLoop writes the queued records, one after another, until ctx ends.
+// saveLoop calls saveRecord for the queued requests, one after another, until ctx ends.
 func (k *Keeper) saveLoop(ctx context.Context) {
 	for {
 		select {
@@ -121,8 +127,7 @@
 	}
 }
 
-// saveRecord writes the record of a request that is quarantined, and deletes that of one that is
-// no longer.
+// saveRecord writes the record of a request, or deletes it if the request is no longer quarantined.
 func (k *Keeper) saveRecord(ctx context.Context, id ID) error {
 	now := k.clock()
 	txn := store.Txn{Deletes: []string{id.storeKey()}}
@@ -138,7 +143,8 @@
 	return err
 }
 
-// load reads all records and deletes expired ones.
+// load merges all records in the store into the table and deletes expired ones. It logs and skips
+// records that cannot be decoded.
 func (k *Keeper) load(ctx context.Context) error {
 	records, err := k.store.List(ctx, KeyPrefix)
 	if err != nil {
@@ -171,20 +177,29 @@
 // The rest is deleted when a VM starts the next time.
 const maxDeletes = 100
 
-// record is a quarantined request in the store. It holds Unix times because records outlive every
-// process; a quarantine is long compared with the differences between the VMs' clocks.
+// record is the stored form of the Snapshot of a quarantined request. It holds Unix times instead
+// of ages because records outlive every process. That is precise enough: a quarantine is long
+// compared with the differences between the VMs' clocks.
 type record struct {
-	Source uint64        `json:"source,string"`
-	Ends   []recordCrash `json:"ends"`
+	// Source is the hash of Request.Source.
+	Source uint64 `json:"source,string"`
+	// Ends are the crashes of targets.
+	Ends []recordCrash `json:"ends"`
 }
 
+// recordCrash is the stored form of a SnapshotCrash.
 type recordCrash struct {
+	// Target is the hash of the target's run.
 	Target uint64 `json:"target,string"`
-	UnixMS int64  `json:"unix_ms"`
-	RanMS  int64  `json:"ran_ms"`
-	Void   bool   `json:"void,omitempty"`
+	// UnixMS is when the target crashed, and RanMS how long before that the request had been sent
+	// to it.
+	UnixMS int64 `json:"unix_ms"`
+	RanMS  int64 `json:"ran_ms"`
+	// Void is true if a successful run of the request has cleared the crash.
+	Void bool `json:"void,omitempty"`
 }
 
+// encodeRecord returns the record of a snapshot. wallNow is the current wall-clock time.
 func encodeRecord(s Snapshot, wallNow time.Time) record {
 	r := record{Source: s.Source, Ends: make([]recordCrash, 0, len(s.Crashes))}
 	for _, e := range s.Crashes {
@@ -194,8 +209,12 @@
 	return r
 }
 
+// errNoCrashes is the error of decodeRecord for a record without crashes.
 var errNoCrashes = errors.New("quarantine: record contains no crashes")
 
+// decodeRecord returns the snapshot that a record of the store holds. wallNow is the current
+// wall-clock time. A crash in the future, or with a negative RanMS, is taken to have happened now,
+// or to have a RanMS of 0.
 func decodeRecord(r store.Record, wallNow time.Time) (Snapshot, error) {
 	id, err := parseStoreKey(r.Key)
 	if err != nil {
@@ -217,7 +236,7 @@
 	return s, nil
 }
 
-// hashDigits is the number of hexadecimal digits of a hash in a key.
+// hashDigits is the number of hexadecimal digits of ID.Key in a store key.
 const hashDigits = 16
 
 // storeKey returns the key of the request's record: the prefix, then ID.Key and the fingerprint
@@ -226,6 +245,7 @@
 	return KeyPrefix + hex64(id.Key) + hex.EncodeToString(id.Fingerprint[:])
 }
 
+// hex64 returns n in hexadecimal with hashDigits digits.
 func hex64(n uint64) string {
 	s := strconv.FormatUint(n, 16)
 	for len(s) < hashDigits {
@@ -234,6 +254,7 @@
 	return s
 }
 
+// parseStoreKey returns the ID whose storeKey is key.
 func parseStoreKey(key string) (ID, error) {
 	digits := key[min(len(KeyPrefix), len(key)):]
 	if len(digits) != hashDigits+2*fingerprintBytes {
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -28,6 +28,7 @@
 	return k
 }
 
+// eventually fails the test with the text of condition unless ok returns true within 5 s.
 func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -38,6 +39,7 @@
 	t.Fatal(condition)
 }
 
+// countRecords returns the number of records of quarantined requests in the store.
 func countRecords(t *testing.T, s store.Table) int {
 	t.Helper()
 	rows, err := s.List(context.Background(), quarantine.KeyPrefix)
@@ -49,7 +51,7 @@
 
 // A quarantine is stored when it starts, loaded by the next process, and deleted from the store
 // after a successful run.
-func TestQuarantineStandsInTheStore(t *testing.T) {
+func TestQuarantineIsStored(t *testing.T) {
 	is := is.New(t)
 	s := store.NewMemory()
 	now := time.Now()
@@ -72,8 +74,8 @@
 	eventually(t, "the record is deleted", func() bool { return countRecords(t, s) == 0 })
 }
 
-// Records that are malformed or expired do not keep a VM from starting.
-func TestForeignRecordsAreLeftOut(t *testing.T) {
+// Malformed records are skipped, and expired ones are deleted. Neither keeps a VM from starting.
+func TestInvalidAndExpiredRecordsAreSkipped(t *testing.T) {
 	is := is.New(t)
 	s := store.NewMemory()
 	old := quarantine.KeyPrefix + "00000000000000010102030405060708090a0b0c0d0e0f10"
--- a/internal/quarantine/print.go
+++ b/internal/quarantine/print.go
@@ -1,6 +1,10 @@
 // Package quarantine recognises requests that crash the targets that run them, so that they are
-// kept from further targets. It counts the crashes of each request: from two on the request is a
-// suspect and is sent by itself, from three on it is quarantined. VMs exchange their counts.
+// kept from further targets. It counts the successive crashes of targets that had just begun to run
+// the same request. With two crashes the request is a suspect: each VM sends it in one attempt at a
+// time. With three it is quarantined: no VM sends it for a time. Each attempt of a suspect is a
+// trial. One VM may run a trial of a quarantined request earlier than the others, to find out
+// whether the request is at fault; a successful run clears the request. VMs exchange snapshots of
+// what they know.
 package quarantine
 
 import (
@@ -16,19 +20,19 @@
 // do not share one in practice, even if somebody searches for such a pair.
 const fingerprintBytes = 16
 
-// Fingerprint identifies a request. It is the same at every VM for the same client account,
-// method, host, URI and body.
+// Fingerprint is a hash that identifies a request. It is the same on every VM for the same client
+// account, method, host, URI and body.
 type Fingerprint [fingerprintBytes]byte
 
 // String returns the first half of the fingerprint in hexadecimal, for logs.
 func (p Fingerprint) String() string { return hex.EncodeToString(p[:fingerprintBytes/2]) }
 
-// Request holds the properties that identify a request across its attempts, and its source.
+// Request holds the properties that identify a request across its attempts, and its Source.
 type Request struct {
 	// Account is the client account; it is empty if the platform states none.
 	Account string
-	// Source is the owner of the share of the table that the request's entry uses: the client
-	// account or, if there is none, the caller's address. It is not part of the request's
+	// Source is whose limit of entries in the table (maxPerSource) applies to the request: the
+	// client account or, if there is none, the caller's address. It is not part of the request's
 	// identity, because callers at many addresses may send the same request.
 	Source string
 	Method string
@@ -38,7 +42,8 @@
 	Body []byte
 }
 
-// Fingerprint hashes the whole request. It takes about 30 µs for 40 KB.
+// Fingerprint returns the request's fingerprint. It hashes the whole request, which takes about
+// 30 µs for 40 KB.
 func (r *Request) Fingerprint() Fingerprint {
 	h := sha256.New()
 	r.writeHead(h)
@@ -48,7 +53,7 @@
 }
 
 // Key returns a cheap hash of the request that covers the length of its body but not the content.
-// Equal requests always share it; different ones may.
+// Identical requests have the same key; different ones may have the same key.
 func (r *Request) Key() uint64 {
 	h := fnv.New64a()
 	r.writeHead(h)
@@ -58,13 +63,14 @@
 // ID returns the request's ID. It hashes the whole body.
 func (r *Request) ID() ID { return ID{Key: r.Key(), Fingerprint: r.Fingerprint()} }
 
-// SourceKey returns a hash of Source.
+// SourceKey returns the hash of Source by which the table counts a source's entries.
 func (r *Request) SourceKey() uint64 {
 	h := fnv.New64a()
 	writeString(h, r.Source)
 	return h.Sum64()
 }
 
+// writeHead writes everything that identifies the request except the content of its body.
 func (r *Request) writeHead(h hash.Hash) {
 	for _, s := range []string{r.Account, r.Method, r.Host, r.URI} {
 		writeString(h, s)
@@ -80,6 +86,7 @@
 	_, _ = io.WriteString(h, s)
 }
 
+// writeLength writes n in eight bytes.
 func writeLength(h hash.Hash, n int) {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(n))
--- a/internal/quarantine/print_test.go
+++ b/internal/quarantine/print_test.go
@@ -9,14 +9,15 @@
 	"garnethoist.org/garnethoist/internal/quarantine"
 )
 
+// request returns a request. All requests that it returns are identical.
 func request() quarantine.Request {
 	return quarantine.Request{Account: "a", Method: "POST", Host: "h.example", URI: "/long/x",
 		Body: []byte("body")}
 }
 
-// All attempts of a request have the same fingerprint, and a request that differs in any part has
-// another.
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+// Identical requests have the same fingerprint and key. A request that differs in any part has
+// another fingerprint.
+func TestFingerprintIdentifiesRequest(t *testing.T) {
 	is := is.New(t)
 	first, again := request(), request()
 	is.Equal(first.Fingerprint(), again.Fingerprint())
@@ -27,7 +28,7 @@
 		"host":    func(r *quarantine.Request) { r.Host = "other.example" },
 		"uri":     func(r *quarantine.Request) { r.URI = "/long/y" },
 		"body":    func(r *quarantine.Request) { r.Body = []byte("boDy") },
-		// The same bytes, split differently.
+		// Host and URI together are the same bytes, split differently.
 		"moved": func(r *quarantine.Request) { r.Host, r.URI = "h.example/long", "/x" },
 	}
 	for name, change := range changes {
@@ -39,9 +40,10 @@
 	}
 }
 
-// The key ignores the content of the body. It is computed for each request while a suspect is
-// known, and the fingerprint only for those that share a suspect's key.
-func TestKeyLeavesOutTheBodysContent(t *testing.T) {
+// The key covers the length of the body but not its content, which would take long to hash. The key
+// is computed for each request while the table has an entry, and the fingerprint only for requests
+// that share an entry's key.
+func TestKeyIgnoresContentOfBody(t *testing.T) {
 	is := is.New(t)
 	a, b := request(), request()
 	b.Body = []byte("ydob")
@@ -50,7 +52,7 @@
 	is.True(a.Key() != b.Key())
 }
 
-func BenchmarkPrint(b *testing.B) {
+func BenchmarkFingerprint(b *testing.B) {
 	r := request()
 	r.Body = bytes.Repeat([]byte("x"), 40<<10)
 	for b.Loop() {
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -9,28 +9,31 @@
 )
 
 const (
-	// maxEntries limits the number of entries, of about 300 bytes each, and maxPerSource those of
-	// one source. One crash of a target adds up to a hundred entries.
+	// maxEntries is the maximum number of entries, of about 300 bytes each, and maxPerSource that
+	// of one source. One crash of a target adds up to a hundred entries, one for each request that
+	// the target had begun to run.
 	maxEntries   = 8192
 	maxPerSource = 1024
-	// maxChanged limits the entries that wait to be sent to other VMs.
+	// maxChanged is the maximum number of entries that wait to be sent to other VMs.
 	maxChanged = 1024
 )
 
-// Table holds the requests under which targets have crashed. Callers pass in the times; they must
-// be of a clock that also counts the time for which the machine is suspended. It is safe for
-// concurrent use.
+// Table holds an entry for each request that targets had begun to run when they crashed. It has no
+// clock: all times passed to its methods must be readings of one clock that also counts the time
+// for which the machine is suspended. It is safe for concurrent use.
 type Table struct {
-	// size is the number of entries. It is read without mu in the common case that there are none.
+	// size is the number of entries. It is read without mu to return early in the common case that
+	// there are none.
 	size atomic.Int64
 
+	// mu guards the fields below.
 	mu      sync.Mutex
 	entries map[ID]*entry
-	// keyCounts and sourceCounts are the number of entries with each key and each source. changed
-	// holds the entries that other VMs have yet to be sent.
+	// keyCounts is the number of entries by ID.Key, and sourceCounts that by Request.SourceKey.
 	keyCounts    map[uint64]int
 	sourceCounts map[uint64]int
-	changed      []ID
+	// changed holds the entries that are to be sent to other VMs.
+	changed []ID
 }
 
 // NewTable returns an empty table.
@@ -39,8 +42,8 @@
 		sourceCounts: make(map[uint64]int)}
 }
 
-// lookup returns the entry of a request, or nil if there is none. It hashes the body only if an
-// entry has the same key.
+// lookup returns the entry and the ID of a request, or nil if there is no entry. It hashes the body
+// only if an entry has the same key. The caller must hold t.mu to use the entry.
 func (t *Table) lookup(r *Request) (*entry, ID) {
 	if t.size.Load() == 0 {
 		return nil, ID{}
@@ -58,7 +61,8 @@
 	return t.entries[id], id
 }
 
-// Verdict returns the verdict on a request, which is zero if the table has no valid entry of it.
+// Verdict returns the verdict on a request. It is zero if the table has no entry of the request or
+// the entry has expired.
 func (t *Table) Verdict(r *Request, now time.Time) Verdict {
 	e, _ := t.lookup(r)
 	if e == nil {
@@ -72,8 +76,9 @@
 	return e.verdict()
 }
 
-// BeginTrial starts the send of a suspect. It returns false while another send of the same request is in
-// progress, which could crash its target as well. If it returns true, Done must follow.
+// BeginTrial begins a trial, which is an attempt to run a suspect on a target. It returns false
+// while another trial of the same request is in progress on this VM, because that one could crash
+// its target as well. If it returns true, the caller must call EndTrial after the attempt.
 func (t *Table) BeginTrial(id ID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,7 +93,7 @@
 	return true
 }
 
-// EndTrial ends a send that Try started.
+// EndTrial ends a trial that BeginTrial allowed.
 func (t *Table) EndTrial(id ID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,21 +102,22 @@
 	}
 }
 
-// RecordCrash records that a target crashed as it began to run the request. It returns the verdict on
-// the request, and whether this crash started or extended its quarantine.
-func (t *Table) RecordCrash(r *Request, end Crash) (v Verdict, starts bool) {
+// RecordCrash records that a target crashed as it began to run the request. It returns the verdict
+// on the request, and whether this crash started or extended its quarantine.
+func (t *Table) RecordCrash(r *Request, c Crash) (v Verdict, starts bool) {
 	id := r.ID()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.getOrAdd(id, r.SourceKey())
 	before := e.crashCount
-	e.addCrash(hashText(end.Run), crash{began: end.Began, at: end.At})
+	e.addCrash(hashText(c.Run), crash{began: c.Began, at: c.At})
 	t.markChanged(id)
 	return e.verdict(), e.crashCount >= quarantineCrashes && e.crashCount > before
 }
 
-// RecordSuccess records that a target has run the request successfully: the known crashes are not its
-// fault. It returns whether any crash was counted against the request.
+// RecordSuccess records that a target has run the request successfully. It clears the request's
+// known crashes, because they were not its fault. It returns whether any of them was counted until
+// now.
 func (t *Table) RecordSuccess(r *Request) bool {
 	e, id := t.lookup(r)
 	if e == nil {
@@ -165,8 +171,9 @@
 	return e
 }
 
-// evict removes the least severe entry of a source. Entries of other sources stay, so that no
-// caller can displace another's. The caller must hold t.mu.
+// evict removes the least severe entry of a source, see compareSeverity, that has no trial in
+// progress. Entries of other sources stay, so that no caller can displace another's entries. The
+// caller must hold t.mu.
 func (t *Table) evict(source uint64) {
 	var least *entry
 	for _, e := range t.entries {
@@ -204,8 +211,8 @@
 	t.size.Store(int64(len(t.entries)))
 }
 
-// markChanged queues an entry to be sent to other VMs, unless maxChanged entries are waiting. The
-// caller must hold t.mu.
+// markChanged adds an entry to those that are to be sent to other VMs, unless there are maxChanged
+// already. The caller must hold t.mu.
 func (t *Table) markChanged(id ID) {
 	if len(t.changed) < maxChanged && !slices.Contains(t.changed, id) {
 		t.changed = append(t.changed, id)
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -11,6 +11,7 @@
 	"garnethoist.org/garnethoist/internal/quarantine"
 )
 
+// start is the time at which the tests begin.
 var start = time.Unix(1_000_000, 0)
 
 // newRequest returns the i-th request of an account.
@@ -19,18 +20,21 @@
 		URI: "/x", Body: fmt.Appendf(nil, "body %d", i)}
 }
 
-// crashed records the n-th successive crash under a request, one second after the one before.
+// crashed records the n-th successive crash of a target that had begun to run the request, one
+// second after the previous crash.
 func crashed(table *quarantine.Table, r *quarantine.Request, n int) (quarantine.Verdict, bool) {
 	return crashedAt(table, r, fmt.Sprint("run", n), start.Add(time.Duration(n)*time.Second))
 }
 
-// crashedAt records a crash of a run to which the request was sent 100 ms before.
+// crashedAt records a crash of a target's run to which the request was sent 100 ms before.
 func crashedAt(table *quarantine.Table, r *quarantine.Request, run string,
 	at time.Time) (quarantine.Verdict, bool) {
 	return table.RecordCrash(r, quarantine.Crash{Run: run, Began: at.Add(-100 * time.Millisecond), At: at})
 }
 
-func TestThirdEndBeginsTheQuarantine(t *testing.T) {
+// The third crash quarantines a request. Another request of the same account, and the same request
+// of another account, are not affected.
+func TestThirdCrashStartsQuarantine(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
 	r := newRequest("a", 1)
@@ -41,16 +45,16 @@
 	}
 	v := table.Verdict(&r, start)
 	is.True(v.Suspect() && v.Quarantined(start, true) && v.Quarantined(start, false))
-	beside := newRequest("a", 2)
-	is.True(!table.Verdict(&beside, start).Suspect())
+	other := newRequest("a", 2)
+	is.True(!table.Verdict(&other, start).Suspect())
 	// The account is part of a request's identity.
 	same := newRequest("b", 1)
 	is.True(!table.Verdict(&same, start).Suspect())
 }
 
-// A request that many callers send alike runs on all targets of a service. When these crash
-// together, as in a power failure, that counts as one crash.
-func TestTargetsThatEndTogetherCountOnce(t *testing.T) {
+// Many callers may send identical requests, which then run on all targets of a service. When these
+// crash together, as in a power failure, that counts as one crash.
+func TestSimultaneousCrashesCountOnce(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
 	r := newRequest("a", 1)
@@ -58,14 +62,14 @@
 		crashedAt(table, &r, fmt.Sprint("run", i), start.Add(time.Duration(i)*5*time.Millisecond))
 	}
 	is.Equal(table.Verdict(&r, start).Crashes, 1)
-	// A run that began later counts as the second crash.
+	// The crash of a target to which the request was sent later counts as the second crash.
 	_, starts := crashedAt(table, &r, "next", start.Add(time.Second))
 	is.True(!starts)
 	is.Equal(table.Verdict(&r, start).Crashes, 2)
 }
 
-// Several attempts of a request on one target crash with it. That counts as one crash.
-func TestOneRunCountsOnce(t *testing.T) {
+// When a target crashes that runs several attempts of the same request, that counts as one crash.
+func TestCrashOfOneRunCountsOnce(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
 	r := newRequest("a", 1)
@@ -75,9 +79,9 @@
 	is.Equal(table.Verdict(&r, start).Crashes, 1)
 }
 
-// A prompt that many callers send alike is involved in many crashes that it does not cause. A
-// successful run clears it, also of crashes that this VM learns of later.
-func TestSuccessfulRunClears(t *testing.T) {
+// A prompt that many callers send is involved in many crashes that it does not cause. A successful
+// run on one VM clears its crashes on all VMs. Merging an older snapshot does not undo that.
+func TestSuccessfulRunClearsCrashes(t *testing.T) {
 	is := is.New(t)
 	here, there := quarantine.NewTable(), quarantine.NewTable()
 	r := newRequest("a", 1)
@@ -94,9 +98,9 @@
 	is.True(!here.RecordSuccess(&r)) // there is nothing left to clear
 }
 
-// A request that ran beside another one at three crashes is soon tried again by one VM. Each
-// failed trial extends the quarantine.
-func TestTrialIntervalsGrow(t *testing.T) {
+// After the third crash, one VM soon sends the request again as a trial. Each trial in which the
+// target crashes extends the quarantine and the time until the next trial.
+func TestTrialDelaysGrow(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
 	r := newRequest("a", 1)
@@ -119,8 +123,8 @@
 	}
 }
 
-// Only one send of a suspect is in progress at a time.
-func TestSuspectIsTriedOnce(t *testing.T) {
+// Only one trial of a suspect is in progress at a time.
+func TestTrialsOfASuspectDoNotOverlap(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
 	r := newRequest("a", 1)
@@ -134,7 +138,8 @@
 	is.True(table.BeginTrial(id))
 }
 
-func TestEndsAreForgotten(t *testing.T) {
+// The crashes of a request that is not quarantined expire after ten minutes.
+func TestCrashesExpire(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
 	r := newRequest("a", 1)
@@ -149,9 +154,9 @@
 	is.Equal(table.Size(), 0)
 }
 
-// However many requests one account sends, it only fills its own share of the table and does not
-// displace entries of other accounts.
-func TestOneAccountDoesNotCrowdOutAnother(t *testing.T) {
+// However many requests of one account are involved in crashes, they do not displace entries of
+// other accounts from the table, nor the most severe entry of their own.
+func TestOneAccountDoesNotDisplaceAnother(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable()
 	mine := newRequest("a", 1)
@@ -177,7 +182,7 @@
 	is.Equal(table.Verdict(&mine, start).Crashes, 1)
 }
 
-// VMs that merge each other's snapshots in any order, late or twice reach the same state.
+// VMs that merge each other's snapshots in any order, late or twice, reach the same state.
 func TestSnapshotsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*quarantine.Table{quarantine.NewTable(), quarantine.NewTable(), quarantine.NewTable()}
@@ -215,7 +220,7 @@
 	})
 }
 
-func BenchmarkJudgeWithNothingKnown(b *testing.B) {
+func BenchmarkVerdictOfEmptyTable(b *testing.B) {
 	table := quarantine.NewTable()
 	r := newRequest("a", 1)
 	r.Body = make([]byte, 40<<10)
@@ -224,7 +229,7 @@
 	}
 }
 
-func BenchmarkJudgeBesideSuspects(b *testing.B) {
+func BenchmarkVerdictWithOtherEntries(b *testing.B) {
 	table := quarantine.NewTable()
 	for i := range 1000 {
 		other := newRequest("b", i)
--- a/internal/quarantine/word.go
+++ b/internal/quarantine/word.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Snapshot is the state of an entry, as VMs send it to each other. Merging is idempotent and does
-// not depend on the order: the crashes form a set, and a crash that is cleared stays cleared.
+// Snapshot is the state of an entry, as VMs send it to each other. Merging snapshots is idempotent
+// and does not depend on their order: the crashes form a set, and a crash that is cleared stays
+// cleared.
 type Snapshot struct {
 	ID ID
 	// Source is the hash of Request.Source.
@@ -26,14 +27,15 @@
 	return countSuccessive(counted)
 }
 
-// SnapshotCrash is a crash of a target under the request.
+// SnapshotCrash is a crash of a target that had begun to run the request.
 type SnapshotCrash struct {
 	// RunHash is the hash of the target's run.
 	RunHash uint64
 	// Age is how long ago the target crashed, and RanFor how long before that the request had
 	// been sent to it.
-	Age     time.Duration
-	RanFor  time.Duration
+	Age    time.Duration
+	RanFor time.Duration
+	// Cleared is true if a successful run of the request has cleared the crash.
 	Cleared bool
 }
 
@@ -51,7 +53,8 @@
 	return snapshots
 }
 
-// Top returns snapshots of the n most severe entries, for VMs that may have missed them.
+// Top returns snapshots of the n most severe entries, see compareSeverity, for VMs that may have
+// missed them.
 func (t *Table) Top(n int, now time.Time) []Snapshot {
 	if t.size.Load() == 0 {
 		return nil
@@ -81,6 +84,7 @@
 	return e.snapshot(now), true
 }
 
+// snapshot returns a snapshot of the entry at now.
 func (e *entry) snapshot(now time.Time) Snapshot {
 	s := Snapshot{ID: e.id, Source: e.source, Crashes: make([]SnapshotCrash, 0, len(e.crashes))}
 	for runHash, c := range e.crashes {
@@ -90,8 +94,8 @@
 	return s
 }
 
-// Merge merges the snapshots of another VM. It returns the verdicts on requests whose quarantine
-// started by that.
+// Merge merges the snapshots of another VM into the table. It returns the verdicts on the requests
+// that are quarantined now and were not before.
 func (t *Table) Merge(snapshots []Snapshot, now time.Time) []Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,11 +121,12 @@
 	return quarantined
 }
 
-// expired returns whether the entry of a snapshot would expire at once.
+// expired returns whether an entry with the state of the snapshot, which must have a crash, would
+// have expired already.
 func expired(s Snapshot) bool {
-	youngest := s.Crashes[0].Age
+	minAge := s.Crashes[0].Age
 	for _, c := range s.Crashes {
-		youngest = min(youngest, c.Age)
+		minAge = min(minAge, c.Age)
 	}
-	return youngest >= max(2*term(s.crashCount()), minRetention)
+	return minAge >= max(2*blockTime(s.crashCount()), retention)
 }
