--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
 // Package clock provides a clock that also counts the time for which the machine is suspended.
-// Go's monotonic time stops during that time, so ages, timeouts and durations would come out too
-// short: a VM that was suspended for some seconds would take old data for fresh, and give targets
-// more time than their callers still wait.
+// Go's monotonic time stops while the machine is suspended, so ages, timeouts and durations by it
+// come out too short: a VM that was suspended for some seconds would take old data for fresh, and
+// would give targets more time than their callers still wait.
 package clock
 
 import (
@@ -23,26 +23,29 @@
 	return time.Duration(ts.Nano())
 }
 
-// driftTolerance is the drift between wall clock and monotonic time from which CLOCK_BOOTTIME is
-// read to detect a suspension. It is not read every time because that takes a system call, and a
-// request reads the time a dozen times or more.
+// driftTolerance is the maximum change of the drift between wall clock and monotonic time that is
+// ignored. After a larger change CLOCK_BOOTTIME is read to find out whether the machine was
+// suspended. It is not read every time, because that takes a system call, and a request reads the
+// time a dozen times or more.
 const driftTolerance = 10 * time.Millisecond
 
-// reading is one reading of the wall clock and of the monotonic time, whose zero is arbitrary.
+// reading is one reading of the wall clock and of Go's monotonic time, whose zero is arbitrary.
 type reading struct {
 	wall time.Time
 	mono time.Duration
 }
 
-// sources are the clocks behind a steady clock. boot is the one that includes suspended time.
+// sources are the clocks from which a steady clock is computed. read reads the wall clock and the
+// monotonic time. boot reads CLOCK_BOOTTIME, which includes suspended time.
 type sources struct {
 	read func() reading
 	boot func() time.Duration
 }
 
-// processStart is the zero of the monotonic time.
+// processStart is the zero of the monotonic time in readings.
 var processStart = time.Now()
 
+// readClocks reads the clocks of this process.
 func readClocks() reading {
 	now := time.Now()
 	return reading{wall: now.Round(0), mono: now.Sub(processStart)}
@@ -51,13 +54,15 @@
 // steady is a clock that adds suspended time to Go's monotonic time.
 type steady struct {
 	sources sources
-	// zero is the reading when the clock was made, and zeroBoot that of the boot clock.
+	// zero is the reading when the steady clock was made, and zeroBoot the reading of
+	// CLOCK_BOOTTIME then.
 	zero     reading
 	zeroBoot time.Duration
-	// suspended is the total time suspended since then, and drift the difference between wall
-	// clock and monotonic time when that was last checked, both in ns.
+	// suspended is the total time suspended since then, and lastDrift the drift when suspended was
+	// last checked, both in ns. The drift is how far the wall clock has moved ahead of the
+	// monotonic time since the steady clock was made.
 	suspended atomic.Int64
-	drift     atomic.Int64
+	lastDrift atomic.Int64
 
 	mu sync.Mutex
 	// callbacks are called after a suspension is detected.
@@ -65,20 +70,23 @@
 	nextID    int
 }
 
+// newSteady returns a steady clock that starts at the current wall-clock time.
 func newSteady(s sources) *steady {
 	zeroBoot, zero := s.firstSample()
 	return &steady{sources: s, zero: zero, zeroBoot: zeroBoot, callbacks: make(map[int]func())}
 }
 
-// The clocks cannot be read at the same instant. The boot clock is read first at the start and
-// last in each later sample, so that the suspended time is never too short. It is too long by the
-// time between the readings, so the clocks are read again if that exceeds maxReadingGap.
+// The clocks cannot be read at the same instant. CLOCK_BOOTTIME is read first in the first sample
+// and last in each later one, so that the computed suspended time is never too short. It is too
+// long by the time between the readings.
 const (
+	// maxReadingGap is the time between the readings from which they are repeated, and maxReadings
+	// the maximum number of times that the clocks are read.
 	maxReadingGap = time.Millisecond
 	maxReadings   = 5
 )
 
-// firstSample reads the boot clock and directly after it the others.
+// firstSample reads CLOCK_BOOTTIME and directly after it the other clocks.
 func (s sources) firstSample() (boot time.Duration, r reading) {
 	for range maxReadings {
 		boot, r = s.boot(), s.read()
@@ -89,7 +97,7 @@
 	return boot, r
 }
 
-// sample reads the boot clock directly after the others.
+// sample reads CLOCK_BOOTTIME directly after the other clocks.
 func (s sources) sample() (r reading, boot time.Duration) {
 	for range maxReadings {
 		r, boot = s.read(), s.boot()
@@ -100,31 +108,31 @@
 	return r, boot
 }
 
-// now returns the wall clock time at which the clock was made plus the time since, suspended time
-// included.
+// now returns the wall-clock time at which the steady clock was made plus the time since, suspended
+// time included.
 func (s *steady) now() time.Time {
 	mono, drift := s.since(s.sources.read())
-	if d := drift - time.Duration(s.drift.Load()); d > driftTolerance || d < -driftTolerance {
+	if d := drift - time.Duration(s.lastDrift.Load()); d > driftTolerance || d < -driftTolerance {
 		s.detectSuspension()
 	}
 	return s.zero.wall.Add(mono + time.Duration(s.suspended.Load()))
 }
 
-// since returns the monotonic time since the clock was made, and the drift of the wall clock from
-// it.
+// since returns the monotonic time from the making of the steady clock to the reading r, and the
+// drift at r.
 func (s *steady) since(r reading) (mono, drift time.Duration) {
 	mono = r.mono - s.zero.mono
 	return mono, r.wall.Sub(s.zero.wall) - mono
 }
 
-// detectSuspension checks whether the machine was suspended and, if so, adjusts the clock and
-// runs the callbacks. A drift can also mean that the wall clock was set.
+// detectSuspension checks whether the machine was suspended and, if so, updates s.suspended and
+// calls the callbacks. If it was not, the drift has changed because the wall clock was set.
 func (s *steady) detectSuspension() {
 	r, boot := s.sources.sample()
 	mono, drift := s.since(r)
 	suspended := boot - s.zeroBoot - mono
 	s.mu.Lock()
-	s.drift.Store(int64(drift))
+	s.lastDrift.Store(int64(drift))
 	var resumed []func()
 	if suspended-time.Duration(s.suspended.Load()) > driftTolerance {
 		s.suspended.Store(int64(suspended))
@@ -138,8 +146,8 @@
 	}
 }
 
-// onResume registers f to be called after a suspension is detected, until stop is called. f must
-// not block.
+// onResume registers f to be called after each suspension that is detected, until stop is called. f
+// must not block.
 func (s *steady) onResume(f func()) (stop func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,10 +166,10 @@
 
 func init() { processClock.Store(newSteady(sources{read: readClocks, boot: Boot})) }
 
-// Now returns the wall clock time at which the process started plus the time since, suspended
-// time included. Setting the wall clock does not affect it. The result has no monotonic reading:
-// where Go compares a time with its own clock, as for connection deadlines, use the remaining
-// duration instead.
+// Now returns the wall-clock time at which the process started plus the time since, suspended
+// time included. Setting the wall clock does not affect it. The result has no monotonic reading and
+// must not be passed where Go compares a time with its own clock, as for connection deadlines: add
+// the remaining duration to time.Now instead.
 func Now() time.Time { return processClock.Load().now() }
 
 // Since returns the time elapsed since t, which must come from Now.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,7 +11,7 @@
 	"garnethoist.org/garnethoist/internal/clock"
 )
 
-// slack exceeds the time between two readings of the clock.
+// slack exceeds the time that passes unintentionally between two steps of a test.
 const slack = 200 * time.Millisecond
 
 // Guards against a suspended VM taking old data for fresh: timers and Go's monotonic time stop
@@ -37,17 +37,18 @@
 	defer s.Restore()
 	began := clock.Now()
 	for _, step := range []time.Duration{2 * time.Second, -time.Hour, 40 * time.Hour} {
-		s.Set(step)
+		s.AdjustWallClock(step)
 		is.True(clock.Since(began) >= 0 && clock.Since(began) < slack)
 	}
-	s.Set(-5 * time.Second)
+	s.AdjustWallClock(-5 * time.Second)
 	s.Suspend(5 * time.Second)
-	// Together they leave the wall clock unchanged relative to the monotonic time, so the
-	// suspension is detected only at the next change.
-	s.Set(time.Second)
+	// Together they leave the drift of the wall clock unchanged, so the suspension is detected only
+	// when the drift changes next.
+	s.AdjustWallClock(time.Second)
 	is.True(clock.Since(began) >= 5*time.Second)
 }
 
+// A context of WithDeadline ends at its deadline even if the machine was suspended in the meantime.
 func TestDeadlineIncludesSuspendedTime(t *testing.T) {
 	is := is.New(t)
 	s := clock.Simulate()
@@ -69,6 +70,7 @@
 	is.True(errors.Is(context.Cause(child), context.DeadlineExceeded))
 }
 
+// A context of WithDeadline ends at its deadline without a suspension.
 func TestDeadlinePasses(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := clock.WithDeadline(context.Background(), clock.Now().Add(20*time.Millisecond))
@@ -82,7 +84,7 @@
 }
 
 // Watch detects a suspension even if nothing else reads the clock.
-func TestWatchNoticesASuspension(t *testing.T) {
+func TestWatchDetectsASuspension(t *testing.T) {
 	s := clock.Simulate()
 	defer s.Restore()
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/clock/deadline.go
+++ b/internal/clock/deadline.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// WithDeadline returns a context that ends at t, which must come from Now, with
-// context.DeadlineExceeded as its cause. If the machine is suspended meanwhile, the context ends
-// as soon as the clock is read afterwards; a plain timer would be late by the suspended time.
+// WithDeadline returns a context that is cancelled at t, which must come from Now, with
+// context.DeadlineExceeded as its cause. If t passes while the machine is suspended, the context is
+// cancelled as soon as the clock is read afterwards. A plain timer would be late by the suspended
+// time.
 func WithDeadline(parent context.Context, t time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	s := processClock.Load()
