--- a/internal/store/contract_test.go
+++ b/internal/store/contract_test.go
@@ -24,8 +24,9 @@
 	store.WeightStore
 }
 
-// implementations returns constructors of the adapters that TestContract tests. Each returns an
-// adapter and the Memory behind it, in which a test can set faults.
+// implementations returns constructors of the adapters that TestContract tests, by name. Each
+// constructor returns an adapter and the Memory that stands for the platform, in which a test can
+// set faults.
 func implementations(t *testing.T) map[string]func() (platformServices, *store.Memory) {
 	return map[string]func() (platformServices, *store.Memory){
 		"memory": func() (platformServices, *store.Memory) {
@@ -185,8 +186,9 @@
 	}
 }
 
-// TestHTTPConnectionFaults checks the errors that the HTTP adapter returns when the connection
-// fails. Only if the connection was never established is a write certain to have had no effect.
+// TestHTTPConnectionFaults checks the errors that the HTTP adapter returns if the connection fails
+// or the response is invalid. A write is certain to have had no effect only if the connection was
+// never established.
 func TestHTTPConnectionFaults(t *testing.T) {
 	hang := make(chan struct{})
 	defer close(hang)
@@ -260,4 +262,5 @@
 	_, _ = c.Read(buf)
 }
 
+// write writes s to a connection and ignores errors.
 func write(c net.Conn, s string) { _, _ = c.Write([]byte(s)) }
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -8,7 +8,7 @@
 )
 
 // ErrHistoryGone reports that the store no longer keeps the changes since the requested
-// revision. The rows must be listed again.
+// revision. The caller must read all rows again, with ListRows.
 var ErrHistoryGone = errors.New("store: history gone")
 
 // Row is a row of a table, or a change of one.
@@ -17,28 +17,32 @@
 	Value []byte
 	// Version is the revision of the store at which the row was written.
 	Version uint64
-	// Removed marks the removal of a row, which has no value. Only changes have it.
+	// Removed is true for a change that removes the row. Value is empty then.
 	Removed bool
 }
 
-// Rows is the content of a table, or the changes to it, as of a revision of the store.
+// Rows is the content of a table, or the changes to it since an earlier revision, as of a revision
+// of the store.
 type Rows struct {
 	Rows     []Row
 	Revision uint64
-	// StoreTime is the reading of the store's monotonic clock when it responded; 0 means unknown.
+	// StoreTime is the reading of the store's monotonic clock when the store made the response that
+	// contained the rows; 0 means unknown.
 	StoreTime time.Duration
 }
 
-// Delta is the changes to a table after revision From, which one VM forwards to others.
+// Delta is a set of changes to a table that one VM has read from the store and forwards to others.
 type Delta struct {
-	// From is the revision that the changes apply to.
+	// From is the revision after which the changes were made: a copy of the table at that
+	// revision, or a later one, lacks no earlier change.
 	From uint64
-	// Rows holds the changes, and the revision that they lead to.
+	// Rows holds the changes, and the revision that a copy has reached after applying them.
 	Rows Rows
-	// AfterOutage is true if the store had been unreachable before the changes were read.
+	// AfterOutage is true if the store has ever been unreachable for the forwarding VM.
 	AfterOutage bool
-	// SinceRecovery is how long the store had been reachable again when the changes were read; 0
-	// if it was still unreachable. It is set only with AfterOutage.
+	// SinceRecovery is for how long the store had been reachable again when the changes were read,
+	// as far as the forwarding VM knows. It is 0 if the store is not known to have been reachable
+	// before that, and is set only if AfterOutage is true.
 	SinceRecovery time.Duration
 }
 
@@ -46,8 +50,8 @@
 type Feed interface {
 	// ListRows returns all rows of a table.
 	ListRows(ctx context.Context, table string) (Rows, error)
-	// Changes returns the changes to a table after revision after. It waits for the first
-	// change, and returns no rows if there is none within wait. It fails with ErrHistoryGone if
-	// the store no longer keeps these changes.
+	// Changes returns the changes to a table after revision after. If there are none yet, it waits
+	// for the first one, and returns no rows if none is made within wait. It fails with
+	// ErrHistoryGone if the store no longer keeps these changes.
 	Changes(ctx context.Context, table string, after uint64, wait time.Duration) (Rows, error)
 }
--- a/internal/store/httpstore/client.go
+++ b/internal/store/httpstore/client.go
@@ -28,7 +28,7 @@
 	PathWeights = "/weights/reserve"
 )
 
-// maxResponseBytes is the largest response body that is read.
+// maxResponseBytes is the maximum number of bytes of a response body that are read.
 const maxResponseBytes = 64 << 20
 
 // Client implements store.Table, store.Objects, store.VMList and store.WeightStore. It is safe
@@ -94,7 +94,7 @@
 	return rs, err
 }
 
-// CommitResponse is the body of the response to a commit.
+// CommitResponse is the body of the response to a commit. Version is the result of Commit.
 type CommitResponse struct {
 	Version uint64 `json:"version"`
 }
@@ -134,7 +134,7 @@
 	return l, nil
 }
 
-// RevisionETag returns the ETag of a revision of the VM list.
+// RevisionETag returns the HTTP ETag of a revision of the VM list.
 func RevisionETag(r uint64) string { return `"` + strconv.FormatUint(r, 10) + `"` }
 
 // ReserveResponse is the body of the weight store's response. WaitMS is 0 if the load is granted.
@@ -159,7 +159,7 @@
 	return time.Duration(a.WaitMS) * time.Millisecond, err
 }
 
-// getJSON reads path and decodes the body into dst.
+// getJSON sends a GET request for path and decodes the response body into dst.
 func (c *Client) getJSON(ctx context.Context, path string, dst any) error {
 	data, err := c.get(ctx, path)
 	if err != nil {
@@ -171,13 +171,14 @@
 	return nil
 }
 
-// get reads path and returns the body.
+// get sends a GET request for path and returns the response body.
 func (c *Client) get(ctx context.Context, path string) ([]byte, error) {
 	return c.getIfChanged(ctx, path, "")
 }
 
-// getIfChanged reads path and returns the body, or nil if the entity still has the given ETag.
-// An empty tag matches nothing. Every failure to get a response is store.ErrUnavailable.
+// getIfChanged sends a GET request for path and returns the response body, or nil if the resource
+// still has the ETag tag. If tag is empty, it always returns the body. It returns
+// store.ErrUnavailable if there is no complete response, and otherwise the error of statusError.
 func (c *Client) getIfChanged(ctx context.Context, path, tag string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -203,9 +204,9 @@
 	return data, statusError(resp.StatusCode, store.ErrUnavailable)
 }
 
-// write sends a write request and decodes the body of the response into dst, unless dst is nil.
-// It clears GetBody, so that the HTTP client cannot retry the request: a retry could make the
-// write take effect twice.
+// write sends a write request and decodes the response body into dst, unless dst is nil. It clears
+// GetBody, so that the HTTP client cannot retry the request: a retry could make the write take
+// effect twice.
 func (c *Client) write(ctx context.Context, method, path string, body []byte, dst any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -235,8 +236,9 @@
 	return nil
 }
 
-// classifyWriteError returns store.ErrUnavailable for a write that was certainly not sent, and
-// store.ErrUnknown otherwise. Only a failed dial is certain.
+// classifyWriteError returns the error of package store for err, which the HTTP client returned for
+// a write: store.ErrUnavailable if the write was certainly not sent, otherwise store.ErrUnknown. It
+// is certain only if the connection could not be established.
 func classifyWriteError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -245,8 +247,8 @@
 	return store.ErrUnknown
 }
 
-// statusError returns the error of package store for an HTTP status, or nil for success. A
-// status that the protocol does not define becomes fallback.
+// statusError returns the error of package store for the HTTP status of a response, or nil for
+// success. For a status that the protocol does not define, the error is fallback.
 func statusError(status int, fallback error) error {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
--- a/internal/store/memory.go
+++ b/internal/store/memory.go
@@ -18,16 +18,19 @@
 	objects map[string][]byte
 	// revision is the version of the records that were last written.
 	revision uint64
-	listing  VMListing
-	fault    Fault
-	// reads and writes count the requests, including those that a fault fails.
+	// listing is the VM list.
+	listing VMListing
+	// fault is the current failure mode.
+	fault Fault
+	// reads and writes count the requests, including those that fail because of fault.
 	reads  uint64
 	writes uint64
-	// nextReserve is when the next load of model weights is granted.
+	// nextReserve is when Reserve grants the next load of model weights.
 	nextReserve time.Time
-	// bytesPerS is the rate at which model weights are loaded.
+	// bytesPerS is the rate in bytes per second to which Reserve limits loads.
 	bytesPerS int64
-	now       func() time.Time
+	// now is the clock by which Reserve limits loads.
+	now func() time.Time
 }
 
 // Fault is a failure mode of Memory.
@@ -45,7 +48,7 @@
 	FaultLostAnswers Fault = "lost_answers"
 )
 
-// defaultBytesPerS is the rate of the weight store in bytes per second.
+// defaultBytesPerS is the initial value of Memory.bytesPerS.
 const defaultBytesPerS = 2 << 30
 
 // NewMemory returns a fake without records, objects and VMs, in normal operation.
@@ -53,7 +56,7 @@
 	return &Memory{records: map[string]Record{}, objects: map[string][]byte{}, bytesPerS: defaultBytesPerS, now: time.Now}
 }
 
-// SetClock replaces time.Now, the clock by which Reserve limits the rate of loads.
+// SetClock replaces time.Now as the clock by which Reserve limits the rate of loads.
 func (m *Memory) SetClock(now func() time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,15 +70,15 @@
 	m.fault = f
 }
 
-// Counts returns the number of reads and writes so far, including those that a fault failed.
-// Calls of Reserve count as neither.
+// Counts returns the number of reads and writes so far, including those that failed because of the
+// failure mode. Calls of Reserve count as neither.
 func (m *Memory) Counts() (reads, writes uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.reads, m.writes
 }
 
-// SetVM adds vm to the VM list, or replaces the entry of that name.
+// SetVM adds vm to the VM list, or replaces the entry with the same name. It sets vm.Changed.
 func (m *Memory) SetVM(vm VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -90,7 +93,7 @@
 	m.listing.VMs = append(m.listing.VMs, vm)
 }
 
-// RemoveVM removes the entry of that name from the VM list.
+// RemoveVM removes the entry with the given name from the VM list, if there is one.
 func (m *Memory) RemoveVM(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,8 @@
-// Package store defines the interfaces to the services of the platform: a transactional table,
-// an object store, a VM list, a store of model weights and feeds of tables. The interfaces are
-// narrow, so that an adapter to a platform is one small package. contract_test.go holds the
-// tests that every adapter must pass; Memory is an in-memory implementation for tests.
+// Package store defines the interfaces to the services of the platform, the environment in which
+// garnethoist is installed: a transactional table, an object store, a VM list, a store of model
+// weights and feeds of tables. The interfaces are narrow, so that an adapter to a platform is one
+// small package. contract_test.go holds the tests that every adapter must pass. Memory is an
+// in-memory implementation for tests.
 package store
 
 import (
@@ -17,8 +18,8 @@
 	ErrNotFound = errors.New("platform: not found")
 	// ErrConflict reports that a condition did not hold. Nothing was written.
 	ErrConflict = errors.New("platform: condition does not hold")
-	// ErrUnavailable reports that the service did not answer a read, or that a write certainly
-	// had no effect.
+	// ErrUnavailable reports that a read failed, or that a write failed and certainly had no
+	// effect.
 	ErrUnavailable = errors.New("platform: unavailable")
 	// ErrUnknown reports that a write may have taken effect, or may still do so. The caller must
 	// read the record before it writes again.
@@ -26,15 +27,15 @@
 )
 
 // Record is a key of the table with its value. Version changes with every write to the key and
-// is never zero.
+// is never zero. It is the version that Commit returned for the write.
 type Record struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value"`
 	Version uint64 `json:"version"`
 }
 
-// Cond is a condition of a transaction: Key has this Version, or does not exist if Version is
-// zero.
+// Cond is a condition of a transaction: that the record of Key has the given Version or, if Version
+// is zero, that there is no record of Key.
 type Cond struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
@@ -47,7 +48,7 @@
 }
 
 // Txn is a transaction. Either all of its conditions hold and all of its writes take effect, or
-// none does. Deletes lists keys.
+// none does. Deletes holds the keys to delete.
 type Txn struct {
 	Conds   []Cond   `json:"conds"`
 	Puts    []Put    `json:"puts"`
@@ -58,7 +59,8 @@
 type Table interface {
 	// Get returns the record of key. It fails with ErrNotFound or ErrUnavailable.
 	Get(ctx context.Context, key string) (Record, error)
-	// List returns the records whose keys start with prefix, sorted by key.
+	// List returns the records whose keys start with prefix, sorted by key. It fails with
+	// ErrUnavailable.
 	List(ctx context.Context, prefix string) ([]Record, error)
 	// Commit executes txn and returns the version of the records that it wrote. It fails with
 	// ErrConflict, ErrUnavailable or ErrUnknown.
@@ -67,9 +69,10 @@
 
 // Objects is the platform's object store. Objects are immutable.
 type Objects interface {
-	// PutObject creates an object. It fails with ErrConflict if the object exists.
+	// PutObject creates an object. It fails with ErrConflict if the object exists, or with
+	// ErrUnavailable or ErrUnknown.
 	PutObject(ctx context.Context, name string, data []byte) error
-	// GetObject returns the content of an object. It fails with ErrNotFound if there is none.
+	// GetObject returns the content of an object. It fails with ErrNotFound or ErrUnavailable.
 	GetObject(ctx context.Context, name string) ([]byte, error)
 }
 
@@ -110,7 +113,8 @@
 
 // VMList is the platform's list of live and leaving VMs.
 type VMList interface {
-	// VMs returns the list. If its revision still is known, only Revision is set.
+	// VMs returns the list. If the list's revision is known, that is, if the list has not changed
+	// since the caller read it, only Revision is set. It fails with ErrUnavailable.
 	VMs(ctx context.Context, known uint64) (VMListing, error)
 }
 
