--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers exchanges UDP datagrams between VMs. They carry each VM's current load on every
-// target and the newest data that it has read from the store.
+// Package peers exchanges UDP datagrams between VMs. They carry the work (place.Work) that each VM
+// has in progress at every target, and the newest data that it has read from the store.
 //
 // The VMs that exchange datagrams form a group. Its members are the VMs that have a record in the
 // store. A VM sends its reports to the other VMs of its data centre. One VM of each data centre,
@@ -49,6 +49,8 @@
 
 // Member describes a VM, both in its record in the store and in its reports.
 type Member struct {
+	// VM is the VM's name, Address the host and port at which it receives datagrams, and
+	// DataCentre the name of its data centre.
 	VM         string `json:"vm"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
@@ -56,7 +58,8 @@
 	LinkMbps float64 `json:"link_mbps,omitempty"`
 }
 
-// Placer is the part of place.Placer whose state is exchanged.
+// Placer provides the work and uses of this VM and takes in the uses of other VMs. place.Placer
+// implements it.
 type Placer interface {
 	// Own returns this VM's own work at each target.
 	Own() map[string]place.Work
@@ -109,7 +112,8 @@
 	orders      Orders
 	suspects    Suspects
 	usage       Usage
-	// dutyFence returns this VM's fencing number while it holds the duties, and 0 otherwise.
+	// dutyFence returns this VM's fencing number while it holds the duties, and 0 otherwise. The
+	// duties are the calls to the platform that only one VM at a time may make, see package duty.
 	dutyFence func() uint64
 	conn      *net.UDPConn
 	// firstStart is true if the whole group starts for the first time, see SetFirstStart.
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -31,6 +31,7 @@
 	return p.own
 }
 
+// set sets the work that Own returns and the uses that TakeUses returns next.
 func (p *placer) set(own map[string]place.Work, uses ...place.Use) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,6 +52,7 @@
 	p.observed = append(p.observed, uses...)
 }
 
+// observedUses returns the number of uses that other VMs have reported.
 func (p *placer) observedUses() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -242,7 +244,7 @@
 	b := start(t, "b", address(t), 1, table, nil)
 	defer b.stop(t)
 	b.followed.newest.Store(9)
-	eventually(t, "a is told of the newer version",
+	eventually(t, "NotifyNewer is called on a",
 		func() bool { return a.followed.newerCalls.Load() > 0 })
 	is.Equal(b.followed.newerCalls.Load(), int64(0))
 	n := a.followed.newerCalls.Load()
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -21,8 +21,8 @@
 	// summaryLinkShare is the fraction of the bandwidth of a relay's link that forwarding the
 	// summaries of one data centre may use.
 	summaryLinkShare = 0.2
-	// maxSummaryPause is the maximum time between summaries that the limit on bandwidth may cause.
-	// It is well below maxReportAge, so that summaries do not expire.
+	// maxSummaryPause is the maximum time between summaries, or between digests, that the limit on
+	// bandwidth may cause. It is well below maxReportAge, so that they do not expire.
 	maxSummaryPause = 400 * time.Millisecond
 	// twoSentinelsMinVMs is the number of VMs from which a data centre has at least two
 	// sentinels, so that one remains if the other fails.
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -142,6 +142,7 @@
 	is.Equal(vms[0].followed.offers.Load(), int64(0))
 }
 
+// In a small group a published change is not sent to other VMs.
 func TestSmallGroupsDoNotForwardChanges(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
--- a/internal/peers/report.go
+++ b/internal/peers/report.go
@@ -116,6 +116,7 @@
 	Tokens    int
 }
 
+// encodeWork returns the wire form of work by target, sorted by target.
 func encodeWork(work map[string]place.Work) []workItem {
 	items := make([]workItem, 0, len(work))
 	for id, w := range work {
@@ -127,6 +128,7 @@
 	return items
 }
 
+// decodeWork returns the work by target from its wire form.
 func decodeWork(items []workItem) map[string]place.Work {
 	work := make(map[string]place.Work, len(items))
 	for _, i := range items {
@@ -136,6 +138,7 @@
 	return work
 }
 
+// encodeUses returns the wire form of uses. origin is the originHash of this VM.
 func encodeUses(uses []place.Use, origin uint16) []use {
 	out := make([]use, 0, len(uses))
 	for _, u := range uses {
@@ -189,6 +192,7 @@
 	Removed bool
 }
 
+// encodeDelta returns the wire form of changes to the followed table with the given index.
 func encodeDelta(index int, d store.Delta) *tableDelta {
 	n := &tableDelta{TableIndex: index, From: d.From, To: d.Rows.Revision, SinceRecoveryMS: -1}
 	if d.AfterOutage {
@@ -201,6 +205,7 @@
 	return n
 }
 
+// decode returns the changes from their wire form.
 func (n *tableDelta) decode() store.Delta {
 	d := store.Delta{From: n.From, Rows: store.Rows{Revision: n.To}}
 	if n.SinceRecoveryMS >= 0 {
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -133,6 +133,7 @@
 	Cleared bool
 }
 
+// encodeSuspects returns the wire form of snapshots.
 func encodeSuspects(snapshots []quarantine.Snapshot) []suspectEntry {
 	out := make([]suspectEntry, 0, len(snapshots))
 	for _, s := range snapshots {
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -10,8 +10,8 @@
 const (
 	// suspectCrashes is the minimum number of crashes of a suspect, and quarantineCrashes that of a
 	// request that is quarantined, that is, kept from all targets for a time. If two crashes were
-	// enough, a request that twice happened to run on the same target as the one at fault would
-	// be refused.
+	// enough, a request that twice happened to run on the same target as another request, which is
+	// at fault, would be refused.
 	suspectCrashes    = 2
 	quarantineCrashes = 3
 	// BlameWindow is how long after the first event of a request's answer a crash of its target may
@@ -22,8 +22,8 @@
 	// request from their targets. They may send it after that, because the VM that runs the trial
 	// may be down, or may not receive the request.
 	othersFactor = 12
-	// maxBlockTime is the longest quarantine. It follows each crash after the trials at
-	// trialDelays.
+	// maxBlockTime is the longest time for which a crash quarantines a request. It applies once
+	// the targets of the trials after all trialDelays have crashed too.
 	maxBlockTime = 24 * time.Hour
 	// retention is how long the crashes of a request that is not quarantined are remembered.
 	retention = 10 * time.Minute
@@ -90,11 +90,11 @@
 	e.crashCount = countSuccessive(counted)
 }
 
-// countSuccessive counts crashes of targets to which the request was sent one after another. Of
-// crashes of targets that ran the request concurrently, only one counts: if copies of one request
-// run on many targets and these crash together, as in a power failure, the cause may be something
-// that the targets share. A request that does crash its targets will also crash the next target
-// that it is sent to, and that crash counts. It sorts crashes.
+// countSuccessive returns the number of crashes, counting a crash only if the request was sent to
+// its target after the last crash that was counted. It sorts crashes. If copies of one request run
+// concurrently on many targets and these crash together, as in a power failure, the cause is
+// something that the targets share, and only one of the crashes counts. A request that does crash
+// its targets will also crash the next target that it is sent to.
 func countSuccessive(crashes []crash) int {
 	slices.SortFunc(crashes, func(a, b crash) int { return a.at.Compare(b.at) })
 	n := 0
@@ -109,10 +109,10 @@
 }
 
 // trialDelays are the minimum times after the third, fourth and fifth crash before one VM sends the
-// request to a target again, as a trial. A request that many callers send in identical copies may
-// each time have run on the same target as the one at fault, and the first trial soon shows that.
-// A request that does crash its targets crashes three more targets in these trials. After that
-// there is one trial every maxBlockTime.
+// request to a target again, as a trial. A request of which many callers send identical copies may
+// only have run on the same targets as another request, which is at fault. The first trial soon
+// shows that. A request that does crash its targets crashes three more targets in these trials.
+// After that there is one trial every maxBlockTime.
 var trialDelays = []time.Duration{5 * time.Second, time.Minute, 10 * time.Minute}
 
 // trialDelay returns the minimum time after the last of n crashes before the trial.
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -220,6 +220,7 @@
 	})
 }
 
+// An empty table gives its verdict without hashing the request.
 func BenchmarkVerdictOfEmptyTable(b *testing.B) {
 	table := quarantine.NewTable()
 	r := newRequest("a", 1)
@@ -229,6 +230,7 @@
 	}
 }
 
+// A table with entries of other requests hashes the request without the content of its body.
 func BenchmarkVerdictWithOtherEntries(b *testing.B) {
 	table := quarantine.NewTable()
 	for i := range 1000 {
--- a/internal/store/contract_test.go
+++ b/internal/store/contract_test.go
@@ -220,7 +220,8 @@
 			_, err := httpstore.New(addr, 300*time.Millisecond).Commit(t.Context(), putTxn("k", "a", 0))
 			is.True(errors.Is(err, c.want))
 			_, err = httpstore.New(addr, 300*time.Millisecond).Get(t.Context(), "k")
-			is.True(errors.Is(err, store.ErrUnavailable)) // a read has no effect, so its outcome is never unknown
+			// A read has no effect, so its outcome is never unknown.
+			is.True(errors.Is(err, store.ErrUnavailable))
 		})
 	}
 	t.Run("no listener", func(t *testing.T) {
--- a/internal/watch/freshness.go
+++ b/internal/watch/freshness.go
@@ -17,14 +17,16 @@
 	confirmWait = 150 * time.Millisecond
 )
 
-// Freshness tells whether this VM's copy of the configuration is recent enough to act on.
+// Freshness tells whether this VM's copy of the configuration is recent enough to act on, and
+// whether it is recent enough to serve requests with the API keys in it, which may have been
+// removed from the configuration since.
 type Freshness struct {
 	config *Table
 	// maxAge is the maximum age, by AsOf, at which the copy is taken for the newest
 	// configuration.
 	maxAge time.Duration
-	// keysMaxAge is the maximum age, by ConservativeAsOf, at which keys are served from the copy;
-	// 0 means no maximum.
+	// keysMaxAge is the maximum age, by ConservativeAsOf, at which requests with API keys of the
+	// copy are served; 0 means no maximum.
 	keysMaxAge time.Duration
 }
 
@@ -35,8 +37,8 @@
 }
 
 const (
-	// inFlightShare is the fraction of the revocation bound that is reserved for requests which
-	// this VM has already sent on.
+	// inFlightShare is the fraction of the time given to SetRevokeBound that is reserved for
+	// requests which this VM has already sent on.
 	inFlightShare = 0.05
 	// keysPollShare is the fraction of keysMaxAge after which the store is polled. That is longer
 	// than the time between the sentinels' calls, so that a VM that receives their reports makes
@@ -44,15 +46,16 @@
 	keysPollShare = 0.75
 )
 
-// SetRevokeBound sets the time after which no request with a removed key may be served; 0 means
+// SetRevokeBound sets the time after which no request with a removed API key may be served; 0 means
 // no bound. It must be called before the first request.
 func (k *Freshness) SetRevokeBound(bound time.Duration) {
 	k.keysMaxAge = time.Duration((1 - inFlightShare) * float64(bound))
 }
 
-// KeysCurrent returns whether the copy was confirmed to be the newest configuration so recently
-// that the keys in it may be served. If the last confirmation is older than keysPollShare of the
-// time allowed, it requests a poll of the store, but does not wait for it.
+// KeysCurrent returns whether the copy was confirmed to be the newest configuration at most
+// keysMaxAge ago, so that requests with the API keys in it may be served. If the last confirmation
+// is older than keysPollShare of keysMaxAge, it requests a poll of the store, but does not wait for
+// it.
 func (k *Freshness) KeysCurrent() bool {
 	if k.keysMaxAge == 0 {
 		return true
--- a/internal/watch/keys_test.go
+++ b/internal/watch/keys_test.go
@@ -13,7 +13,7 @@
 	"garnethoist.org/garnethoist/internal/watch"
 )
 
-// revokeBound is the time after which no request with a removed key may be served.
+// revokeBound is the time after which no request with a removed API key may be served.
 const revokeBound = 5 * time.Second
 
 // timeStore is a store whose responses state its clock reading. The clock can be set, and the store
@@ -24,6 +24,7 @@
 	down atomic.Bool
 }
 
+// newTimeStore returns a store whose clock reads one hour.
 func newTimeStore() *timeStore {
 	c := &timeStore{}
 	c.set(time.Hour)
@@ -33,6 +34,7 @@
 // set sets the store's clock to now.
 func (c *timeStore) set(now time.Duration) { c.zero.Store(clock.Now().Add(-now).UnixNano()) }
 
+// now returns the reading of the store's clock.
 func (c *timeStore) now() time.Duration { return clock.Since(time.Unix(0, c.zero.Load())) }
 
 // serve responds to any call with the table at revision 5.
@@ -86,15 +88,14 @@
 
 // Guards against serving removed keys after a pause. A VM is stopped for 10 s while a datagram
 // waits in its socket that says that its configuration is the newest. The VM reads the datagram
-// after the pause and must not take the age in it, which does not include the pause, for the
-// current age.
+// after the pause, and the age that the datagram states does not include the pause.
 func TestOldReportDoesNotConfirmKeys(t *testing.T) {
 	is := is.New(t)
 	config, fresh, c, sim := startCutOff(t)
 	reported := c.now()
 	sim.Suspend(10 * time.Second)
 	config.ObservePeer(5, clock.Now(), reported)
-	is.True(fresh.Confirmed(context.Background())) // Confirmed goes by the age that the datagram states
+	is.True(fresh.Confirmed(context.Background())) // goes by the age that the datagram states
 	is.True(!fresh.KeysCurrent())
 	config.ObservePeer(5, clock.Now(), 0) // from a VM that does not know the store's clock
 	is.True(!fresh.KeysCurrent())
--- a/internal/watch/offer_test.go
+++ b/internal/watch/offer_test.go
@@ -47,6 +47,7 @@
 	a.revisions = append(a.revisions, rows.Revision)
 }
 
+// last returns the last revision that was applied, or 0 if none was.
 func (a *recorder) last() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -240,7 +240,8 @@
 	return interrupted
 }
 
-// setRevision records that all changes up to the given revision have been applied.
+// setRevision records that all changes up to the given revision have been applied. Only followLoop
+// may call it.
 func (t *Table) setRevision(revision uint64) {
 	t.revision = revision
 	t.sharedRevision.Store(revision)
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -93,6 +93,7 @@
 
 func (soloGroup) Publish(string, store.Delta) {}
 
+// row returns a row with an empty JSON object.
 func row(key string) store.Row { return store.Row{Key: key, Value: []byte(`{}`)} }
 
 // follow runs a table through the steps. It returns the rows that the table applied, whether they
@@ -185,6 +186,7 @@
 	fleet  *watch.Fleet
 }
 
+// newFleetFixture returns a fleet of two targets on a link without an outage.
 func newFleetFixture() *fleetFixture {
 	w := &fleetFixture{keeper: fleet.NewKeeper(), link: watch.NewLink(telemetry.Discard())}
 	d := watch.Decoder{
