--- a/internal/profile/fit.go
+++ b/internal/profile/fit.go
@@ -6,51 +6,55 @@
 )
 
 const (
-	// windowSize is how many samples an estimate is based on. Older samples no longer apply: the
-	// window spans some seconds at ten requests a second, so that the estimates follow the
-	// release of new engines within that time.
+	// windowSize is the largest number of samples that an estimate is based on. At ten requests a
+	// second the window spans some seconds, so that the estimates follow a release of new engines
+	// within that time.
 	windowSize = 256
-	// refitInterval is the number of samples between two fits of a full window. A fit takes about
-	// 20 microseconds.
+	// refitInterval is the number of samples from one fit to the next, after the first
+	// eagerSamples. A fit takes about 20 microseconds.
 	refitInterval = 16
-	// eagerSamples is the number of first samples after each of which the estimate is fitted at
-	// once.
+	// eagerSamples is the number of samples at the start after each of which the estimate is
+	// fitted at once.
 	eagerSamples = 24
-	// priorWeight is how many samples the prior counts as. Only the ratio of its
-	// coefficients counts, not their magnitude.
+	// priorWeight is how many samples the prior counts as. Only the ratios of its coefficients
+	// count, not their magnitude.
 	priorWeight = 4
-	// stepPriorWeight is the same for the time between events. The contribution of each
-	// concurrent request is small, and a few samples would not outweigh a stronger prior.
+	// stepPriorWeight is the priorWeight of the estimate of the time between events. A concurrent
+	// request adds little to that time, and a few samples would not outweigh a stronger prior.
 	stepPriorWeight = 0.2
-	// reweightRounds is how often the weights of outliers are recomputed in one fit.
+	// reweightRounds is how often the weights of the samples are recomputed in one fit, so that
+	// outliers count less.
 	reweightRounds = 4
-	// outlierThreshold is the relative error from which the weight of a sample decreases, in
-	// proportion to the error. Stalls, queues and slow engines multiply a time; other requests in
-	// the same batch add a few tenths.
+	// outlierThreshold is the relative error above which the weight of a sample is reduced, in
+	// inverse proportion to the error. Stalls, queues and slow engines multiply a time; other
+	// requests in the same batch add a few tenths to it.
 	outlierThreshold = 0.3
 	// minCoefficientShare is the lower bound of a coefficient as a fraction of the scaled prior.
 	minCoefficientShare = 1e-3
 )
 
-// dims is the maximum number of terms of a model.
+// dims is the maximum number of features, and so of coefficients, of an estimate.
 const dims = 3
 
-// vector holds the sizes on which a value depends, or the coefficient of each size.
+// vector holds the features of a value, which are the numbers that it depends on, or the
+// coefficient of each feature.
 type vector [dims]float64
 
-// sample is one measured value and the sizes it depends on.
+// sample is one measured value with its features.
 type sample struct {
-	size  vector
-	value float64
-	// noise is the factor by which the sample is less reliable than a clean one, which has 1.
+	features vector
+	value    float64
+	// noise is the assumed size of the sample's error relative to that of an undisturbed sample,
+	// which has a noise of 1.
 	noise float64
 }
 
-// fit is a robust estimate of the coefficients c of the linear model value = c·size from the
-// newest samples. Its prior gives the ratio of the coefficients. Their magnitude comes from the
+// fit is a robust estimate of the coefficients c of the linear model value = c·features from the
+// newest samples. Its prior gives the ratios of the coefficients. Their magnitude comes from the
 // samples alone as soon as there is one, so that engines a hundred times as fast as the prior are
 // estimated well after the first few samples.
 type fit struct {
+	// prior holds the coefficients that are assumed before there are samples.
 	prior vector
 	// fixed is the index of the coefficient whose prior is not scaled with the others, as it does
 	// not depend on the engine's speed, or -1.
@@ -58,24 +62,25 @@
 	// weight is how many samples the prior counts as.
 	weight float64
 	// c holds the estimated coefficients.
-	c       vector
+	c vector
+	// samples holds the newest samples, at most windowSize.
 	samples []sample
-	// next is the index of the sample to replace in a full window, and seen the number of all
-	// samples so far.
+	// next is the index of the sample to replace once there are windowSize samples, and seen the
+	// number of all samples so far.
 	next int
 	seen int
 }
 
-// newFit returns a fit without samples, which estimates the prior.
+// newFit returns a fit without samples, whose coefficients are those of the prior.
 func newFit(prior vector) *fit { return &fit{prior: prior, fixed: -1, weight: priorWeight, c: prior} }
 
-// at returns the estimated value for a size.
-func (f *fit) at(size vector) float64 { return dot(f.c, size) }
+// at returns the estimated value for these features.
+func (f *fit) at(features vector) float64 { return dot(f.c, features) }
 
-// add adds a sample. It ignores samples whose value or size is not positive, or whose value is
-// infinite.
+// add adds a sample. It ignores samples whose value is not positive or is infinite, and samples
+// whose value by the prior, without its fixed term, is not positive.
 func (f *fit) add(s sample) {
-	if !(s.value > 0) || !(dot(f.scalablePrior(), s.size) > 0) || math.IsInf(s.value, 0) {
+	if !(s.value > 0) || !(dot(f.scalablePrior(), s.features) > 0) || math.IsInf(s.value, 0) {
 		return
 	}
 	if len(f.samples) < windowSize {
@@ -90,7 +95,7 @@
 	}
 }
 
-// scalablePrior returns the prior without its fixed term.
+// scalablePrior returns the prior with 0 in place of the fixed coefficient.
 func (f *fit) scalablePrior() vector {
 	v := f.prior
 	if f.fixed >= 0 {
@@ -99,9 +104,9 @@
 	return v
 }
 
-// refit estimates the coefficients. The prior is first scaled by the median ratio of the cleaner
-// half of the samples to the prior. The coefficients then minimize the weighted squares of the
-// relative errors, with the scaled prior as additional samples.
+// refit estimates the coefficients. It first scales the prior, except for the fixed coefficient, to
+// the samples (see priorScale). The coefficients then minimize the weighted squares of the relative
+// errors, with the scaled prior as additional samples.
 func (f *fit) refit() {
 	scale := f.priorScale()
 	base := f.prior
@@ -117,7 +122,8 @@
 	f.c = c
 }
 
-// priorScale returns the median ratio of the cleaner half of the samples to the prior.
+// priorScale returns by which factor the values of the samples exceed those of scalablePrior: the
+// median over the half of the samples with the least noise.
 func (f *fit) priorScale() float64 {
 	noises := make([]float64, 0, len(f.samples))
 	for _, s := range f.samples {
@@ -128,14 +134,15 @@
 	ratios := make([]float64, 0, len(f.samples))
 	for _, s := range f.samples {
 		if s.noise <= medianNoise {
-			ratios = append(ratios, s.value/dot(scalable, s.size))
+			ratios = append(ratios, s.value/dot(scalable, s.features))
 		}
 	}
 	return median(ratios)
 }
 
-// solveWeighted performs one round of weighted least squares around base, the scaled prior. The
-// weights depend on the errors of the samples under c, the coefficients of the round before.
+// solveWeighted returns the coefficients of one round of weighted least squares. base is the scaled
+// prior. The weight of a sample depends on its error under c, the coefficients of the previous
+// round.
 func (f *fit) solveWeighted(base, c vector) vector {
 	var a [dims]vector
 	var b vector
@@ -147,7 +154,7 @@
 		}
 	}
 	for _, s := range f.samples {
-		expected := dot(c, s.size)
+		expected := dot(c, s.features)
 		if expected <= 0 {
 			continue
 		}
@@ -157,9 +164,9 @@
 		}
 		for i := range base {
 			for j := range base {
-				a[i][j] += w * s.size[i] * s.size[j]
+				a[i][j] += w * s.features[i] * s.features[j]
 			}
-			b[i] += w * s.size[i] * s.value
+			b[i] += w * s.features[i] * s.value
 		}
 	}
 	out := solveLinear(a, b)
@@ -169,8 +176,8 @@
 	return out
 }
 
-// solveLinear solves a·x = b by Gaussian elimination. The matrix a is symmetric and positive
-// definite, as every term has a prior.
+// solveLinear solves a·x = b by Gaussian elimination. The matrix a must be symmetric and positive
+// definite. Those of solveWeighted are, as every coefficient has a prior.
 func solveLinear(a [dims]vector, b vector) vector {
 	for i := range dims {
 		for r := i + 1; r < dims; r++ {
@@ -195,7 +202,8 @@
 // dot returns the scalar product of two vectors.
 func dot(a, b vector) float64 { return a[0]*b[0] + a[1]*b[1] + a[2]*b[2] }
 
-// median returns the middle of the values, or 0 if there are none. It sorts values in place.
+// median returns the median of the values, the lower of two middle ones, or 0 if there are none. It
+// sorts values in place.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/profile/least.go
+++ b/internal/profile/least.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// slidingMin is the minimum of the newest windowSize values.
+// slidingMin tracks the minimum of the newest windowSize values.
 type slidingMin struct {
-	// values is a ring buffer, and next the index of the value to replace. Unused places are
-	// infinite.
+	// values is a ring buffer, and next the index of the value to replace. Elements that have not
+	// been set yet are infinite.
 	values [windowSize]float64
 	next   int
-	// min is infinite before there are values.
+	// min is the minimum of values. It is infinite before the first value is added.
 	min float64
 }
 
-// newSlidingMin returns a minimum of no values.
+// newSlidingMin returns a slidingMin without values, whose minimum is infinite.
 func newSlidingMin() slidingMin {
 	m := slidingMin{min: math.Inf(1)}
 	for i := range m.values {
@@ -24,7 +24,7 @@
 	return m
 }
 
-// add adds a value in place of the oldest one.
+// add adds a value, which replaces the oldest one.
 func (m *slidingMin) add(value float64) {
 	removed := m.values[m.next]
 	m.values[m.next] = value
--- a/internal/profile/lengths.go
+++ b/internal/profile/lengths.go
@@ -2,18 +2,19 @@
 
 import "slices"
 
-// lengthRatios learns how much longer answers are than their callers expect.
+// lengthRatios estimates how many times as long as their callers expect answers are.
 type lengthRatios struct {
-	// ratios is a ring buffer of the newest answers' actual by expected lengths, next the index
-	// of the ratio to replace, and seen the number of all answers so far.
+	// ratios is a ring buffer of the ratio of the actual to the expected length of the newest
+	// answers, next the index of the ratio to replace, and seen the number of all answers so far.
 	ratios [windowSize]float64
 	next   int
 	seen   int
-	// quantile is the ratio that a share lengthQuantile of the answers does not exceed.
+	// quantile is the ratio that a fraction lengthQuantile of the newest answers does not exceed.
 	quantile float64
 }
 
-// add adds the ratio of one answer.
+// add adds the ratio of one answer. The quantile is recomputed after each of the first answers,
+// once there are reliableSamples, and after every refitInterval answers later.
 func (l *lengthRatios) add(ratio float64) {
 	l.ratios[l.next] = ratio
 	l.next = (l.next + 1) % windowSize
--- a/internal/profile/profile_test.go
+++ b/internal/profile/profile_test.go
@@ -13,8 +13,9 @@
 	"garnethoist.org/garnethoist/internal/profile"
 )
 
-// engine is a simulated engine: the times in milliseconds for a token to prefill, for a million
-// pairs of tokens and for a decode step, and the tokens of an event.
+// engine is a simulated engine: the times in milliseconds of the prefill of one token, of the
+// attention between a million pairs of tokens and of a decode step, and the number of tokens in an
+// event.
 type engine struct {
 	tokenMS, pairsMS, stepMS, eventTokens float64
 }
@@ -28,14 +29,14 @@
 	}
 }
 
-// prefillMS returns the true prefill time of a prompt.
+// prefillMS returns the true prefill time of a prompt in milliseconds.
 func (e engine) prefillMS(tokens, cached int) float64 {
 	missing := float64(tokens - cached)
 	return missing*e.tokenMS + missing*float64(tokens+cached)/2/1e6*e.pairsMS
 }
 
-// serve simulates one request and records it in p, with the disturbances that measured times
-// have: queues, other requests in the batch, stalls, and engines that restart or are slow.
+// serve simulates one request and records it in p. Its times are disturbed as measured times are:
+// by queues, other requests in the batch, stalls, and engines that restart or are slow.
 func (e engine) serve(r *rand.Rand, p *profile.Profile) {
 	tokens := 100 + int(20000*math.Pow(r.Float64(), 2))
 	cached := int(float64(tokens) * r.Float64() * 0.9)
@@ -53,7 +54,8 @@
 	observeStream(p, events, ms(span), int(expected+0.5), 0)
 }
 
-// slowdown returns the factor of a disturbance, which affects about one time in seven.
+// slowdown returns the factor by which a stall lengthens a time. About one time in seven is
+// affected; the factor is 1 for the others.
 func slowdown(r *rand.Rand) float64 {
 	if r.Float64() < 0.15 {
 		return 2 + 20*r.Float64()
@@ -70,24 +72,24 @@
 	for _, n := range []int{50, 200, 1000} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
-			var reads, steps []float64
+			var prefillErrors, stepErrors []float64
 			for seed := range uint64(50) {
 				r := rand.New(rand.NewPCG(seed, 7))
 				e, p := randomEngine(r), profile.New()
 				for range n {
 					e.serve(r, p)
 				}
-				reads = append(reads, prefillError(e, p))
-				steps = append(steps, math.Abs(inMS(p.TokenTime())/e.stepMS-1))
+				prefillErrors = append(prefillErrors, prefillError(e, p))
+				stepErrors = append(stepErrors, math.Abs(inMS(p.TokenTime())/e.stepMS-1))
 			}
-			t.Logf("after %d requests: error of prefill times %s, of decode steps %s", n, spread(reads), spread(steps))
-			is.True(percentile(reads, 0.9) < bounds[n])
-			is.True(percentile(steps, 0.9) < 0.35)
+			t.Logf("after %d requests: error of prefill times %s, of decode steps %s", n, spread(prefillErrors), spread(stepErrors))
+			is.True(percentile(prefillErrors, 0.9) < bounds[n])
+			is.True(percentile(stepErrors, 0.9) < 0.35)
 		})
 	}
 }
 
-// prefillError returns the mean relative error of the estimated prefill time for prompts of three
+// prefillError returns the mean relative error of the estimated prefill time over prompts of three
 // lengths.
 func prefillError(e engine, p *profile.Profile) float64 {
 	sum := 0.0
@@ -100,7 +102,7 @@
 // inMS returns a duration in milliseconds.
 func inMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// percentile returns the value that the given share of the values does not exceed.
+// percentile returns the value that the given fraction of the values does not exceed.
 func percentile(values []float64, share float64) float64 {
 	values = slices.Sorted(slices.Values(values))
 	return values[int(share*float64(len(values)-1))]
@@ -126,7 +128,7 @@
 	is.True(prefillError(fast, p) < 0.25)
 }
 
-// First samples that a frozen engine has distorted do not dominate the estimate for long.
+// The first samples, if a frozen engine has distorted them, do not dominate the estimate for long.
 func TestDistortedFirstSamplesAreOutweighed(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
@@ -139,8 +141,9 @@
 	is.True(p.PrefillTime(9000, 0) < 60*time.Millisecond)
 }
 
-// Samples without prefilled tokens, time of their own or events are ignored.
-func TestSamplesWithoutSizeAreIgnored(t *testing.T) {
+// Samples are ignored if no tokens were prefilled, if the whole time was spent on prompts ahead, or
+// if the stream had no events.
+func TestSamplesWithoutWorkAreIgnored(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
 	before := p.PrefillTime(1000, 0)
@@ -150,8 +153,9 @@
 	is.Equal(p.PrefillTime(1000, 0), before)
 }
 
-// A prefill in place takes twice as long, and its samples give the same estimate of the engine.
-func TestPrefillInPlace(t *testing.T) {
+// A prefill in place takes twice as long as one at a prefill engine, and its samples give the same
+// estimate of the engine.
+func TestInPlacePrefillIsEstimated(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
 	for range 20 {
@@ -162,8 +166,9 @@
 	is.Equal(p.InPlacePrefillTime(2000, 0), 2*p.PrefillTime(2000, 0))
 }
 
-// The time of a handoff grows with the prompt; runs and plain requests have estimates of their own.
-func TestHandoffsRunsAndPlainRequests(t *testing.T) {
+// The time of a handoff grows with the prompt. The time that a request occupies its slot and the
+// time of a plain request are estimated separately.
+func TestHandoffRunAndPlainTimesAreEstimated(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
 	r := rand.New(rand.NewPCG(1, 2))
@@ -180,21 +185,21 @@
 }
 
 // The time that each concurrent request adds to a decode step is estimated, for engines whose steps
-// are bound by reading the weights and for those bound by the concurrent requests.
+// are bound by reading the model's weights and for those bound by the concurrent requests.
 func TestStepGrowthIsEstimated(t *testing.T) {
 	for _, growth := range []float64{0.0005, 0.006, 0.02} {
 		t.Run(fmt.Sprint(growth), func(t *testing.T) {
 			is := is.New(t)
 			r, p := rand.New(rand.NewPCG(5, 5)), profile.New()
 			for range 200 {
-				beside := r.IntN(60)
-				step := 2 * (1 + growth*float64(beside))
-				observeStream(p, 30, ms(29*10*step*(1+0.05*r.Float64())), 300, beside)
+				others := r.IntN(60)
+				step := 2 * (1 + growth*float64(others))
+				observeStream(p, 30, ms(29*10*step*(1+0.05*r.Float64())), 300, others)
 			}
-			for _, beside := range []int{0, 30, 60} {
-				want := 2 * (1 + growth*float64(beside))
-				got := inMS(p.StepTime(beside))
-				t.Logf("beside %d requests: estimate is %.3f of the true time", beside, got/want)
+			for _, others := range []int{0, 30, 60} {
+				want := 2 * (1 + growth*float64(others))
+				got := inMS(p.StepTime(others))
+				t.Logf("with %d other requests: estimate is %.3f of the true time", others, got/want)
 				is.True(math.Abs(got/want-1) < 0.1)
 			}
 			is.True(p.MaxConcurrent(ms(1.7)) < 0)
@@ -202,7 +207,8 @@
 	}
 }
 
-// The ratio of actual to expected lengths follows the newest answers.
+// The ratio of actual to expected lengths is the prior, 2, before there are answers, and is then
+// estimated from the answers.
 func TestLengthRatioIsEstimated(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
@@ -217,8 +223,8 @@
 	is.True(p.LengthRatio() < 2.4)
 }
 
-// An event holds no more tokens than the maximum length of an answer allows, whatever its caller
-// expects.
+// The estimated number of tokens in an event stays within the maximum length of each answer divided
+// by its number of events, whatever lengths callers expect.
 func TestMaxAnswerLengthBoundsEventTokens(t *testing.T) {
 	is := is.New(t)
 	p := profile.New()
@@ -234,29 +240,30 @@
 	is.True(math.Abs(p.EventTokens()-65) < 1e-6) // the old bound has left the window
 }
 
-// observeStream records a complete stream: its events, the time from its first to its last event,
-// the tokens that its caller expected and the number of requests that ran beside it.
-func observeStream(p *profile.Profile, events int, took time.Duration, expected, beside int) {
-	p.ObserveEvents(events-1, took, profile.Load{Running: beside})
+// observeStream records a complete stream: its number of events, the time from its first to its
+// last event, the number of tokens that its caller expected and the number of other requests that
+// ran meanwhile.
+func observeStream(p *profile.Profile, events int, took time.Duration, expected, others int) {
+	p.ObserveEvents(events-1, took, profile.Load{Running: others})
 	p.ObserveAnswer(events, expected)
 }
 
-// The time for prompts that an engine prefills between the events of a stream is separated from the
-// time of its decode steps.
+// The time that an engine takes to prefill prompts between the events of a stream is separated from
+// the time of its decode steps.
 func TestConcurrentPrefillIsSeparated(t *testing.T) {
-	for _, readMS := range []float64{0.002, 0.02, 0.1} {
-		t.Run(fmt.Sprint(readMS), func(t *testing.T) {
+	for _, tokenMS := range []float64{0.002, 0.02, 0.1} {
+		t.Run(fmt.Sprint(tokenMS), func(t *testing.T) {
 			is := is.New(t)
 			r, p := rand.New(rand.NewPCG(7, 7)), profile.New()
 			for range 200 {
-				b := profile.Load{Running: r.IntN(60), PrefillTokens: 600 * r.Float64()}
-				pause := 40*(1+0.006*float64(b.Running)) + readMS*b.PrefillTokens
-				p.ObserveEvents(16, ms(16*pause*(1+0.1*(r.Float64()-0.5))), b)
+				load := profile.Load{Running: r.IntN(60), PrefillTokens: 600 * r.Float64()}
+				interval := 40*(1+0.006*float64(load.Running)) + tokenMS*load.PrefillTokens
+				p.ObserveEvents(16, ms(16*interval*(1+0.1*(r.Float64()-0.5))), load)
 			}
-			for _, b := range []profile.Load{{}, {Running: 60}, {Running: 30, PrefillTokens: 500}} {
-				want := 40*(1+0.006*float64(b.Running)) + readMS*b.PrefillTokens
-				got := inMS(p.LoadedInterval(b))
-				t.Logf("%+v: estimate is %.3f of the true time", b, got/want)
+			for _, load := range []profile.Load{{}, {Running: 60}, {Running: 30, PrefillTokens: 500}} {
+				want := 40*(1+0.006*float64(load.Running)) + tokenMS*load.PrefillTokens
+				got := inMS(p.LoadedInterval(load))
+				t.Logf("%+v: estimate is %.3f of the true time", load, got/want)
 				is.True(math.Abs(got/want-1) < 0.1)
 			}
 		})
