--- a/internal/place/admit.go
+++ b/internal/place/admit.go
@@ -21,16 +21,17 @@
 
 // The possible reasons.
 const (
-	// TooLongToRead: prefilling the prompt alone takes longer than the caller waits.
-	TooLongToRead Reason = "too_long_to_read"
+	// TooLongToPrefill: the prefill of the request's own prompt takes longer than its caller waits.
+	TooLongToPrefill Reason = "too_long_to_read"
 	// BehindPrompts: the prompts that the targets still have to prefill take too long.
 	BehindPrompts Reason = "behind_prompts"
-	// NoSeat: the batches that the request could join are full, and the wait for a seat is longer
-	// than the one for pending prompts.
+	// NoSeat: the batches that the request could join are full, and the wait for a seat in one of
+	// them is longer than the wait for pending prompts.
 	NoSeat Reason = "no_seat"
-	// NotItsTurn: the requests that are deferred on all VMs need the capacity that is free.
+	// NotItsTurn: the requests that are deferred on all VMs need more than the capacity that is
+	// free, and this one was not drawn to be sent now.
 	NotItsTurn Reason = "not_its_turn"
-	// QueueFull: the requests deferred earlier take up the time that this one has left.
+	// QueueFull: the requests deferred earlier take up too much of the time that this one has left.
 	QueueFull Reason = "queue_full"
 )
 
@@ -41,49 +42,53 @@
 }
 
 const (
-	// onTimeShare is the part of the objective within which an answer is planned to begin. The rest
-	// allows for errors of the estimate.
+	// onTimeShare is the fraction of the objective within which an answer is planned to begin. The
+	// rest allows for errors of the estimate.
 	onTimeShare = 0.9
-	// maxOwnShare is the part of the objective up to which the prefill of the request itself
-	// counts. A longer prefill is late in any case, and the request would be refused whenever
+	// maxOwnShare is the largest fraction of the objective that the prefill of the request itself
+	// is counted as. A request whose own prefill takes longer would otherwise be refused whenever
 	// engines are busy.
 	maxOwnShare = 0.4
-	// idleShare is the part of the objective that pending prompts at an engine may take for a
-	// request to be sent although it is late already. Requests that arrive later are still on time
-	// behind it.
+	// idleShare is the largest fraction of the objective that the pending prompts at an engine may
+	// take for the engine to count as idle. A request that is late already is still sent to an idle
+	// engine: requests that arrive later are on time even behind it.
 	idleShare = 0.3
-	// queuedShare is the part of a request's remaining time that the requests deferred earlier may
-	// take all engines together. It is small because only a part of the engines is free for them.
+	// queuedShare is the largest fraction of a request's remaining time that the requests deferred
+	// earlier may take, divided over all engines. It is small because only some of the engines are
+	// free for them.
 	queuedShare = 0.25
-	// prefillMargin is the factor by which a prefill may take longer than estimated.
+	// prefillMargin is the factor by which a prefill is allowed to exceed its estimate.
 	prefillMargin = 1.25
-	// deferShare is the part of the time to the first event for which a request is deferred at
-	// most. Its caller is then told to come back, and has as much time again for that.
+	// deferShare is the largest fraction of the time within which the answer must begin for which a
+	// request is deferred. Its caller is then told to come back and has as much time again for
+	// that.
 	deferShare = 0.5
 )
 
 // AdmissionInput holds the inputs of an admission decision for one request.
 type AdmissionInput struct {
-	// Objective is the route's time to the first event, and Waited the time since the caller's
-	// first try.
+	// Objective is the time to the first event that the route aims for, and Waited the time since
+	// the caller's first try.
 	Objective time.Duration
 	Waited    time.Duration
-	// TimeLeft is the time that the caller still allows for the whole answer, and Patience for its
-	// first event. A Patience of 0 means no such limit.
+	// TimeLeft is the time that the caller still allows for the whole answer, and Patience the time
+	// that it still allows for the first event. A Patience of 0 means no such limit.
 	TimeLeft time.Duration
 	Patience time.Duration
 	// HeldFor is how long this VM has had the request.
 	HeldFor time.Duration
-	// QueueTime is the time that the requests deferred earlier will take all engines together.
+	// QueueTime is the time that the engines, all together, will take for the requests deferred
+	// earlier.
 	QueueTime time.Duration
-	// QueuedPrefill is the prefill time of the requests deferred on all VMs, including this one, or 0 if
-	// this one has not been deferred. Look is the time between two checks of a deferred request.
+	// QueuedPrefill is the total prefill time of the requests deferred on all VMs, including this
+	// one, or 0 if this one has not been deferred. CheckInterval is the time between two checks of
+	// whether a deferred request can be sent.
 	QueuedPrefill time.Duration
 	CheckInterval time.Duration
-	// Favor is the part of the request's own prefill time that is not counted, from 0 to 1. It
+	// Favor is the fraction of the request's own prefill time that is not counted, from 0 to 1. It
 	// favors prompt sizes that are admitted less often than others.
 	Favor float64
-	// Random is uniform in [0, 1).
+	// Random is a random number, uniform in [0, 1).
 	Random float64
 }
 
@@ -96,27 +101,29 @@
 	return a.TimeLeft
 }
 
-// idleWait returns the queueing delay up to which a target counts as idle.
+// idleWait returns the longest queueing delay with which a target counts as idle.
 func idleWait(objective time.Duration) time.Duration {
 	return time.Duration(idleShare * float64(objective))
 }
 
-// maxWait returns the longest queueing delay at which a request with a prefill time of own is sent:
-// the answer is still on time, or the target counts as idle.
+// maxWait returns the longest queueing delay with which a request is sent: the longest at which its
+// answer is on time, or at which the target counts as idle if that is longer. own is the estimated
+// time of the request's own prefill.
 func (a AdmissionInput) maxWait(own time.Duration) time.Duration {
 	own = time.Duration((1 - a.Favor) * float64(min(own, time.Duration(maxOwnShare*float64(a.Objective)))))
 	return max(time.Duration(onTimeShare*float64(a.Objective))-a.Waited-own, idleWait(a.Objective))
 }
 
-// MaxWait returns the longest queueing delay before the prefill time of the request is known.
+// MaxWait returns the longest queueing delay with which the request is sent, for use while the time
+// of its own prefill is not known yet: that prefill is counted as 0.
 func (a AdmissionInput) MaxWait() time.Duration { return a.maxWait(0) }
 
 // isTurn reports whether a deferred request may be sent now.
 //
 // Load pattern: after a burst, hundreds of requests are deferred on as many VMs. When an engine
 // becomes idle, all VMs learn it from the same report and would send at once. Each request is
-// therefore sent with a probability at which the requests that are checked during the age of a
-// report fill the free capacity once.
+// therefore sent only with some probability, which is chosen so that the requests checked by all
+// VMs within the age of a report together fill the free capacity once.
 func isTurn(c Choice, a AdmissionInput) bool {
 	if a.QueuedPrefill <= 0 {
 		return true
@@ -125,17 +132,18 @@
 	return a.Random*checking <= float64(max(c.FreeCapacity, 0))
 }
 
-// Admit decides whether a request is sent to the chosen target. In a burst, prompts arrive faster
-// than the engines prefill them. If all were sent, all would be late until the backlog is done.
-// Requests that are on time therefore go first. The others are deferred until engines are nearly
-// idle, and are answered late but completely while there is time left.
+// Admit decides whether a request is sent to the chosen target, deferred or refused. In a burst,
+// prompts arrive faster than the engines prefill them. If all were sent, all would be late until
+// the backlog is done. Requests that can be on time are therefore sent first. The others are
+// deferred until engines are nearly idle; they are answered late but completely, as long as their
+// callers still have time.
 func Admit(c Choice, a AdmissionInput) Decision {
 	left := a.timeLeft()
 	lastCheck := a.HeldFor > time.Duration(deferShare*float64(left+a.HeldFor))
 	inTime := c.Wait() <= a.maxWait(c.OwnPrefill)
 	switch {
 	case time.Duration(prefillMargin*float64(c.OwnPrefill)) > left:
-		return Decision{Refuse, TooLongToRead}
+		return Decision{Refuse, TooLongToPrefill}
 	case inTime && (lastCheck || isTurn(c, a)):
 		return Decision{Verdict: Send}
 	case lastCheck:
@@ -148,7 +156,7 @@
 	return Decision{Defer, c.waitReason()}
 }
 
-// waitReason returns what causes most of the expected wait.
+// waitReason returns the cause of most of the expected wait: NoSeat or BehindPrompts.
 func (c Choice) waitReason() Reason {
 	if 2*c.SeatWait > c.Wait() {
 		return NoSeat
--- a/internal/place/apart_test.go
+++ b/internal/place/apart_test.go
@@ -22,8 +22,9 @@
 	return ids
 }
 
-// Each key selects one target that runs requests, always the same one, and the keys are spread over
-// all such targets. Targets that were tried, leave, only prefill or cannot be reached are never
+// Requests that are suspected of crashing their targets are sent to different ones: each key
+// selects one target that runs requests, always the same, and the keys are spread over all such
+// targets. Targets that were tried, are leaving, only prefill or cannot be reached are never
 // selected.
 func TestSuspectRequestsGetDifferentTargets(t *testing.T) {
 	is := is.New(t)
--- a/internal/place/bench_test.go
+++ b/internal/place/bench_test.go
@@ -9,8 +9,9 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// BenchmarkRead evaluates a prompt at 104 engines, as each check of a deferred request does.
-func BenchmarkRead(b *testing.B) {
+// BenchmarkPrefill measures the choice of one of 104 engines for a prompt, which is repeated at
+// each check of a deferred request.
+func BenchmarkPrefill(b *testing.B) {
 	var targets []*fleet.Target
 	for i := range 104 {
 		stage := fleet.Prefill
--- a/internal/place/cache.go
+++ b/internal/place/cache.go
@@ -7,23 +7,25 @@
 )
 
 // cacheModel estimates which prompt parts a target's KV cache holds. It assumes least-recently-used
-// eviction: a part is cached until as many new tokens as the cache holds have been added since its
-// last use. All VMs report their uses to each other.
+// eviction: a part stays cached until the number of tokens added since its last use exceeds the
+// size of the cache. VMs report to each other the prompts that they send, so that the model covers
+// those of all VMs.
 type cacheModel struct {
 	// tokensAdded is the number of tokens added to the cache so far.
 	tokensAdded float64
-	// lastUse is the value of tokensAdded at each part's last use, by the part's hash.
+	// lastUse holds, by the hash of a part, the value of tokensAdded when a prompt with that part
+	// was last sent.
 	lastUse map[uint64]float64
 }
 
-// maxCacheParts is the largest number of parts that are remembered per target.
+// maxCacheParts is the maximum number of parts that a cacheModel keeps.
 const maxCacheParts = 8192
 
 // newCacheModel returns the model of an empty cache.
 func newCacheModel() *cacheModel { return &cacheModel{lastUse: make(map[uint64]float64)} }
 
-// cachedTokens returns the length of the prompt's cached prefix, for a cache of size tokens. A part
-// is of use only if all parts before it are cached too.
+// cachedTokens returns the number of tokens of the prompt's cached prefix, for a cache that holds
+// size tokens. A cached part saves work only if all parts before it are cached too.
 func (c *cacheModel) cachedTokens(q *Prompt, size float64) int {
 	tokens := 0
 	for _, part := range q.sharedParts() {
@@ -36,8 +38,8 @@
 	return tokens
 }
 
-// add records that the target now holds all of these parts. missing is the number of the prompt's
-// tokens that it did not hold before.
+// add records that the target now holds all parts with these hashes. missing is the number of the
+// prompt's tokens that it did not hold before.
 func (c *cacheModel) add(parts []uint64, missing int) {
 	c.tokensAdded += float64(missing)
 	for _, hash := range parts {
@@ -48,7 +50,8 @@
 	}
 }
 
-// evictOlderHalf forgets the parts whose last use lies in the older half of the recorded range.
+// evictOlderHalf forgets the parts that were last used in the older half of the time between the
+// earliest last use and now, measured in tokens added.
 func (c *cacheModel) evictOlderHalf() {
 	oldest := c.tokensAdded
 	for _, at := range c.lastUse {
@@ -62,83 +65,87 @@
 	}
 }
 
-// Use is one request that was sent to a target, or one failure of a target.
+// Use records that a VM sent a request to a target or, if Failed is set, that a request which it
+// sent there before has failed. VMs report these records to each other.
 type Use struct {
 	// Target is the id of the target's run.
 	Target string
-	// Parts are the hashes of the prompt's parts that other prompts may share.
+	// Parts holds the hashes of the prompt's parts that other prompts may share.
 	Parts []uint64
-	// Missing is the number of the prompt's tokens that the target did not have cached. Reads is
+	// Missing is the number of the prompt's tokens that the target did not have cached. Prefills is
 	// set if the target prefills them itself; otherwise their KV cache is transferred to it.
 	Missing  int
 	Prefills bool
-	// Failed is set if an earlier request to the target has failed.
+	// Failed is set if the record tells of the failure of a request, and not of a request sent.
+	// Only Target is set besides.
 	Failed bool
 }
 
-// recordPromptUse records a use of this VM and fills in the parts of its prompt. The caller holds
-// p.mu.
-func (p *Placer) recordPromptUse(u Use, q *Prompt, now time.Time) {
+// recordOwnPrompt fills in the parts of the prompt q in the record of a request that this VM sends,
+// and passes the record to recordOwn. The caller holds p.mu.
+func (p *Placer) recordOwnPrompt(r Use, q *Prompt, now time.Time) {
 	for _, part := range q.sharedParts() {
-		u.Parts = append(u.Parts, part.Hash)
+		r.Parts = append(r.Parts, part.Hash)
 	}
-	p.recordUse(u, now)
+	p.recordOwn(r, now)
 }
 
-// recordUse records a use of this VM and keeps it to be reported to the other VMs. The caller holds
-// p.mu.
-func (p *Placer) recordUse(u Use, now time.Time) {
-	s := p.stateByID(u.Target)
-	s.applyUse(u, now)
-	p.noteInPlacePrefill(s, u, now)
-	if len(p.uses) < maxUses {
-		p.uses = append(p.uses, u)
+// recordOwn updates the state of a target by a record of this VM, and keeps the record for the next
+// report to other VMs. It is not reported if maxSendRecords wait already. The caller holds p.mu.
+func (p *Placer) recordOwn(r Use, now time.Time) {
+	s := p.stateByID(r.Target)
+	s.addRecord(r, now)
+	p.noteInPlacePrefill(s, r, now)
+	if len(p.sendRecords) < maxSendRecords {
+		p.sendRecords = append(p.sendRecords, r)
 	}
 }
 
-// applyUse updates the state of a target by a use of any VM.
-func (s *state) applyUse(u Use, now time.Time) {
-	if u.Failed {
+// addRecord updates the health and the cache model of a target by a record of any VM. The caller
+// holds Placer.mu.
+func (s *state) addRecord(r Use, now time.Time) {
+	if r.Failed {
 		s.sends.addFailure(now)
 		return
 	}
 	s.sends.addSend(now)
-	s.cache.add(u.Parts, u.Missing)
+	s.cache.add(r.Parts, r.Missing)
 }
 
-// noteInPlacePrefill records a prompt that a decode target prefills beside its running requests,
-// which makes each of their steps longer. The caller holds p.mu.
-func (p *Placer) noteInPlacePrefill(s *state, u Use, now time.Time) {
-	if !u.Prefills || s.stage == fleet.Prefill {
+// noteInPlacePrefill updates the state of a decode target by the record of a prompt that it
+// prefills in place, which makes each step of its running requests longer. The caller holds p.mu.
+func (p *Placer) noteInPlacePrefill(s *state, r Use, now time.Time) {
+	if !r.Prefills || s.stage == fleet.Prefill {
 		return
 	}
-	took := time.Duration(float64(p.profile(s.service).InPlacePrefillTime(u.Missing, 0)) * s.prefillSlowdown)
+	took := time.Duration(float64(p.profile(s.service).InPlacePrefillTime(r.Missing, 0)) * s.prefillSlowdown)
 	s.inPlacePrefills.add(took, now)
-	s.inPlaceTokens += u.Missing
+	s.inPlaceTokens += r.Missing
 }
 
-// maxUses is the largest number of uses that are kept until they are reported to other VMs.
-const maxUses = 256
+// maxSendRecords is the maximum number of records that are kept until they are reported to other
+// VMs.
+const maxSendRecords = 256
 
-// TakeUses returns and clears this VM's uses since the last call.
+// TakeUses returns this VM's records that are to be reported to other VMs, and clears them.
 func (p *Placer) TakeUses() []Use {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := p.uses
-	p.uses = nil
+	out := p.sendRecords
+	p.sendRecords = nil
 	return out
 }
 
-// Observe records uses that other VMs report.
-func (p *Placer) Observe(uses []Use, now time.Time) {
+// Observe updates the state of the targets by records that other VMs report.
+func (p *Placer) Observe(records []Use, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, u := range uses {
-		s := p.stateByID(u.Target)
-		s.applyUse(u, now)
-		p.noteInPlacePrefill(s, u, now)
-		if u.Prefills {
-			p.peerInflow(s.service).add(p.profile(s.service).PrefillTime(u.Missing, 0), now)
+	for _, r := range records {
+		s := p.stateByID(r.Target)
+		s.addRecord(r, now)
+		p.noteInPlacePrefill(s, r, now)
+		if r.Prefills {
+			p.peerInflow(s.service).add(p.profile(s.service).PrefillTime(r.Missing, 0), now)
 		}
 	}
 }
--- a/internal/place/demand_test.go
+++ b/internal/place/demand_test.go
@@ -10,11 +10,11 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// Load pattern: a burst of prompts while few engines prefill. Prompts were prefilled in place at
-// the decode engines, and each counted as a running request that fills a seat. The more engines
-// were thought to be needed for decoding, the fewer were left to prefill: 21 to 34 of 57 engines
-// decoded only few answers.
-func TestInPlacePrefillsNeedNoDecodeEngine(t *testing.T) {
+// Guards against counting prefills in place as decode load. During a burst of prompts, while few
+// engines prefill, prompts are prefilled in place at the decode engines. When each of them counted
+// as a running request that fills a seat, more engines seemed to be needed for decoding, and still
+// fewer were left to prefill: 21 to 34 of 57 engines decoded only few answers.
+func TestInPlacePrefillsAreNotDecodeLoad(t *testing.T) {
 	is := is.New(t)
 	targets := []*fleet.Target{engine("d1", fleet.Decode), engine("d2", fleet.Decode)}
 	inPlace := place.Work{Running: 40, Prefills: 40, Prefill: time.Second}
@@ -24,9 +24,9 @@
 	is.True(newPlacer(peerWork{"d1": running, "d2": running}).DecodeLoad(targets, spec, time.Now()) > 1)
 }
 
-// Prefill engines are overloaded if prompts queue there, or at the VMs, for longer than the wait at
-// which a request that is late already would still be sent. Prefills in place and answers do not
-// count.
+// The prefill engines are overloaded if the prompts that queue there or at the VMs take longer than
+// the wait at which a request that is late already would still be sent. Prefills in place and
+// running requests do not count.
 func TestPrefillOverloaded(t *testing.T) {
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("p2", fleet.Prefill), engine("d", fleet.Decode)}
 	const objective = 250 * time.Millisecond
--- a/internal/place/load_test.go
+++ b/internal/place/load_test.go
@@ -11,8 +11,8 @@
 )
 
 // While streams run at every decode engine and prompts queue at the prefill engine, a long prompt
-// is not prefilled beside the streams, as this would exceed their maximum gap between events. With
-// the limit on gaps disabled, it is.
+// is not prefilled in place, as this would exceed the maximum gap of the streams. With the limit on
+// gaps disabled, it is prefilled in place.
 func TestPromptsKeepMaxGapOfStreams(t *testing.T) {
 	load := peerWork{
 		"p": {Prefill: 600 * time.Millisecond, Prefills: 20},
@@ -29,7 +29,7 @@
 	}
 }
 
-// If a decode engine with streams is the only one left, it prefills the prompt nevertheless.
+// If the only engine left is a decode engine with streams, it prefills the prompt nevertheless.
 func TestStreamsWaitIfNoOtherTargetIsLeft(t *testing.T) {
 	is := is.New(t)
 	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{"d": {Running: 8, Streams: 8, Prefill: 60 * time.Millisecond, Prefills: 2}})
@@ -39,7 +39,8 @@
 }
 
 // In a burst, a session goes back to the engine that has it cached even if prompts wait there and
-// another engine is idle: a new prefill elsewhere would delay more of the prompts that come next.
+// another engine is idle: to prefill the whole prompt at the other engine would delay more of the
+// prompts that come next. With Off.Stay the session goes to the idle engine.
 func TestSessionStaysAtBusyTarget(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		is := is.New(t)
--- a/internal/place/pick.go
+++ b/internal/place/pick.go
@@ -8,13 +8,14 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// Choice is a target chosen for a request, with the request counted as work there.
+// Choice is a target chosen for a request.
 type Choice struct {
 	Target *fleet.Target
+	// Ticket counts the request as work in progress at the target.
 	Ticket *Ticket
 	// Expected is the estimated time until the answer begins.
 	Expected time.Duration
-	// OwnPrefill is the part of Expected that the prefill of this request takes.
+	// OwnPrefill is the part of Expected that the prefill of this request's own prompt takes.
 	OwnPrefill time.Duration
 	// SeatWait is the part of Expected that the request waits for a seat in a batch.
 	SeatWait time.Duration
@@ -22,31 +23,33 @@
 	Cached int
 	// InPlace is set if the decode target that runs the request also prefills its prompt.
 	InPlace bool
-	// FreeCapacity is how much prefill work the targets can take on before the request would no longer be
-	// sent. Age is the average age of the reports of other VMs' work.
+	// FreeCapacity is how much more prefill work the targets can be given before this request would
+	// no longer be sent.
 	FreeCapacity time.Duration
-	ReportAge    time.Duration
-	// Seat is the estimate of the decode phase.
+	// ReportAge is the average age of the reports on the work of other VMs.
+	ReportAge time.Duration
+	// Seat is the estimate of decoding the answer at the target, if it is a decode target.
 	Seat Seat
 }
 
 // Seat is the estimate with which a request was placed in a decode target's batch.
 type Seat struct {
-	// Running is the number of requests that the target ran already. Longest is the time of the
-	// longest answer that the request may have, at the speed of a batch of that size.
-	Running       int
+	// Running is the number of other requests that the target ran already.
+	Running int
+	// LongestAnswer is the time that the longest answer that the request may have takes, at the
+	// speed of a batch of that size.
 	LongestAnswer time.Duration
 }
 
-// Wait returns the expected time until the answer begins, without the request's own prefill.
+// Wait returns the expected time until the answer begins, less the request's own prefill.
 func (c Choice) Wait() time.Duration { return c.Expected - c.OwnPrefill }
 
 // Tried is the set of ids of targets that must not be chosen again for a request.
 type Tried map[string]bool
 
-// Plain chooses the target of a plain call: the least loaded healthy one, with preference for this
-// VM's data centre. It starts at a random target, so that ties are broken at random. It returns
-// false if no target can be used.
+// Plain chooses the target of a plain request: the one with the least cost by load, health and data
+// centre. It starts the comparison at the target that random selects, so that ties are broken at
+// random. It returns false if no target can be used.
 func (p *Placer) Plain(targets []*fleet.Target, tried Tried, random uint64, now time.Time) (Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,13 +68,13 @@
 	if best == nil {
 		return Choice{}, false
 	}
-	p.recordUse(Use{Target: best.RunID()}, now)
+	p.recordOwn(Use{Target: best.RunID()}, now)
 	ticket := p.begin(best, Work{Running: 1}, now)
 	ticket.task = taskPlain
 	return Choice{Target: best, Expected: lowest, Ticket: ticket}, true
 }
 
-// plainCost returns the cost of a plain call at t. The caller holds p.mu.
+// plainCost returns the cost of a plain request at t. The caller holds p.mu.
 func (p *Placer) plainCost(t *fleet.Target, now time.Time) time.Duration {
 	load := float64(p.totalWork(t.RunID()).Running+1) / float64(max(t.Slots, 1))
 	cost := time.Duration(load * load * float64(p.profile(t.Service).PlainTime()))
@@ -86,22 +89,24 @@
 	return p.cfg.RemotePenalty
 }
 
-// Prefill chooses where a prompt is prefilled: at a prefill target, or in place at the decode target
-// that then runs the request. It returns false if no target can be used.
+// Prefill chooses where a prompt is prefilled: at a prefill target, or in place at the decode
+// target that then runs the request. spec describes the engines, and targets that were tried are
+// not chosen. It returns false if no target can be used.
 func (p *Placer) Prefill(targets []*fleet.Target, spec *fleet.EngineSpec, q *Prompt, tried Tried, now time.Time) (Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(targets) == 0 {
 		return Choice{}, false
 	}
-	req := prefillRequest{service: targets[0].Service, model: p.engineModel(targets, spec), prompt: q, tried: tried, now: now, keepMaxGap: !p.cfg.Off.Pauses}
-	p.setBatchNeeds(&req.model, targets, q, now)
-	req.decodeSeat, req.canHandOff = p.bestDecodeSeat(p.sampleDecodeTargets(targets), req.model, "", tried, now)
+	req := prefillRequest{service: targets[0].Service, est: p.estimatesFor(targets, spec), prompt: q, tried: tried, now: now, keepMaxGap: !p.cfg.Off.Pauses}
+	p.setBatchNeeds(&req.est, targets, q, now)
+	req.decodeSeat, req.canHandoff = p.bestDecodeSeat(p.sampleDecodeTargets(targets), req.est, "", tried, now)
 	best, chosen := p.bestPrefill(p.sampleTargets(targets, q), req)
 	if best.Target == nil {
-		// No target keeps the maximum gap, so the running streams wait for this prompt.
+		// No target was found that keeps the maximum gap of its streams. Without that limit, the
+		// streams of the chosen target may have to wait for this prompt.
 		req.keepMaxGap = false
-		req.decodeSeat, req.canHandOff = p.bestDecodeSeat(targets, req.model, "", tried, now)
+		req.decodeSeat, req.canHandoff = p.bestDecodeSeat(targets, req.est, "", tried, now)
 		best, chosen = p.bestPrefill(targets, req)
 	}
 	if best.Target == nil {
@@ -112,9 +117,9 @@
 	return best, true
 }
 
-// pickCandidate returns the index of the candidate to use: the cheapest target that has the
-// prompt's session cached, if it is worth keeping the session there, or else one that the picker
-// draws. The caller holds p.mu.
+// pickCandidate returns the index of the candidate to use. This is the cheapest one whose target
+// has all shared parts of the prompt cached, if the picker finds it worth keeping the session
+// there, and otherwise one that the picker draws. The caller holds p.mu.
 func (p *Placer) pickCandidate(candidates []candidate, picker *staleLoadPicker, q *Prompt) int {
 	shared := q.sharedTokens()
 	for _, i := range picker.order[:picker.reached] {
@@ -125,30 +130,32 @@
 	return picker.pick(p.random.Float64())
 }
 
-// prefillRequest describes a prompt to be prefilled and the state that it is placed by.
+// prefillRequest describes a prompt to be prefilled and what its placement depends on.
 type prefillRequest struct {
+	// service is the name of the targets' service.
 	service string
-	model   engineModel
+	est     estimates
 	prompt  *Prompt
 	tried   Tried
 	now     time.Time
-	// decodeSeat is the best seat for the request if it is prefilled elsewhere and then handed off
-	// to a decode target. canHandOff is set if there is such a seat.
+	// decodeSeat is the cheapest seat for the request if it is prefilled separately and handed off
+	// to a decode target. canHandoff is set if there is such a seat.
 	decodeSeat seat
-	canHandOff bool
+	canHandoff bool
 	// keepMaxGap is set if no running stream may be delayed beyond its maximum gap between events.
 	keepMaxGap bool
 }
 
-// bestPrefill chooses one of the targets to prefill the prompt and returns the choice and its
-// candidate: the cheapest, as far as the work of other VMs is known. Both are zero if no target can
-// be used. The caller holds p.mu.
+// bestPrefill chooses one of the targets to prefill the prompt, and returns the choice and the
+// candidate that it was made from. It chooses by cost, and allows for work of other VMs that has
+// not been reported yet (see staleLoadPicker). Both results are zero if no target can be used. The
+// caller holds p.mu.
 func (p *Placer) bestPrefill(targets []*fleet.Target, req prefillRequest) (Choice, candidate) {
 	link := p.linkWait(req.now) + p.linkTime(req.prompt)
 	candidates := make([]candidate, 0, len(targets))
 	costs := make([]time.Duration, 0, len(targets))
 	for _, t := range targets {
-		if !p.usable(t, req.tried) || (t.Stage == fleet.Prefill && !req.canHandOff) {
+		if !p.usable(t, req.tried) || (t.Stage == fleet.Prefill && !req.canHandoff) {
 			continue
 		}
 		c, ok := p.evaluate(t, req)
@@ -166,23 +173,24 @@
 	chosen := candidates[p.pickCandidate(candidates, newStaleLoadPicker(costs, unreported), req.prompt)]
 	return Choice{
 		Target: chosen.target, Expected: chosen.expected, OwnPrefill: chosen.ownPrefill, SeatWait: chosen.seatWait, Cached: chosen.cached, InPlace: chosen.target.Stage != fleet.Prefill,
-		FreeCapacity: freeCapacity(candidates, req.prompt.MaxWait, unreported), ReportAge: age, Seat: req.model.seatEstimate(p.stateOf(chosen.target), chosen.running, req.prompt),
+		FreeCapacity: freeCapacity(candidates, req.prompt.MaxWait, unreported), ReportAge: age, Seat: req.est.seatEstimate(p.stateOf(chosen.target), chosen.running, req.prompt),
 	}, chosen
 }
 
-// Commit records that the request is sent to its chosen target, which caches the prompt from now
-// on, and reserves the VM's link for it.
+// Commit records that the request of a choice by Prefill is sent to the chosen target, which has
+// the prompt cached from now on, and reserves the VM's link for the send.
 func (p *Placer) Commit(c Choice, q *Prompt, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.recordPromptUse(Use{Target: c.Target.RunID(), Missing: q.Tokens - c.Cached, Prefills: true}, q, now)
+	p.recordOwnPrompt(Use{Target: c.Target.RunID(), Missing: q.Tokens - c.Cached, Prefills: true}, q, now)
 	p.occupyLink(q, now)
 }
 
-// AllButOne returns tried and all other targets except one that runs requests and can be reached:
-// the one with the highest hash of its run's id and key. Requests that may crash their targets are
-// sent to different targets this way. If two were sent to the same one, its crash would be held
-// against both.
+// AllButOne returns the set of all targets except one, so that a request can only be sent to that
+// one. It is the target with the highest hash of its run id and key, among the targets that run
+// requests, can be reached and are not in tried; the set has all targets if there is none.
+// Requests that may crash their targets are sent to different targets this way. If two were sent to
+// the same one, its crash would be held against both.
 func (p *Placer) AllButOne(targets []*fleet.Target, tried Tried, key []byte) Tried {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,28 +213,29 @@
 }
 
 // usable reports whether t may be given a request: it is neither leaving nor changing its stage,
-// and was not tried.
+// and it is not in tried.
 func (p *Placer) usable(t *fleet.Target, tried Tried) bool {
 	return !t.Leaving && !tried[t.ID] && !p.changingStage(t)
 }
 
-// bestDecodeSeat returns the cheapest seat for a prefilled prompt, or false if no target can decode
-// it. The caller holds p.mu.
-func (p *Placer) bestDecodeSeat(targets []*fleet.Target, model engineModel, near string, tried Tried, now time.Time) (seat, bool) {
-	t, s := p.pickDecode(targets, model, near, tried, now)
+// bestDecodeSeat returns the seat at the target that pickDecode chooses, or false if there is none.
+// The caller holds p.mu.
+func (p *Placer) bestDecodeSeat(targets []*fleet.Target, est estimates, near string, tried Tried, now time.Time) (seat, bool) {
+	t, s := p.pickDecode(targets, est, near, tried, now)
 	return s, t != nil
 }
 
-// pickDecode returns the decode target with the cheapest seat, or nil if there is none. near is the
-// data centre of the target that holds the prefilled prompt, or empty. The caller holds p.mu.
-func (p *Placer) pickDecode(targets []*fleet.Target, model engineModel, near string, tried Tried, now time.Time) (*fleet.Target, seat) {
+// pickDecode returns the decode target with the cheapest seat for a prefilled prompt and that seat,
+// or nil if no target can decode the prompt. near is the data centre of the target that holds the
+// prompt's KV cache, or empty if it is not known. The caller holds p.mu.
+func (p *Placer) pickDecode(targets []*fleet.Target, est estimates, near string, tried Tried, now time.Time) (*fleet.Target, seat) {
 	var best *fleet.Target
 	var lowest seat
 	for _, t := range targets {
 		if t.Stage == fleet.Prefill || !p.usable(t, tried) {
 			continue
 		}
-		s := model.seat(t, p.stateOf(t), p.totalWork(t.RunID()), now)
+		s := est.seat(t, p.stateOf(t), p.totalWork(t.RunID()), now)
 		s.cost += p.remotePenalty(t) + p.healthPenalty(p.stateOf(t), now) + p.jitter()
 		if near != "" && t.DataCentre != near {
 			s.cost += p.cfg.RemotePenalty
@@ -238,23 +247,24 @@
 	return best, lowest
 }
 
-// Decode chooses the decode target for a prefilled prompt. near is the data centre of the target
-// that holds the prompt's KV cache. It returns false if no target can be used.
+// Decode chooses the decode target for a prefilled prompt and records that the request is sent to
+// it. near is the data centre of the target that holds the prompt's KV cache, or empty if it is not
+// known. It returns false if no target can be used.
 func (p *Placer) Decode(targets []*fleet.Target, spec *fleet.EngineSpec, q *Prompt, near string, tried Tried, now time.Time) (Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	model := p.engineModel(targets, spec)
-	p.setBatchNeeds(&model, targets, q, now)
-	t, s := p.pickDecode(p.sampleDecodeTargets(targets), model, near, tried, now)
+	est := p.estimatesFor(targets, spec)
+	p.setBatchNeeds(&est, targets, q, now)
+	t, s := p.pickDecode(p.sampleDecodeTargets(targets), est, near, tried, now)
 	if t == nil {
-		t, s = p.pickDecode(targets, model, near, tried, now)
+		t, s = p.pickDecode(targets, est, near, tried, now)
 	}
 	if t == nil {
 		return Choice{}, false
 	}
-	p.recordPromptUse(Use{Target: t.RunID(), Missing: q.Tokens}, q, now)
+	p.recordOwnPrompt(Use{Target: t.RunID(), Missing: q.Tokens}, q, now)
 	p.occupyLink(q, now)
-	ticket := p.begin(t, Work{Running: 1, Streams: model.longStreams(q), Tokens: q.Tokens + q.Output/2}, now)
+	ticket := p.begin(t, Work{Running: 1, Streams: est.longStreams(q), Tokens: q.Tokens + q.Output/2}, now)
 	ticket.task, ticket.prompt, ticket.waitedForSeat, ticket.span.running = taskDecode, q, s.wait > 0, p.totalWork(t.RunID()).Running-1
-	return Choice{Target: t, Expected: s.wait, Ticket: ticket, Seat: model.seatEstimate(p.stateOf(t), ticket.span.running, q)}, true
+	return Choice{Target: t, Expected: s.wait, Ticket: ticket, Seat: est.seatEstimate(p.stateOf(t), ticket.span.running, q)}, true
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,13 +1,26 @@
 // Package place chooses the target of each request. It tracks the work in progress at every target,
 // both this VM's and what other VMs report of theirs, estimates which prompt prefixes each engine
-// has cached, and compares the cost of the ways to serve a request. The package reads no clock and
-// opens no connections of its own.
+// has cached, and compares the cost of the ways to serve a request. A cost is a duration: the
+// expected wait plus penalties. The package reads no clock and opens no connections of its own.
 //
 // A model engine is in one of two stages. A prefill target computes the KV cache of a prompt and
 // hands the request off to a decode target, which generates the answer. A decode target can also
 // prefill a prompt itself, in place. It runs all of its requests as one batch and generates one
-// token of each answer per step, so that steps take longer in larger batches and while the target
-// prefills. Plain calls go to targets that are not model engines.
+// token of each answer per decode step, so that steps take longer in larger batches and while the
+// target prefills. Plain requests go to targets that are not model engines.
+//
+// These terms are used throughout the package:
+//   - Answers are sent as events, which hold one or more tokens each. The gap is the time between
+//     two events. A stream is a running request with an answer that takes longer than the maximum
+//     gap that its service allows.
+//   - A seat is a place in the batch of a decode target. A target has as many seats as it may run
+//     requests at the same time: its slots less a few spare ones, or fewer, if the steps of a
+//     larger batch would be too long for the longest answers to end within their time limits.
+//   - A session is the requests whose prompts are equal except for their last parts.
+//   - The objective is the time to the first event that a route aims for.
+//   - The handle of a prefilled prompt is what a decode target fetches the KV cache by.
+//   - A run of a target is the time from one start of the target to the next. State is kept by the
+//     id of the run.
 package place
 
 import (
@@ -22,8 +35,9 @@
 
 // Part is one part of a prompt, such as a common prefix, that other prompts may share.
 type Part struct {
-	// Hash identifies the content of the part, and Tokens is its length.
-	Hash   uint64
+	// Hash identifies the content of the part.
+	Hash uint64
+	// Tokens is the length of the part in tokens.
 	Tokens int
 }
 
@@ -31,14 +45,16 @@
 type Prompt struct {
 	// Tokens is the length of the prompt in tokens.
 	Tokens int
-	// Output is the expected and MaxOutput the largest length of the answer, in tokens.
+	// Output is the length of the answer that the caller expects, and MaxOutput the largest that it
+	// allows, in tokens.
 	Output    int
 	MaxOutput int
-	// Limit is the time that the whole answer may take, or 0 for no limit. InitialLimit is the value
-	// of Limit at the caller's first try.
+	// Limit is the time that the whole answer may take, or 0 for no limit. InitialLimit is the
+	// value of Limit at the caller's first try.
 	Limit        time.Duration
 	InitialLimit time.Duration
-	// MaxWait is the longest wait behind other prompts with which the request is still sent, or 0.
+	// MaxWait is the longest wait behind other prompts with which the request is still sent (see
+	// AdmissionInput.MaxWait), or 0 if it has not been computed.
 	MaxWait time.Duration
 	// Deferred is set if the request was deferred and already has its place in the queue.
 	Deferred bool
@@ -48,8 +64,8 @@
 	Parts []Part
 }
 
-// sharedParts returns the parts that other prompts may share: all but the last, unless there is
-// only one.
+// sharedParts returns the parts that other prompts may share: all but the last one. A part that is
+// the only one counts as shared.
 func (p *Prompt) sharedParts() []Part {
 	if len(p.Parts) < 2 {
 		return p.Parts
@@ -70,7 +86,7 @@
 type Work struct {
 	// Prefill is the time that the target's pending prefills will take.
 	Prefill time.Duration
-	// Running is the number of requests being run, and Prefills that of prompts being prefilled.
+	// Running is the number of running requests, and Prefills the number of pending prefills.
 	Running  int
 	Prefills int
 	// Streams is the number of running requests whose answers last longer than the maximum gap
@@ -80,7 +96,7 @@
 	Tokens int
 }
 
-// Plus returns the sum of w and o.
+// Plus returns the sum of w and o, field by field.
 func (w Work) Plus(o Work) Work {
 	return Work{
 		Prefill: w.Prefill + o.Prefill, Running: w.Running + o.Running,
@@ -88,7 +104,7 @@
 	}
 }
 
-// Minus returns w less o.
+// Minus returns the difference of w and o, field by field.
 func (w Work) Minus(o Work) Work {
 	return Work{
 		Prefill: w.Prefill - o.Prefill, Running: w.Running - o.Running,
@@ -96,8 +112,8 @@
 	}
 }
 
-// Positive returns w with its negative fields set to 0. They arise when numbers of different age
-// are subtracted from each other.
+// Positive returns w with its negative fields set to 0. Negative fields arise when Minus is applied
+// to works that were reported at different times.
 func (w Work) Positive() Work {
 	return Work{
 		Prefill: max(w.Prefill, 0), Running: max(w.Running, 0), Prefills: max(w.Prefills, 0),
@@ -105,8 +121,8 @@
 	}
 }
 
-// prefillWait returns how long the pending prefills delay one more prompt. The prompt that is being
-// prefilled is half done on average.
+// prefillWait returns how long the pending prefills delay one more prompt. Of the prompt that is
+// being prefilled now, half is done on average.
 func (w Work) prefillWait() time.Duration {
 	if w.Prefills <= 0 {
 		return w.Prefill
@@ -117,30 +133,31 @@
 // state holds what this VM knows of one run of a target.
 type state struct {
 	service string
+	// ownWork is this VM's work in progress at the target.
 	ownWork Work
 	cache   *cacheModel
-	// failureRate is the share of this VM's recent requests that failed, from 0 to 1, and sends
-	// counts the sends and failures of all VMs.
+	// failureRate is the fraction of this VM's recent requests that failed, and sends counts the
+	// recent requests of all VMs and those that failed.
 	failureRate float64
 	sends       sendCounts
-	// refusalRate is the share of recent requests that were refused, as of refusedAt. It decays
-	// with time, as a full target empties.
+	// refusalRate is the fraction of this VM's recent requests that were refused, as of refusedAt.
+	// It decays with time, because a full target empties.
 	refusalRate float64
 	refusedAt   time.Time
 	// prefillSlowdown is how many times longer prefills take than the service's profile predicts.
 	// It is reset to 1 when the target changes its stage.
 	prefillSlowdown float64
-	// inPlacePrefills is the rate of prefill work that a decode target is given beside its running
-	// requests, and inPlaceTokens the total number of tokens of these prompts.
+	// inPlacePrefills is the rate of the prefill work that a decode target is given to do in place,
+	// and inPlaceTokens the total number of tokens of these prompts that were not cached.
 	inPlacePrefills workRate
 	inPlaceTokens   int
 	// stepSlowdown is how many times longer decode steps take than the service's profile predicts.
 	// It is reset to 1 when the target changes its stage.
 	stepSlowdown float64
 	stage        fleet.Stage
-	// retryAt is when a target that could not be reached may be tried again.
-	retryAt time.Time
-	// connErrors counts the consecutive sends for which the target could not be reached.
+	// connErrors counts the failures in a row to reach the target, and retryAt is when the target
+	// may be tried again if there are any.
+	retryAt    time.Time
 	connErrors int
 }
 
@@ -157,37 +174,39 @@
 
 // PeerWork provides the work that other VMs have in progress.
 type PeerWork interface {
-	// Work returns the work of other VMs at a target.
+	// Work returns the work of other VMs at the target run with this id.
 	Work(targetID string) Work
-	// Age returns the average age of the reports that the work is known from.
+	// Age returns the average age of the reports from which that work is known.
 	Age() time.Duration
 }
 
 // Placer chooses targets. It is safe for concurrent use.
 type Placer struct {
-	cfg    Config
+	cfg Config
+	// others provides the work of the other VMs.
 	others PeerWork
 	// changingStage reports whether an engine is changing its stage.
 	changingStage func(*fleet.Target) bool
 
 	// mu protects the fields below.
 	mu sync.Mutex
-	// states holds what is known of each target, by the id of its run.
+	// states holds what is known of each target, by run id.
 	states map[string]*state
-	// profiles holds what was learned of the timing of each service's targets, by service.
+	// profiles holds the estimated timing of each service's targets, by service.
 	profiles map[string]*profile.Profile
-	// uses holds this VM's uses that have not been reported to other VMs yet.
-	uses []Use
-	// peerInflows holds the rate of prefill work that other VMs place, by service.
+	// sendRecords holds this VM's records that have not been reported to other VMs yet.
+	sendRecords []Use
+	// peerInflows holds the rate at which other VMs place prefill work, by service.
 	peerInflows map[string]*workRate
-	// stepLimits holds the decode step that the longest answers need, by service.
+	// stepLimits holds the longest decode step at which the longest answers end in time, by
+	// service.
 	stepLimits map[string]*stepLimit
 	random     *rand.Rand
-	// linkFreeAt is when this VM's link will have sent everything that it was given.
+	// linkFreeAt is when this VM's link will have finished the sends in progress.
 	linkFreeAt time.Time
 }
 
-// New returns a Placer with no work in progress. The function changing reports whether an engine is
+// New returns a Placer without work in progress. The function changing reports whether an engine is
 // changing its stage.
 func New(cfg Config, others PeerWork, changing func(*fleet.Target) bool) *Placer {
 	seed := cfg.Seed
@@ -223,7 +242,7 @@
 	return f
 }
 
-// peerInflow returns the rate of prefill work that other VMs place at a service's targets. The
+// peerInflow returns the rate at which other VMs place prefill work at a service's targets. The
 // caller holds p.mu.
 func (p *Placer) peerInflow(service string) *workRate {
 	r := p.peerInflows[service]
@@ -234,8 +253,8 @@
 	return r
 }
 
-// stateOf returns the state of a target and brings its service and stage up to date. The caller
-// holds p.mu.
+// stateOf returns the state of a target and creates it if needed. It updates the service and stage
+// in the state, and resets the slowdowns if the stage has changed. The caller holds p.mu.
 func (p *Placer) stateOf(t *fleet.Target) *state {
 	s := p.stateByID(t.RunID())
 	s.service = t.Service
@@ -245,8 +264,8 @@
 	return s
 }
 
-// Forget drops the state of targets that are no longer listed and have no work of this VM in
-// progress.
+// Forget drops the state of the target runs for whose id listed returns false, except of those at
+// which this VM has work in progress.
 func (p *Placer) Forget(listed func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -257,7 +276,7 @@
 	}
 }
 
-// Own returns this VM's work in progress, by target run. Targets without any are left out.
+// Own returns this VM's work in progress, by run id. Targets without such work are left out.
 func (p *Placer) Own() map[string]Work {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -270,52 +289,53 @@
 	return out
 }
 
-// Streams returns the number of long answers that a target is generating.
+// Streams returns the number of streams of all VMs at the target run with this id.
 func (p *Placer) Streams(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.totalWork(id).Streams
 }
 
-// DecodeLoad returns how many decode engines the running requests of a service fill, counted by the
-// seats that the longest answers allow. Counting by slots would take a batch for half empty that is
-// already too large for the longest answers to end in time.
+// DecodeLoad returns how many decode engines the running requests of a service fill, counted by
+// seats and not by slots: a batch that fills half of the slots may already be too large for the
+// longest answers to end in time.
 func (p *Placer) DecodeLoad(targets []*fleet.Target, spec *fleet.EngineSpec, now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(targets) == 0 {
 		return 0
 	}
-	model := p.engineModel(targets, spec)
-	model.maxStep = p.stepLimit(targets[0].Service).current(now)
+	est := p.estimatesFor(targets, spec)
+	est.maxStep = p.stepLimit(targets[0].Service).current(now)
 	sum := 0.0
 	for _, t := range targets {
 		if t.Stage != fleet.Prefill {
 			load := p.totalWork(t.RunID())
-			// Prompts are prefilled in place when too few engines prefill. They are no reason to
-			// have more engines decode.
+			// Prompts are prefilled in place when too few engines prefill. These prompts are no
+			// reason to have more engines decode.
 			load.Running = max(load.Running-load.Prefills, 0)
-			sum += model.fillShare(t, p.stateOf(t), load)
+			sum += est.fillShare(t, p.stateOf(t), load)
 		}
 	}
 	return sum
 }
 
-// jitter returns a random cost. It keeps VMs that decide on the same outdated reports from all
+// jitter returns a random cost, which keeps VMs that decide on the same stale reports from all
 // choosing the same target. The caller holds p.mu.
 func (p *Placer) jitter() time.Duration {
 	return time.Duration(p.random.Float64() * jitterShare * float64(p.others.Age()))
 }
 
-// jitterShare is the largest jitter, as a part of the age of the reports.
+// jitterShare is the largest jitter as a fraction of the age of the reports.
 const jitterShare = 0.5
 
-// totalWork returns a target's work in progress of all VMs. The caller holds p.mu.
+// totalWork returns the work in progress of all VMs at the target run with this id. The caller
+// holds p.mu.
 func (p *Placer) totalWork(id string) Work {
 	return p.stateByID(id).ownWork.Plus(p.others.Work(id))
 }
 
-// currentRefusalRate returns the share of refused requests, decayed to now.
+// currentRefusalRate returns refusalRate, decayed to its value at now.
 func (s *state) currentRefusalRate(now time.Time) float64 {
 	if s.refusalRate == 0 {
 		return 0
@@ -323,12 +343,12 @@
 	return s.refusalRate * math.Exp(-float64(now.Sub(s.refusedAt))/float64(refusalDecay))
 }
 
-// noteRefusal records that the target refused a request.
+// noteRefusal records that the target refused a request. The caller holds Placer.mu.
 func (s *state) noteRefusal(now time.Time) {
 	r := s.currentRefusalRate(now)
 	s.refusalRate, s.refusedAt = r+refusalWeight*(1-r), now
 }
 
-// reachable reports whether the target may be tried: its last send reached it, or the time to retry
-// has come.
+// reachable reports whether the target may be tried: it was reached last time, or the time to try
+// it again has come.
 func (s *state) reachable(now time.Time) bool { return s.connErrors == 0 || !now.Before(s.retryAt) }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -11,7 +11,7 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// peerWork is the work in progress of other VMs, by target.
+// peerWork is the work in progress of other VMs, by the id of the target. Its reports are new.
 type peerWork map[string]place.Work
 
 func (o peerWork) Work(id string) place.Work { return o[id] }
@@ -34,9 +34,8 @@
 	return place.New(place.DefaultConfig("a"), o, noStageChange)
 }
 
-// trainedPlacer returns a placer that has learned of engines which prefill 300 tokens per
-// millisecond, hand a prompt off in 8 ms, and take 35 ms for an event of 59 tokens and 4 s for an
-// answer.
+// trainedPlacer returns a placer that has observed engines with the timing that train describes. o
+// is the work of other VMs.
 func trainedPlacer(t *testing.T, cfg place.Config, o peerWork) *place.Placer {
 	t.Helper()
 	work := peerWork{}
@@ -48,23 +47,24 @@
 	return p
 }
 
-// train has a placer observe the timing that trainedPlacer describes.
+// train has a placer observe engines that prefill 300 tokens per millisecond, take 8 ms for a
+// handoff, 35 ms for an event of 59 tokens and 4 s for an answer.
 func train(p *place.Placer) {
 	now := time.Now()
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	for i := range 40 {
 		q := sessionPrompt(uint64(1000 + i))
-		read, ok := p.Prefill([]*fleet.Target{engine("teacher", fleet.Prefill), engine("pupil", fleet.Decode)}, spec, q, place.Tried{"pupil": true}, now)
+		choice, ok := p.Prefill([]*fleet.Target{engine("teacher", fleet.Prefill), engine("pupil", fleet.Decode)}, spec, q, place.Tried{"pupil": true}, now)
 		if !ok {
-			read, _ = p.Prefill([]*fleet.Target{engine("pupil", fleet.Decode)}, spec, q, nil, now)
+			choice, _ = p.Prefill([]*fleet.Target{engine("pupil", fleet.Decode)}, spec, q, nil, now)
 		}
 		took := 2 + float64(q.Tokens)/300
-		if read.InPlace {
+		if choice.InPlace {
 			took = 10 + 2*float64(q.Tokens)/300
-			read.Ticket.FirstEvent(now.Add(ms(took)))
+			choice.Ticket.FirstEvent(now.Add(ms(took)))
 			took += 4000
 		}
-		read.Ticket.End(place.Good, now.Add(ms(took)))
+		choice.Ticket.End(place.Good, now.Add(ms(took)))
 		run, _ := p.Decode([]*fleet.Target{engine("pupil", fleet.Decode)}, spec, longAnswerPrompt(), "a", nil, now)
 		run.Ticket.FirstEvent(now.Add(ms(8)))
 		run.Ticket.ObserveAnswer(longAnswerPrompt().Output/59, ms(35*float64(longAnswerPrompt().Output/59-1)))
@@ -73,15 +73,16 @@
 	p.TakeUses()
 }
 
-// replaceableWork is the work of other VMs in a map that may be replaced later.
+// replaceableWork is the work of other VMs in a map that may be replaced while it is in use.
 type replaceableWork struct{ *peerWork }
 
 func (s replaceableWork) Work(id string) place.Work { return (*s.peerWork)[id] }
 
-// busy is the work of a decode target at which no long prompt is prefilled in place.
+// busy is the work of a decode target at which long prompts are not prefilled in place.
 var busy = place.Work{Prefill: 60 * time.Millisecond, Streams: 1, Running: 1}
 
-// sessionPrompt returns a long prompt whose second part belongs to a session.
+// sessionPrompt returns a prompt of 9,000 tokens. Its first part is the same for all sessions, its
+// second part, whose hash is part, identifies its session, and its last part belongs to it alone.
 func sessionPrompt(part uint64) *place.Prompt {
 	return &place.Prompt{
 		Tokens: 9000, Output: 80, MaxOutput: 354,
@@ -97,6 +98,8 @@
 	}
 }
 
+// The next prompt of a session is prefilled at the engine that prefilled the one before, as that
+// has the shared parts cached.
 func TestSessionGoesBackToItsCache(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(peerWork{})
@@ -107,7 +110,7 @@
 	refused.Ticket.End(place.Neutral, now)
 	first, ok := p.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
-	is.Equal(first.Cached, 0) // a request that was not committed left nothing in a cache
+	is.Equal(first.Cached, 0) // the request before was not committed, so nothing is cached
 	p.Commit(first, sessionPrompt(5), now)
 	first.Ticket.End(place.Good, now)
 	again, ok := p.Prefill(targets, spec, sessionPrompt(5), nil, now)
@@ -116,7 +119,8 @@
 	is.Equal(again.Cached, 6000) // the last part of the prompt is never shared
 }
 
-func TestUsesOfOtherVMsCount(t *testing.T) {
+// The prompts that other VMs report to have sent to a target count as cached there.
+func TestSendsOfOtherVMsFillTheCache(t *testing.T) {
 	is := is.New(t)
 	a, b := newPlacer(peerWork{}), newPlacer(peerWork{})
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("p2", fleet.Prefill), engine("d", fleet.Decode)}
@@ -130,6 +134,8 @@
 	is.Equal(again.Cached, 6000)
 }
 
+// A part counts as evicted once more tokens than the cache holds have been added since its last
+// use.
 func TestPartsAreEvictedByLaterTokens(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(peerWork{"d": busy})
@@ -145,6 +151,7 @@
 	is.Equal(c.Cached, 2500) // the common part is used by every prompt
 }
 
+// A target at which other VMs have prefills pending is avoided.
 func TestLoadOfOtherVMsCounts(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(peerWork{"p1": {Prefill: 200 * time.Millisecond, Prefills: 10}, "d": busy})
@@ -154,6 +161,8 @@
 	is.Equal(c.Target.ID, "p2")
 }
 
+// The handoff of a short prompt would take longer than its prefill, so it is prefilled in place
+// even at an engine with many streams.
 func TestShortPromptIsNotHandedOff(t *testing.T) {
 	is := is.New(t)
 	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{"d": {Running: 40, Streams: 40}})
@@ -174,14 +183,16 @@
 	is.Equal(c.Target.ID, "d2")
 }
 
+// A request expects a long wait at a target whose slots are all taken.
 func TestFullBatchDelaysTheAnswer(t *testing.T) {
 	is := is.New(t)
 	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{"d1": {Running: 48, Streams: 48}})
 	c, ok := p.Prefill([]*fleet.Target{engine("d1", fleet.Decode)}, spec, longAnswerPrompt(), nil, time.Now())
 	is.True(ok)
-	is.True(c.Expected > 250*time.Millisecond) // the gateway refuses it
+	is.True(c.Expected > 250*time.Millisecond) // the gateway would not send the request
 }
 
+// Targets that are leaving, change their stage or were tried are not chosen.
 func TestUnusableTargetsAreNotChosen(t *testing.T) {
 	is := is.New(t)
 	leaving := engine("d1", fleet.Decode)
@@ -199,6 +210,7 @@
 	is.True(!ok)
 }
 
+// A target that could not be reached is avoided at first and chosen again a second later.
 func TestUnreachableTargetIsTriedAgainLater(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(peerWork{})
@@ -214,6 +226,8 @@
 	is.Equal(c.Target.ID, "a")
 }
 
+// A target that failed five requests in a row is avoided. After 60 successful requests its cost is
+// low again.
 func TestFailingTargetIsAvoidedAndRecovers(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(peerWork{})
@@ -233,7 +247,8 @@
 	is.True(c.Expected < 30*time.Millisecond)
 }
 
-// The estimate for a slow engine follows its answers, and a ticket counts only once.
+// The prefill estimate for an engine rises when it takes longer than estimated, and a second call
+// of End on a ticket has no effect.
 func TestSlowdownIsLearned(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(peerWork{})
@@ -252,6 +267,7 @@
 	is.True(after.OwnPrefill > 2*before.OwnPrefill)
 }
 
+// Forget keeps the state of a target that is no longer in the list while it has work in progress.
 func TestForgetKeepsWorkInProgress(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(peerWork{})
@@ -264,7 +280,8 @@
 	is.Equal(len(p.Own()), 0)
 }
 
-// A hand-off sends the request twice over the VM's link.
+// A separate prefill sends the request twice over the VM's link, once to each engine, so a prefill
+// in place is preferred if the link is slow.
 func TestSlowLinkPrefersOneSend(t *testing.T) {
 	is := is.New(t)
 	cfg := place.DefaultConfig("a")
@@ -300,8 +317,8 @@
 	is.True(later.Expected-later.OwnPrefill < 35*time.Millisecond)
 }
 
-// A target that refuses at once looks idle. It must not attract all requests, and is tried again
-// later.
+// A target that refuses requests at once has no work in progress and looks idle. It must not
+// attract all requests, and is tried again later.
 func TestRefusingTargetDoesNotAttractAllRequests(t *testing.T) {
 	for _, stage := range []fleet.Stage{fleet.Decode, fleet.NoStage} {
 		is := is.New(t)
@@ -326,7 +343,7 @@
 				c.Ticket.End(place.Refused, now)
 				continue
 			}
-			c.Ticket.End(place.Neutral, now) // leaves the estimates unchanged
+			c.Ticket.End(place.Neutral, now) // does not change the estimates
 		}
 		is.True(refusals >= 1 && refusals <= 4)
 		now = now.Add(15 * time.Second)
@@ -334,7 +351,7 @@
 	}
 }
 
-// A target whose handles could not be fetched is avoided for a while too.
+// A prefill target whose handles could not be fetched is avoided for a while.
 func TestTargetWithLostHandlesIsAvoided(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(peerWork{"p2": {Prefill: 30 * time.Millisecond}})
@@ -348,8 +365,8 @@
 	is.True(c.Target.ID != "p1")
 }
 
-// In a large fleet only some targets are evaluated. All VMs include the same ones for a session,
-// and a request is served if any target can serve it.
+// In a large fleet only a sample of the targets is evaluated. All VMs include the same targets for
+// a session, and if none of the sample can be used, all targets are evaluated.
 func TestLargeFleetIsSampled(t *testing.T) {
 	is := is.New(t)
 	var targets []*fleet.Target
@@ -372,7 +389,7 @@
 		}
 		c.Ticket.End(place.Neutral, now)
 	}
-	is.Equal(again, 20) // the targets that a session hashes to are always evaluated
+	is.Equal(again, 20) // the targets selected by the hash of the session are always evaluated
 	for _, t := range targets[:999] {
 		t.Leaving = true
 	}
@@ -384,8 +401,8 @@
 	is.Equal(c.Target.ID, "d")
 }
 
-// What one VM learns of a failing target makes all VMs avoid it. A target that fails one request in
-// many stays in use, and one that recovers is tried again.
+// A target that failed the requests of one VM is avoided by the other VMs too, and tried again
+// after some time. A target that fails one request in many stays in use.
 func TestFailuresOfOtherVMsCount(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -410,17 +427,18 @@
 	b.Observe(a.TakeUses(), now)
 	is.Equal(choose(b, now).Target.ID, "busy")
 	is.Equal(choose(b, now.Add(30*time.Second)).Target.ID, "failing")
-	var uses []place.Use
+	var records []place.Use
 	for range 60 {
-		uses = append(uses, place.Use{Target: "failing"})
+		records = append(records, place.Use{Target: "failing"})
 	}
-	uses = append(uses, place.Use{Target: "failing", Failed: true})
+	records = append(records, place.Use{Target: "failing", Failed: true})
 	later := now.Add(time.Minute)
-	b.Observe(uses, later)
+	b.Observe(records, later)
 	is.Equal(choose(b, later).Target.ID, "failing")
 }
 
-// A single long time, as from a stall or an unknown queue, does not make a target count as slow.
+// Two prefills that took 20 times as long as estimated, as in a stall or an unknown queue, do not
+// make a target count as slow.
 func TestOneSlowRequestDoesNotMakeATargetSlow(t *testing.T) {
 	is := is.New(t)
 	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{})
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -6,12 +6,14 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// queuePrefix starts the id of the pseudo target under which VMs report the deferred requests of a
-// service. Reports and summaries can then add them up like other work.
+// queuePrefix followed by the name of a service is the id of a pseudo target, under which VMs
+// report the deferred requests of that service. Reports and summaries can then add them up like
+// other work.
 const queuePrefix = "queue/"
 
-// AddDeferred counts a deferred request of a service until the returned ticket ends: the prefill of its
-// prompt, and a running request if it waits for a seat. c is the choice with which it was deferred.
+// AddDeferred counts a deferred request of a service until End is called on the returned ticket. It
+// counts as a pending prefill and, if it waits for a seat, as a running request too. c is the
+// choice with which it was deferred.
 func (p *Placer) AddDeferred(service string, c Choice) *Ticket {
 	work := Work{Prefill: c.OwnPrefill, Prefills: 1}
 	if c.waitReason() == NoSeat {
@@ -22,35 +24,38 @@
 	return p.begin(&fleet.Target{ID: queuePrefix + service, Service: service}, work, time.Time{})
 }
 
-// queuedPerTarget returns how many requests wait for a seat at each of the targets that are fast
-// enough for the longest answers. The caller holds p.mu.
+// queuedPerTarget returns the number of deferred requests that wait for a seat, divided by the
+// number of decode targets that are fast enough for the longest answers. The caller holds p.mu.
 //
 // Load pattern: a burst of long answers, more than the targets that can finish them in time have
-// seats for. A deferred request is sent once a seat is free, but a new one already while a seat is
-// about to become free. New requests therefore count the waiting ones as if they were running.
-func (p *Placer) queuedPerTarget(model engineModel, service string, targets []*fleet.Target) float64 {
+// seats for. A deferred request is sent only when a seat is free, but a new one is sent while a
+// seat is about to become free and would overtake it. New requests therefore count the deferred
+// ones as if they were running.
+func (p *Placer) queuedPerTarget(est estimates, service string, targets []*fleet.Target) float64 {
 	waiting := p.totalWork(queuePrefix + service).Running
 	if waiting <= 0 {
 		return 0
 	}
 	serving := 0
 	for _, t := range targets {
-		if t.Stage != fleet.Prefill && !t.Leaving && model.fastEnough(p.stateOf(t)) {
+		if t.Stage != fleet.Prefill && !t.Leaving && est.fastEnough(p.stateOf(t)) {
 			serving++
 		}
 	}
 	return float64(waiting) / float64(max(serving, 1))
 }
 
-// DeferredWork returns the deferred requests of a service on all VMs.
+// DeferredWork returns the work of the deferred requests of a service on all VMs.
 func (p *Placer) DeferredWork(service string) Work {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.totalWork(queuePrefix + service)
 }
 
-// PrefillOverloaded reports whether prompts queue so long at the prefill engines and at the VMs that a
-// request which is late already would not be sent (see Judge).
+// PrefillOverloaded reports whether the prompts that wait at the prefill engines, and those
+// deferred at the VMs, take longer per prefill engine than the pending prompts of an idle engine
+// may (see idleShare). Admit would then defer a request that is late already. objective is the time
+// to the first event that the service aims for.
 func (p *Placer) PrefillOverloaded(targets []*fleet.Target, objective time.Duration) bool {
 	if len(targets) == 0 {
 		return false
@@ -68,8 +73,9 @@
 	return queued > idleWait(objective)*time.Duration(max(engines, 1))
 }
 
-// freeCapacity returns the prefill time that can be added to the targets before each of them
-// reaches the given wait, less the work that other VMs have placed without it being reported yet.
+// freeCapacity returns how much prefill time can be added to the targets of the candidates, in
+// total, before each of them reaches the given wait. unreported is the prefill time that other VMs
+// have placed and not reported yet; it is subtracted.
 func freeCapacity(candidates []candidate, wait, unreported time.Duration) time.Duration {
 	var sum time.Duration
 	for _, c := range candidates {
--- a/internal/place/seats.go
+++ b/internal/place/seats.go
@@ -7,7 +7,7 @@
 )
 
 // stepLimit is the longest decode step at which the longest answers of a service still end in time.
-// Answers that no target is fast enough for do not count.
+// Answers for which no target is fast enough do not count.
 type stepLimit struct {
 	// step is the limit, and at when it was last observed.
 	step time.Duration
@@ -15,40 +15,41 @@
 }
 
 const (
-	// answerTimeShare is the part of its time limit that the longest answer may take by estimate.
-	// The rest allows for errors: step times are known to within a few percent, and later requests
-	// join the batch.
+	// answerTimeShare is the fraction of its time limit that the longest answer may take by
+	// estimate. The rest allows for errors: step times are known to within a few percent, and later
+	// requests join the batch.
 	answerTimeShare = 0.9
-	// fullBatchCost is the cost of joining a batch whose slots are all taken, as a part of the time
-	// that a request keeps its slot.
+	// fullBatchCost is the cost of joining a batch whose seats are all taken, as a fraction of the
+	// time that a request keeps its seat.
 	fullBatchCost = 0.04
-	// lastSeatCost is the cost of the last seat at a target that is fast enough for the longest
-	// answers, for an answer that would end in time elsewhere too. It is a part of the time that a
-	// request keeps its seat.
+	// lastSeatCost is the additional cost of the last seat at a target that is fast enough for the
+	// longest answers, for an answer that would end in time at slower targets too. It is a fraction
+	// of the time that a request keeps its seat.
 	lastSeatCost = 0.3
-	// minSeatsShare is the part of the slots that may be filled whatever the estimate for the
-	// longest answers is. Only few answers are that long and all others would be turned away for
-	// them, and what a VM has learned since its start may be wrong.
+	// minSeatsShare is the fraction of the slots that are always seats, even if the longest answers
+	// do not end in time in a batch of that size. Only few answers are that long, and all others
+	// would be turned away for them. Besides, what a VM has learned since its start may be wrong.
 	minSeatsShare = 0.4
 )
 
-// inPlaceDecay is the time constant of the rate of prompts that are prefilled beside running
-// streams. It is about as long as the longest answers take, so that a burst of prompts need not be
-// turned away.
+// inPlaceDecay is the time constant of the average rate at which a target is given prompts to
+// prefill in place. It is about as long as the longest answers take, so that a burst of prompts
+// need not be turned away.
 const inPlaceDecay = 10 * time.Second
 
-// stepLimitTTL is how long an observed step limit counts: about as long as the longest answers
-// take.
+// stepLimitTTL is how long a step limit holds after it was last observed: about as long as the
+// longest answers take.
 const stepLimitTTL = 15 * time.Second
 
-// observe records the decode step that an answer needs. A shorter step replaces a longer one.
+// observe records the longest decode step at which an answer ends in time. It replaces the limit if
+// it is shorter or the limit has expired.
 func (l *stepLimit) observe(step time.Duration, now time.Time) {
 	if have := l.current(now); have == 0 || step <= have {
 		l.step, l.at = step, now
 	}
 }
 
-// current returns the step limit as of now, or 0 if no long answer was seen recently.
+// current returns the limit, or 0 if it was last observed more than stepLimitTTL ago.
 func (l *stepLimit) current(now time.Time) time.Duration {
 	if now.Sub(l.at) > stepLimitTTL {
 		return 0
@@ -66,68 +67,72 @@
 	return l
 }
 
-// batchNeeds is what a request needs from the batch that it joins.
+// batchNeeds holds what a request needs from the batch that it joins. It is zero for a request that
+// is not a stream or has no time limit.
 type batchNeeds struct {
-	// stream is set if the answer is a long stream, whose steps become longer with the batch.
+	// stream is set if the request is a stream with a time limit.
 	stream bool
-	// maxStep is the longest step at which the longest answer that the request may have ends within
-	// timeLimit, or 0 if no target is fast enough for that.
+	// maxStep is the longest decode step at which the longest answer that the request may have ends
+	// within timeLimit, or 0 if no target is fast enough for that.
 	maxStep   time.Duration
 	timeLimit time.Duration
-	// queuedAhead is how many requests wait longer for a seat at each target that is fast enough
-	// for the longest answers.
+	// queuedAhead is the number of requests that have waited longer for a seat, per target that is
+	// fast enough for the longest answers.
 	queuedAhead float64
 }
 
-// setBatchNeeds sets in model what q needs from its batch. The caller holds p.mu.
-func (p *Placer) setBatchNeeds(model *engineModel, targets []*fleet.Target, q *Prompt, now time.Time) {
-	if model.longStreams(q) == 0 || q.Limit <= 0 || len(targets) == 0 {
+// setBatchNeeds sets est.batch to what q needs from its batch, and est.maxStep to the step limit of
+// the service. It changes nothing if q is not a stream or has no time limit. The caller holds p.mu.
+func (p *Placer) setBatchNeeds(est *estimates, targets []*fleet.Target, q *Prompt, now time.Time) {
+	if est.longStreams(q) == 0 || q.Limit <= 0 || len(targets) == 0 {
 		return
 	}
-	model.batch = batchNeeds{stream: true, timeLimit: time.Duration(answerTimeShare * float64(q.Limit))}
-	longest := max(model.longestAnswer(q), 1)
-	step := model.batch.timeLimit / time.Duration(longest)
-	if !p.anyFastEnough(*model, targets, step) {
+	est.batch = batchNeeds{stream: true, timeLimit: time.Duration(answerTimeShare * float64(q.Limit))}
+	longest := max(est.longestAnswer(q), 1)
+	step := est.batch.timeLimit / time.Duration(longest)
+	if !p.anyFastEnough(*est, targets, step) {
 		return
 	}
-	model.batch.maxStep = step
-	// Callers that come back have less time left. Seats are reserved for the time limit of first
-	// tries.
+	est.batch.maxStep = step
+	// A caller that comes back has less time left than at its first try. The step limit of the
+	// service is that of first tries.
 	limit := p.stepLimit(targets[0].Service)
 	limit.observe(time.Duration(answerTimeShare*float64(max(q.InitialLimit, q.Limit)))/time.Duration(longest), now)
-	model.maxStep = limit.current(now)
+	est.maxStep = limit.current(now)
 	if !q.Deferred {
-		model.batch.queuedAhead = p.queuedPerTarget(*model, targets[0].Service, targets)
+		est.batch.queuedAhead = p.queuedPerTarget(*est, targets[0].Service, targets)
 	}
 }
 
-// anyFastEnough reports whether any decode target takes at most step for a decode step of a request
-// that runs alone. The caller holds p.mu.
-func (p *Placer) anyFastEnough(model engineModel, targets []*fleet.Target, step time.Duration) bool {
+// anyFastEnough reports whether any decode target takes at most step for each decode step of a
+// request that runs there alone. The caller holds p.mu.
+func (p *Placer) anyFastEnough(est estimates, targets []*fleet.Target, step time.Duration) bool {
 	for _, t := range targets {
-		if t.Stage != fleet.Prefill && !t.Leaving && model.maxBatch(p.stateOf(t), step) >= 1 {
+		if t.Stage != fleet.Prefill && !t.Leaving && est.maxBatch(p.stateOf(t), step) >= 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// longestAnswer returns the number of tokens that the answer to q may well reach.
-func (e engineModel) longestAnswer(q *Prompt) int {
+// longestAnswer returns the number of tokens that the answer to q is expected not to exceed: the
+// length that its caller expects times LengthRatio, or the maximum length if that is less.
+func (e estimates) longestAnswer(q *Prompt) int {
 	return min(int(e.LengthRatio()*float64(q.Output)), q.MaxOutput)
 }
 
-// maxBatch returns how many requests may run at a target for its steps to take no longer than step.
-// The result is below 1 if the target is too slow.
-func (e engineModel) maxBatch(s *state, step time.Duration) float64 {
+// maxBatch returns how many requests may run at a target for its decode steps to take no longer
+// than step. The result is below 1 if the target is too slow even for one.
+func (e estimates) maxBatch(s *state, step time.Duration) float64 {
 	return e.MaxConcurrent(time.Duration(float64(step)/s.stepSlowdown)) + 1
 }
 
-// usableSlots returns how many requests may run at t, less the spare slots.
+// usableSlots returns the number of slots of t less the spare slots, at least 1.
 func usableSlots(t *fleet.Target) int { return max(t.Slots-spareSlots, 1) }
 
-// seats returns how many requests may run at t before the request waits for a seat.
-func (e engineModel) seats(t *fleet.Target, s *state) int {
+// seats returns the number of seats at t for the request being placed. If it is not a stream, all
+// usable slots are seats.
+func (e estimates) seats(t *fleet.Target, s *state) int {
 	if !e.batch.stream {
 		return usableSlots(t)
 	}
@@ -135,8 +140,9 @@
 }
 
 // seatsForLongest returns how many requests may run at t for the service's longest answers to end
-// in time there. A target that is too slow for them can use all its slots.
-func (e engineModel) seatsForLongest(t *fleet.Target, s *state) int {
+// in time there, but no fewer than minSeatsShare of the usable slots. A target that is too slow for
+// the longest answers may use all usable slots.
+func (e estimates) seatsForLongest(t *fleet.Target, s *state) int {
 	open := float64(usableSlots(t))
 	if !e.fastEnough(s) {
 		return int(open)
@@ -144,14 +150,15 @@
 	return int(min(max(e.maxBatch(s, e.maxStep), minSeatsShare*open, 1), open))
 }
 
-// fastEnough reports whether a target is fast enough for the longest answers of the service. Seats
-// are reserved for them only at such targets.
-func (e engineModel) fastEnough(s *state) bool { return e.maxStep > 0 && e.maxBatch(s, e.maxStep) >= 1 }
+// fastEnough reports whether a target is fast enough for the longest answers of the service, at
+// least if they run there alone. Only at such targets are the seats limited for their sake.
+func (e estimates) fastEnough(s *state) bool { return e.maxStep > 0 && e.maxBatch(s, e.maxStep) >= 1 }
 
-// leavesStepTime reports whether a decode target may prefill a prompt beside its streams: within
-// the part of its time that the steps of the longest answers leave. When only the single gaps were
-// limited, a burst of prompts made all steps longer for as long as it lasted.
-func (e engineModel) leavesStepTime(s *state, load Work, prefill time.Duration, now time.Time) bool {
+// leavesStepTime reports whether a decode target that runs streams may prefill a prompt in place:
+// all such prefills must fit into the fraction of its time that the steps of the longest answers do
+// not need. When only each single gap was limited, a burst of prompts made all steps longer for as
+// long as the burst lasted. load is the work at the target, and prefill the time for the prompt.
+func (e estimates) leavesStepTime(s *state, load Work, prefill time.Duration, now time.Time) bool {
 	if load.Streams == 0 || !e.fastEnough(s) || prefill <= time.Duration(smallPromptShare*float64(e.gapBudget())) {
 		return true
 	}
@@ -159,16 +166,16 @@
 	return s.inPlacePrefills.share(now)+float64(prefill)/float64(inPlaceDecay) <= 1-stepShare
 }
 
-// seat is a place in a decode target's batch: the wait for it and the cost of taking it. A target has
-// as many seats as slots that can be used, or fewer where its steps would become too long for the
-// longest answers.
+// seat is the estimate for a place in a decode target's batch.
 type seat struct {
+	// wait is the time until the place is free.
 	wait time.Duration
+	// cost is the cost of taking the place, which includes wait.
 	cost time.Duration
 }
 
-// seat estimates the seat of the request at t, whose work in progress is load.
-func (e engineModel) seat(t *fleet.Target, s *state, load Work, now time.Time) seat {
+// seat estimates the seat of the request being placed at t, whose work in progress is load.
+func (e estimates) seat(t *fleet.Target, s *state, load Work, now time.Time) seat {
 	seats := e.seats(t, s)
 	run := float64(e.RunTime())
 	usedShare := float64(load.Running) / float64(seats)
@@ -188,15 +195,16 @@
 	return st
 }
 
-// overrun returns by how much the longest answer that matters at a target would miss its time
-// limit. That is the longest answer of the request itself, so that long answers go where they end
-// in time. At targets that are fast enough for the service's longest answers it is one of those, so
-// that shorter answers leave them the seats and fill the slower targets first.
+// overrun returns by how much a long answer would exceed its time limit at a target whose work in
+// progress is load. In general it considers the longest answer that the request itself may
+// have, so that long answers go where they end in time. At targets that are fast enough for the
+// service's longest answers it considers those, so that requests with shorter answers leave the
+// seats there to them and fill the slower targets first.
 //
-// Load pattern: a burst of streams of all lengths on engines that differ in speed. If they are
-// dealt equally to all, long answers are lost at the slower engines, and at the faster ones too,
+// Load pattern: a burst of streams of all lengths on engines that differ in speed. If the streams
+// are distributed equally, long answers are lost at the slower engines, and at the faster ones too,
 // because short answers fill their batches.
-func (e engineModel) overrun(s *state, load Work, now time.Time) time.Duration {
+func (e estimates) overrun(s *state, load Work, now time.Time) time.Duration {
 	maxStep := e.batch.maxStep
 	if e.fastEnough(s) && (maxStep == 0 || e.maxStep < maxStep) {
 		maxStep = e.maxStep
@@ -208,12 +216,13 @@
 	return time.Duration(max(step/float64(maxStep)-1, 0) * float64(e.batch.timeLimit))
 }
 
-// maxInPlaceShare bounds the part of its time that a target is assumed to spend on prefills in
-// place.
+// maxInPlaceShare is the largest fraction of its time that a target is assumed to spend on prefills
+// in place.
 const maxInPlaceShare = 0.8
 
-// seatEstimate returns the estimate for a request that runs beside so many others.
-func (e engineModel) seatEstimate(s *state, beside int, q *Prompt) Seat {
-	step := float64(e.StepTime(beside)) * s.stepSlowdown
-	return Seat{Running: beside, LongestAnswer: time.Duration(step * float64(e.longestAnswer(q)))}
+// seatEstimate returns the estimate for the request q if it runs at a target concurrently with the
+// given number of others.
+func (e estimates) seatEstimate(s *state, others int, q *Prompt) Seat {
+	step := float64(e.StepTime(others)) * s.stepSlowdown
+	return Seat{Running: others, LongestAnswer: time.Duration(step * float64(e.longestAnswer(q)))}
 }
--- a/internal/place/seats_test.go
+++ b/internal/place/seats_test.go
@@ -11,23 +11,24 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// wideEngine returns a decode engine with many slots.
+// wideEngine returns a decode engine with 96 slots, twice as many as engine returns.
 func wideEngine(id string) *fleet.Target {
 	t := engine(id, fleet.Decode)
 	t.Slots = 96
 	return t
 }
 
-// newTrainedPlacer returns a trained placer. The work in o may be changed later.
-func newTrainedPlacer(o peerWork) *place.Placer {
+// trainedPlacerWithWork returns a placer that has observed what train describes, for VMs whose work
+// is o. The test may change o later.
+func trainedPlacerWithWork(o peerWork) *place.Placer {
 	p := place.New(place.DefaultConfig("a"), o, noStageChange)
 	train(p)
 	return p
 }
 
-// observeAnswers has a placer observe answers of an engine beside so many running requests, with an
-// event of 59 tokens each eventGap. Every third answer has outputFactor times the tokens that its
-// caller expected.
+// observeAnswers has a placer observe 60 answers of an engine that runs the given number of
+// requests, with an event of 59 tokens every eventGap. Every third answer has outputFactor times
+// the tokens that its caller expected.
 func observeAnswers(p *place.Placer, o peerWork, t *fleet.Target, running int, eventGap time.Duration, outputFactor float64) {
 	now := time.Now()
 	before := o[t.ID]
@@ -47,17 +48,18 @@
 	o[t.ID] = before
 }
 
-// The steps of this engine grow by 1.7% with each request in its batch. Beside 70 others it takes
-// 15.5 s for the 12,000 tokens that an answer may have, longer than the limit of 15 s.
+// The decode steps of an engine grow by 1.7% with each request in its batch. In a batch with 70
+// others it takes 15.5 s for the 12,000 tokens that an answer may have, longer than the limit of 15
+// s, and so the request has to wait for a seat. With a limit of a minute it does not wait.
 func TestLongAnswersLimitTheBatch(t *testing.T) {
 	is := is.New(t)
 	o := peerWork{"d1": {Running: 70, Streams: 70}}
-	p := newTrainedPlacer(o)
+	p := trainedPlacerWithWork(o)
 	d1 := wideEngine("d1")
 	observeAnswers(p, o, d1, 60, 70*time.Millisecond, 2.4)
 	c, _ := p.Prefill([]*fleet.Target{d1}, spec, longAnswerPrompt(), nil, time.Now())
 	is.True(c.Expected > 250*time.Millisecond)
-	p = newTrainedPlacer(o)
+	p = trainedPlacerWithWork(o)
 	observeAnswers(p, o, d1, 60, 70*time.Millisecond, 2.4)
 	relaxed := longAnswerPrompt()
 	relaxed.Limit = time.Minute
@@ -65,19 +67,21 @@
 	is.True(c.Expected < 100*time.Millisecond)
 }
 
-// If steps hardly grow, or answers are no longer than expected, the same batch has free seats.
+// If steps hardly grow with the batch, or answers are no longer than expected, the batch of 70
+// requests that is full in TestLongAnswersLimitTheBatch has free seats.
 func TestBatchIsLimitedByWhatIsLearned(t *testing.T) {
 	for name, c := range map[string]struct {
-		pause   time.Duration
-		stretch float64
+		eventGap     time.Duration
+		outputFactor float64
 	}{"steps hardly grow": {38 * time.Millisecond, 2.4}, "answers as long as expected": {77 * time.Millisecond, 1}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			o := peerWork{"d1": {Running: 70, Streams: 70}}
-			p := newTrainedPlacer(o)
+			p := trainedPlacerWithWork(o)
 			d1 := wideEngine("d1")
-			observeAnswers(p, o, d1, 60, c.pause, c.stretch)
-			// The step limit that was observed before answers were known has expired by then.
+			observeAnswers(p, o, d1, 60, c.eventGap, c.outputFactor)
+			// The step limit that was observed while no answers were known has expired a minute
+			// later.
 			later := time.Now().Add(time.Minute)
 			choice, _ := p.Prefill([]*fleet.Target{d1}, spec, longAnswerPrompt(), nil, later)
 			is.True(choice.Expected < 100*time.Millisecond)
@@ -90,7 +94,7 @@
 func TestLongAnswersGoWhereTheyEndInTime(t *testing.T) {
 	is := is.New(t)
 	o := peerWork{}
-	p := newTrainedPlacer(o)
+	p := trainedPlacerWithWork(o)
 	fast, slow := wideEngine("fast"), wideEngine("slow")
 	observeAnswers(p, o, fast, 0, 55*time.Millisecond, 2.4)
 	observeAnswers(p, o, slow, 0, 83*time.Millisecond, 2.4)
@@ -109,21 +113,22 @@
 	}
 }
 
-// A decode engine with streams that may be long prefills other prompts only in the part of its time
-// that the longest answers do not need. Without streams it prefills all.
+// A decode engine with streams prefills prompts in place only in the fraction of its time that the
+// longest answers do not need. Without streams it prefills all prompts.
 func TestPrefillLeavesTimeForLongAnswers(t *testing.T) {
-	// countInPlace returns how many of 500 prompts, one every 40 ms, the decode engine prefills.
+	// countInPlace returns how many of 500 prompts, one every 40 ms, are prefilled in place by the
+	// decode engine, which runs the given number of streams.
 	countInPlace := func(streams int) (n int) {
 		o := peerWork{}
-		p := newTrainedPlacer(o)
+		p := trainedPlacerWithWork(o)
 		d1, p1 := wideEngine("d1"), engine("p1", fleet.Prefill)
 		observeAnswers(p, o, d1, 0, 55*time.Millisecond, 2.4)
 		o["d1"] = place.Work{Running: streams, Streams: streams}
-		// The prefill engine is busy, so that a prefill beside the streams would be cheaper.
+		// The prefill engine is busy, so that a prefill in place would be cheaper.
 		o["p1"] = place.Work{Prefill: 200 * time.Millisecond, Prefills: 4}
 		now := time.Now()
-		hinted, _ := p.Decode([]*fleet.Target{d1}, spec, longAnswerPrompt(), "a", nil, now)
-		hinted.Ticket.End(place.Neutral, now)
+		longAnswer, _ := p.Decode([]*fleet.Target{d1}, spec, longAnswerPrompt(), "a", nil, now)
+		longAnswer.Ticket.End(place.Neutral, now)
 		for i := range 500 {
 			now = now.Add(40 * time.Millisecond)
 			q := sessionPrompt(uint64(5000 + i))
@@ -138,15 +143,16 @@
 	}
 	is := is.New(t)
 	is.Equal(countInPlace(0), 500)
-	beside := countInPlace(3)
-	t.Logf("%d of 500 prompts are prefilled beside 3 streams", beside)
-	is.True(beside > 0)
-	is.True(beside < 200)
+	withStreams := countInPlace(3)
+	t.Logf("%d of 500 prompts are prefilled in place at an engine with 3 streams", withStreams)
+	is.True(withStreams > 0)
+	is.True(withStreams < 200)
 }
 
-// An answer of 200 events takes 15 s. Answers that had ended showed only short answers and the
-// smaller batches of seconds ago. After a crash that moved 90 streams to each remaining engine, and
-// for seconds after a start, the times of long answers were therefore estimated wrongly:
+// Guards against learning step times only from complete answers. An answer of 200 events takes 15
+// s. The answers that were complete were the short ones, and they showed the smaller batches of
+// seconds ago. After a crash that moved 90 streams to each remaining engine, and for seconds after
+// a start, the times of long answers were therefore estimated wrongly:
 //
 //	event=request_failed beside=36 longest_ms=16633 event_us=72313 last_event=195
 //	event=request_failed beside=6 longest_ms=38350 event_us=64440 last_event=208
@@ -157,7 +163,7 @@
 		t.Run(eventGap.String(), func(t *testing.T) {
 			is := is.New(t)
 			o := peerWork{"d1": {Running: 5, Streams: 5}}
-			p := newTrainedPlacer(o)
+			p := trainedPlacerWithWork(o)
 			d1 := wideEngine("d1")
 			observeAnswers(p, o, d1, 5, 55*time.Millisecond, 2.4)
 			now := time.Now()
@@ -186,16 +192,17 @@
 	}
 }
 
-// Of two engines of a service, one is 1.3 times slower. It runs smaller batches, but their steps
-// take longer all the same. Without a speed of its own for each engine, steps seemed not to grow
-// with the batch size. The faster engine was therefore given 50 to 60 answers at once, each
-// estimated to end in 13.6 s, and took 72 ms per event, where the longest answer may take 70 ms:
+// Guards against estimating one speed for engines that differ. Of two engines of a service, one is
+// 1.3 times slower. It runs smaller batches, but its steps take longer all the same. When both were
+// assumed to be equally fast, steps seemed not to grow with the batch size. The faster engine was
+// therefore given 50 to 60 answers at once, each estimated to end in 13.6 s, and took 72 ms per
+// event, where the longest answer may take 70 ms:
 //
 //	event=request_failed kind=client_gone ms=14999 beside=52 longest_ms=13765 last_event=210
 func TestStepGrowthIsLearnedOfEnginesThatDifferInSpeed(t *testing.T) {
 	is := is.New(t)
 	o := peerWork{}
-	p := newTrainedPlacer(o)
+	p := trainedPlacerWithWork(o)
 	fast, slow := wideEngine("fast"), wideEngine("slow")
 	eventGap := func(t *fleet.Target, running int) time.Duration {
 		ms := 53 + 0.35*float64(running)
@@ -218,17 +225,18 @@
 			c, _ := p.Decode([]*fleet.Target{target}, spec, q, "a", nil, time.Now())
 			c.Ticket.End(place.Neutral, time.Now())
 			want := time.Duration(q.MaxOutput/59) * eventGap(target, running)
-			t.Logf("%s beside %d: estimated %s, actual %s", target.ID, running, c.Seat.LongestAnswer, want)
+			t.Logf("%s with %d other requests: estimated %s, actual %s", target.ID, running, c.Seat.LongestAnswer, want)
 			is.True(c.Seat.LongestAnswer > want*9/10)
 			is.True(c.Seat.LongestAnswer < want*11/10)
 		}
 	}
 }
 
-// Of two engines, one is 1.3 times slower and too slow for the longest answers. In a burst of
-// prompts, the unreported prefills of other VMs outweighed the cost of a seat. Short answers were
-// therefore spread equally over both engines until the seats of the faster one were taken, and long
-// answers found none: of 377 answers 85 were refused, among them most of the largest.
+// Guards against filling the faster engine with short answers. Of two engines, one is 1.3 times
+// slower and too slow for the longest answers. In a burst of prompts, the unreported prefills of
+// other VMs outweighed the cost of a seat. Short answers were therefore spread equally over both
+// engines until the seats of the faster one were taken, and long answers found none: of 377 answers
+// 85 were refused, among them most of the largest.
 func TestShortAnswersLeaveFasterTargetToLongOnes(t *testing.T) {
 	is := is.New(t)
 	o := peerWork{}
@@ -255,7 +263,7 @@
 		for i := range 200 {
 			q.Parts = []place.Part{{Hash: uint64(1000 + i), Tokens: q.Tokens}}
 			now = now.Add(10 * time.Millisecond)
-			// Other VMs place 40 ms of prefill work on another engine every 10 ms.
+			// Every 10 ms, other VMs place 40 ms of prefill work at the prefill engine.
 			p.Observe([]place.Use{{Target: elsewhere.ID, Missing: 10000, Prefills: true}}, now)
 			c, _ := p.Prefill(both, spec, q, nil, now)
 			if c.Target == fast {
@@ -274,22 +282,23 @@
 	is.True(shortToFast < 50)
 }
 
-// delayedWork is the work of other VMs, known with a delay of 30 ms.
+// delayedWork is the work of other VMs, from reports that are 30 ms old.
 type delayedWork struct{ peerWork }
 
 func (delayedWork) Age() time.Duration { return 30 * time.Millisecond }
 
-// The number of engines that decode follows from how far their running requests fill them. Counted
-// by slots, 37 requests filled 0.4 of an engine whose steps were already too long for the longest
-// answers. These were lost, and at the same time another decode engine was ordered to prefill. In
-// this test the longest answers end in time beside 38 others:
+// Guards against counting the load of decode engines by slots. The number of engines that decode
+// follows from how far the running requests fill them. Counted by slots, 37 requests filled 0.4 of
+// an engine whose steps were already too long for the longest answers. Those answers were lost, and
+// at the same time another decode engine was ordered to prefill. In this test the longest answers
+// end in time in a batch with 38 others:
 //
 //	event=order_sent engine=i-3783467ec3 stage=prefill
 //	event=request_failed kind=stream_lost beside=33 event_us=70644 last_event=194
-func TestDecodingCountsSeats(t *testing.T) {
+func TestDecodeLoadCountsSeats(t *testing.T) {
 	is := is.New(t)
 	o := peerWork{}
-	p := newTrainedPlacer(o)
+	p := trainedPlacerWithWork(o)
 	d1 := wideEngine("d1")
 	observeAnswers(p, o, d1, 0, 55*time.Millisecond, 2.4)
 	observeAnswers(p, o, d1, 60, 78*time.Millisecond, 2.4)
@@ -301,16 +310,16 @@
 	filled := p.DecodeLoad(targets, spec, now)
 	t.Logf("40 running requests fill %.2f of an engine", filled)
 	is.True(filled > 0.9)
-	// Without long answers, the slots count.
+	// A minute later the step limit of the long answers has expired, and the load counts by slots.
 	is.True(p.DecodeLoad(targets, spec, now.Add(time.Minute)) < 0.5)
 }
 
-// A long answer that waited for a seat at the only target fast enough for it was overtaken by new
-// requests until it was refused.
+// Guards against new requests that overtake deferred ones. A request with a long answer that waited
+// for a seat at the only target fast enough for it was overtaken until it was refused.
 func TestNewRequestsLeaveSeatsToDeferredOnes(t *testing.T) {
 	is := is.New(t)
 	o := peerWork{}
-	p := newTrainedPlacer(o)
+	p := trainedPlacerWithWork(o)
 	fast, slow := wideEngine("fast"), wideEngine("slow")
 	for range 3 {
 		observeAnswers(p, o, fast, 0, 55*time.Millisecond, 2.4)
@@ -324,7 +333,7 @@
 		run, _ := p.Decode(both, spec, longAnswerPrompt(), "a", nil, now)
 		run.Ticket.End(place.Good, now.Add(5*time.Second))
 	}
-	read := func(q *place.Prompt) place.Choice {
+	prefill := func(q *place.Prompt) place.Choice {
 		c, ok := p.Prefill(both, spec, q, nil, now)
 		is.True(ok)
 		c.Ticket.End(place.Neutral, now)
@@ -334,8 +343,8 @@
 
 	running := 50
 	o["fast"], o["slow"] = place.Work{Running: running, Streams: running}, place.Work{Running: 80, Streams: 80}
-	first := read(longAnswerPrompt())
-	t.Logf("beside %d others the wait for a seat is %s", running, first.SeatWait)
+	first := prefill(longAnswerPrompt())
+	t.Logf("with %d other requests the wait for a seat is %s", running, first.SeatWait)
 	is.Equal(place.Admit(first, admission).Reason, place.NoSeat)
 	waiting := p.AddDeferred("m", first)
 
@@ -345,17 +354,17 @@
 		o["fast"] = place.Work{Running: running, Streams: running}
 		again := longAnswerPrompt()
 		again.Deferred = true
-		first = read(again)
+		first = prefill(again)
 	}
 	is.Equal(place.Admit(first, admission).Verdict, place.Send)
-	newcomer := read(longAnswerPrompt())
+	newcomer := prefill(longAnswerPrompt())
 	is.Equal(newcomer.Target.ID, "fast")
 	is.True(newcomer.SeatWait > 0)
 	// A request that is short enough for the slower target does not wait.
 	short := longAnswerPrompt()
 	short.Output, short.MaxOutput = 500, 500
-	is.Equal(read(short).SeatWait, time.Duration(0))
+	is.Equal(prefill(short).SeatWait, time.Duration(0))
 
 	waiting.End(place.Neutral, now)
-	is.Equal(read(longAnswerPrompt()).SeatWait, time.Duration(0))
+	is.Equal(prefill(longAnswerPrompt()).SeatWait, time.Duration(0))
 }
--- a/internal/place/stale_test.go
+++ b/internal/place/stale_test.go
@@ -13,44 +13,51 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// fleetSim simulates many VMs that place prompts while they learn of each other's work late.
+// fleetSim simulates many VMs that place prompts and learn of each other's work with a delay.
 type fleetSim struct {
-	t       testing.TB
-	random  *rand.Rand
+	t      testing.TB
+	random *rand.Rand
+	// engines holds the prefill engines, followed by one decode engine.
 	engines []*fleet.Target
-	// sessions is the number of sessions, of which prompts arrive in random order.
+	// sessions is the number of sessions. Each prompt belongs to a random one of them.
 	sessions int
 	// reportAge is the age of the reports that VMs get of each other's work, and assumedAge the age
-	// that the placers assume. With an assumedAge of 0 they choose the cheapest engine.
+	// that the placers are told. With an assumedAge of 0 they choose the cheapest engine.
 	reportAge  time.Duration
 	assumedAge time.Duration
 	// selectEngines returns the engines at which a prompt is evaluated; nil selects all.
 	selectEngines engineSelector
 	placers       []*place.Placer
-	// ownWork holds the work of each VM at each step, and uses the uses that it reported then.
-	ownWork [][]map[string]place.Work
-	uses    [][][]place.Use
-	// totalWork is the work of all VMs at each step.
+	// ownWork holds the work of each VM, and sendRecords the records that it reported, both by step
+	// and VM.
+	ownWork     [][]map[string]place.Work
+	sendRecords [][][]place.Use
+	// totalWork holds the work of all VMs together, by step.
 	totalWork []map[string]place.Work
-	// freeAt is when each engine has prefilled everything that it was sent.
+	// freeAt holds, by engine, when the engine will have prefilled all prompts that it was sent.
 	freeAt map[string]time.Time
 	now    time.Time
-	step   int
+	// step is the number of steps that have been simulated.
+	step int
 	// prefilling holds the prompts that were sent and are not prefilled yet.
-	prefilling   []prefillJob
+	prefilling []prefillJob
+	// waits holds, for each prompt sent, the time from its arrival to the end of its prefill, and
+	// cachedTokens the number of all their tokens that were cached.
 	waits        []time.Duration
 	cachedTokens int
-	// admits enables admission, and takeTurns makes deferred prompts take turns.
+	// admits enables admission, and takeTurns makes deferred prompts take turns (see
+	// place.AdmissionInput.QueuedPrefill).
 	admits    bool
 	takeTurns bool
-	deferred  []*pendingPrompt
-	refused   int
+	// deferred holds the prompts that are deferred now, and refused counts the refused ones.
+	deferred []*pendingPrompt
+	refused  int
 }
 
-// engineSelector returns the engines at which a session's prompt is evaluated.
+// engineSelector returns the engines at which the prompts of a session are evaluated.
 type engineSelector func(f *fleetSim, session uint64) []*fleet.Target
 
-// prefillJob is a prompt that an engine will have prefilled at a known time.
+// prefillJob is a prompt that an engine will have prefilled at the time at.
 type prefillJob struct {
 	ticket *place.Ticket
 	at     time.Time
@@ -60,20 +67,25 @@
 	simVMs     = 60
 	simEngines = 30
 	simStep    = 10 * time.Millisecond
-	// In each step promptsPerStep prompts arrive. They take 0.84 of what the engines can prefill if
-	// they have none of them cached, and 0.26 if they have all shared parts cached.
+	// promptsPerStep is the number of prompts that arrive in each step. Their prefills take 0.84 of
+	// the time of all engines if nothing is cached, and 0.26 if all shared parts are cached.
 	promptsPerStep    = 7
 	sessionsPerEngine = 10
-	prefillPerToken   = 4 * time.Microsecond
-	// In each step of a burst burstPromptsPerStep prompts arrive: 1.5 times what the engines can
-	// prefill if they have all shared parts cached.
+	// prefillPerToken is the time that an engine takes to prefill a token that is not cached.
+	prefillPerToken = 4 * time.Microsecond
+	// burstPromptsPerStep is the number of prompts that arrive in each step of a burst: 1.5 times
+	// as many as the engines can prefill if all shared parts are cached.
 	burstPromptsPerStep = 40
-	simObjective        = 250 * time.Millisecond
-	simPatience         = 2 * time.Second
-	checkInterval       = 60 * time.Millisecond
+	// simObjective is the time from a prompt's arrival within which it is to be prefilled, and
+	// simPatience the time for which its caller waits.
+	simObjective = 250 * time.Millisecond
+	simPatience  = 2 * time.Second
+	// checkInterval is the mean time between two checks of a deferred prompt.
+	checkInterval = 60 * time.Millisecond
 )
 
-// delayedReports is what one VM knows of the work of the others.
+// delayedReports is what one VM knows of the work of the others. The decode engine "d" is always
+// reported as busy.
 type delayedReports struct {
 	sim *fleetSim
 	vm  int
@@ -92,12 +104,13 @@
 	return r.sim.totalWork[at][id].Minus(r.sim.ownWork[at][r.vm][id])
 }
 
-// newFleetSim returns a simulation of the default size.
+// newFleetSim returns a simulation of simVMs VMs and simEngines prefill engines.
 func newFleetSim(t testing.TB, age, assumedAge time.Duration) *fleetSim {
 	return newFleetSimOf(t, simVMs, simEngines, age, assumedAge)
 }
 
-// newFleetSimOf returns a simulation of this many VMs and prefill engines, with one decode engine.
+// newFleetSimOf returns a simulation of the given numbers of VMs and prefill engines, with one
+// decode engine. age is the reportAge.
 func newFleetSimOf(t testing.TB, vms, engines int, age, assumedAge time.Duration) *fleetSim {
 	f := &fleetSim{
 		t: t, random: rand.New(rand.NewPCG(1, 2)), reportAge: age, assumedAge: assumedAge, sessions: sessionsPerEngine * engines,
@@ -117,7 +130,7 @@
 	return f
 }
 
-// run simulates steps in each of which perStep prompts arrive.
+// run simulates the given number of steps, in each of which perStep prompts arrive.
 func (f *fleetSim) run(steps, perStep int) {
 	for range steps {
 		f.finish()
@@ -131,7 +144,7 @@
 	}
 }
 
-// finish ends the prompts that the engines have prefilled.
+// finish ends the tickets of the prompts that the engines have prefilled by now.
 func (f *fleetSim) finish() {
 	f.prefilling = slices.DeleteFunc(f.prefilling, func(job prefillJob) bool {
 		if job.at.After(f.now) {
@@ -142,28 +155,28 @@
 	})
 }
 
-// exchange records the work of each VM and delivers the reports that have reached their age.
+// exchange records the work of each VM, and delivers the reports that are now reportAge old.
 func (f *fleetSim) exchange() {
 	sum := make(map[string]place.Work)
 	var own []map[string]place.Work
-	var uses [][]place.Use
+	var records [][]place.Use
 	for _, p := range f.placers {
 		o := p.Own()
 		for id, w := range o {
 			sum[id] = sum[id].Plus(w)
 		}
 		own = append(own, o)
-		uses = append(uses, p.TakeUses())
+		records = append(records, p.TakeUses())
 	}
-	f.ownWork, f.totalWork, f.uses = append(f.ownWork, own), append(f.totalWork, sum), append(f.uses, uses)
+	f.ownWork, f.totalWork, f.sendRecords = append(f.ownWork, own), append(f.totalWork, sum), append(f.sendRecords, records)
 	if at := f.step - int(f.reportAge/simStep); at >= 0 {
-		for vm, reported := range f.uses[at] {
+		for vm, reported := range f.sendRecords[at] {
 			f.deliver(vm, reported)
 		}
 	}
 }
 
-// deliver passes the uses reported by one VM to the others.
+// deliver passes the records that one VM reported to the others.
 func (f *fleetSim) deliver(from int, reported []place.Use) {
 	for vm, p := range f.placers {
 		if vm != from {
@@ -172,7 +185,7 @@
 	}
 }
 
-// addPrompt adds a prompt of a random session at a random VM.
+// addPrompt has a prompt of a random session arrive at a random VM.
 func (f *fleetSim) addPrompt() {
 	session := uint64(100 + f.random.IntN(f.sessions))
 	f.place(&pendingPrompt{vm: f.random.IntN(len(f.placers)), arrivedAt: f.now, prompt: &place.Prompt{
@@ -186,11 +199,14 @@
 	vm        int
 	arrivedAt time.Time
 	prompt    *place.Prompt
-	queued    *place.Ticket
+	// queued counts the prompt as deferred; it is nil if the prompt has not been deferred.
+	queued *place.Ticket
+	// nextCheck is when a deferred prompt is placed again.
 	nextCheck time.Time
 }
 
-// place evaluates a prompt, runs its admission if enabled, and sends it.
+// place chooses an engine for a prompt and sends the prompt there. If admission is enabled, the
+// prompt may be deferred or refused instead.
 func (f *fleetSim) place(pending *pendingPrompt) {
 	p := f.placers[pending.vm]
 	admission := place.AdmissionInput{Objective: simObjective, Waited: f.now.Sub(pending.arrivedAt), HeldFor: f.now.Sub(pending.arrivedAt), TimeLeft: simPatience - f.now.Sub(pending.arrivedAt), Random: f.random.Float64()}
@@ -227,7 +243,8 @@
 	f.send(pending, choice)
 }
 
-// send has the chosen engine prefill the prompt after those that it was sent before.
+// send sends the prompt to the chosen engine, which prefills it after those that it was sent
+// before.
 func (f *fleetSim) send(pending *pendingPrompt, choice place.Choice) {
 	f.placers[pending.vm].Commit(choice, pending.prompt, f.now)
 	begin := f.now
@@ -241,7 +258,7 @@
 	f.cachedTokens += choice.Cached
 }
 
-// recheckDeferred places the deferred prompts whose next check is due.
+// recheckDeferred places the deferred prompts whose next check is due again.
 func (f *fleetSim) recheckDeferred() {
 	deferred := f.deferred
 	f.deferred = nil
@@ -254,8 +271,8 @@
 	}
 }
 
-// lateShare returns the share of the prompts since the start of the burst that were prefilled after
-// limit.
+// lateShare returns the fraction of the prompts in waits whose prefill ended more than limit after
+// their arrival.
 func (f *fleetSim) lateShare(limit time.Duration) float64 {
 	n := 0
 	for _, w := range f.waits {
@@ -266,8 +283,8 @@
 	return float64(n) / float64(len(f.waits))
 }
 
-// Many VMs that learn of each other's work 100 ms late do not all choose the same engine on the
-// same report, and sessions still go back to the engines that have them cached.
+// Many VMs that learn of each other's work with a delay of up to 200 ms do not all choose the same
+// engine on the same report, and sessions still go back to the engines that have them cached.
 func TestManyPlacersWithStaleReports(t *testing.T) {
 	const steps, objective = 300, simObjective
 	for _, age := range []time.Duration{0, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond} {
@@ -283,8 +300,8 @@
 	}
 }
 
-// A burst leaves requests deferred on all VMs. Because they take turns, an engine that becomes idle
-// is not sent all of them at once, and more of them are on time.
+// A burst leaves requests deferred on all VMs. Since they take turns, they are not all sent at once
+// to an engine that becomes idle, and more of them are on time.
 func TestDeferredRequestsTakeTurns(t *testing.T) {
 	is := is.New(t)
 	simulate := func(turns bool) *fleetSim {
--- a/internal/place/thin.go
+++ b/internal/place/thin.go
@@ -7,16 +7,18 @@
 )
 
 const (
-	// evaluateAllLimit is the number of targets up to which all are evaluated for a request.
-	// Evaluating one takes about a microsecond.
+	// evaluateAllLimit is the largest number of targets that are all evaluated for a request. Of
+	// more targets, only a sample is evaluated. Evaluating one target takes about a microsecond.
 	evaluateAllLimit = 128
-	// In a larger fleet about sessionTargets targets are evaluated that the prompt's session hashes
-	// to, the same on every VM, and randomTargets random ones.
+	// sessionTargets is about how many targets of the sample are selected by a hash of the prompt's
+	// session, which gives the same targets on every VM.
 	sessionTargets = 48
-	randomTargets  = 48
+	// randomTargets is how many targets of the sample are drawn at random.
+	randomTargets = 48
 )
 
-// sampleTargets returns the targets to evaluate for a prompt. The caller holds p.mu.
+// sampleTargets returns the targets to evaluate for a prompt: all of them, or a sample if there are
+// more than evaluateAllLimit. The caller holds p.mu.
 func (p *Placer) sampleTargets(targets []*fleet.Target, q *Prompt) []*fleet.Target {
 	n := len(targets)
 	if n <= evaluateAllLimit {
@@ -33,7 +35,9 @@
 	return p.appendRandom(out, targets)
 }
 
-// sampleDecodeTargets returns the decode targets to evaluate. The caller holds p.mu.
+// sampleDecodeTargets returns the targets to evaluate for decoding: all of them, or, if there are
+// more than evaluateAllLimit, the decode targets among them or a random sample of these. The caller
+// holds p.mu.
 func (p *Placer) sampleDecodeTargets(targets []*fleet.Target) []*fleet.Target {
 	if len(targets) <= evaluateAllLimit {
 		return targets
@@ -50,7 +54,8 @@
 	return p.appendRandom(nil, all)
 }
 
-// appendRandom appends randomTargets random targets to out. The caller holds p.mu.
+// appendRandom draws randomTargets of the targets, possibly some of them twice, and appends them to
+// out. The caller holds p.mu.
 func (p *Placer) appendRandom(out, targets []*fleet.Target) []*fleet.Target {
 	for range randomTargets {
 		out = append(out, targets[p.random.IntN(len(targets))])
@@ -71,12 +76,12 @@
 // hashID returns a hash of a target's id that is the same on every VM.
 func hashID(id string) uint64 {
 	h := fnv.New64a()
-	// Write of a hash never returns an error.
+	// The Write method of a hash never returns an error.
 	_, _ = h.Write([]byte(id))
 	return h.Sum64()
 }
 
-// mix spreads the bits of x (the finalizer of MurmurHash3).
+// mix returns a hash of x (the finalizer of MurmurHash3).
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/place/ticket.go
+++ b/internal/place/ticket.go
@@ -8,48 +8,54 @@
 	"garnethoist.org/garnethoist/internal/profile"
 )
 
-// task is what a target does for a request.
+// task states what a target does for a request.
 type task int
 
 const (
-	// taskPrefill: the target prefills the prompt for another target.
+	// taskPrefill: the target prefills the prompt, and another target runs the request.
 	taskPrefill task = iota + 1
 	// taskPrefillInPlace: the target prefills the prompt and runs the request.
 	taskPrefillInPlace
-	// taskDecode: the target runs a request whose prompt was prefilled elsewhere.
+	// taskDecode: the target runs a request whose prompt another target has prefilled.
 	taskDecode
-	// taskPlain: the target is not a model engine and serves a plain call.
+	// taskPlain: the target is not a model engine and serves a plain request.
 	taskPlain
 )
 
 // Ticket counts a request as work in progress at a target until End is called. Its methods may be
 // called on a nil Ticket.
 type Ticket struct {
-	placer  *Placer
+	placer *Placer
+	// id is the id of the target's run.
 	id      string
 	service string
-	work    Work
-	task    task
-	prompt  *Prompt
-	cached  int
-	// prefillWait is the time of the prefills that were pending before this one, and overhead what
-	// the target takes besides prefilling.
+	// work is what the request still counts as at the target.
+	work Work
+	// task is 0 while the request waits in the queue of deferred requests.
+	task task
+	// prompt is nil for such a request and for plain ones.
+	prompt *Prompt
+	// cached is the estimated number of the prompt's tokens that the target had cached.
+	cached int
+	// prefillWait is the time of the prefills that were pending before this one, and overhead the
+	// time that the request takes besides them and its own prefill.
 	prefillWait time.Duration
 	overhead    time.Duration
 	// waitedForSeat is set if the target's batch was full when the target was chosen.
 	waitedForSeat bool
-	// span is the part of the answer whose step time is being measured. stepsObserved is set once
-	// one such part was recorded.
+	// span is the span of the answer whose step time is being measured. stepsObserved is set once
+	// the step time of one span was recorded.
 	span          span
 	stepsObserved bool
-	began         time.Time
-	// firstObserved is set once the time to the first event, or to the handle of the prefilled
-	// prompt, was recorded.
+	// began is when the target was chosen. The measured times count from it.
+	began time.Time
+	// firstObserved is set once the time to the first event was recorded or, for taskPrefill, the
+	// time to the handle of the prefilled prompt.
 	firstObserved bool
 	ended         bool
 }
 
-// setExpected records the estimate by which the target was chosen.
+// setExpected sets the task, and the estimates by which the target was chosen.
 func (t *Ticket) setExpected(c candidate, q *Prompt) {
 	t.task, t.prompt, t.cached, t.prefillWait, t.overhead, t.span.running = taskPrefill, q, c.cached, c.prefillWait, c.overhead, c.running
 	if c.work.Running > 0 {
@@ -64,7 +70,7 @@
 const (
 	// Good: the target served the request.
 	Good Result = iota + 1
-	// Neutral: nothing is learned of the target, as when the caller left.
+	// Neutral: the result says nothing about the target, as when the caller left.
 	Neutral
 	// Refused: the target did not run the request, because it is full or says so.
 	Refused
@@ -74,27 +80,32 @@
 	Unreachable
 )
 
-// Weights of the newest request in the moving averages.
+// Constants of the moving averages.
 const (
+	// failureWeight, slowdownWeight and refusalWeight are the weights of the newest request in the
+	// averages of the failures, the slowdowns and the refusals.
 	failureWeight  = 0.1
 	slowdownWeight = 0.1
 	refusalWeight  = 0.3
-	// These bound a slowdown, and the change of its logarithm by one answer: a single long time may
-	// as well come from a stall, or from a queue that was not known, as from a slow target. A
-	// target that is five times slower is recognized after about 25 answers.
+	// minSlowdown and maxSlowdown bound a slowdown factor, and slowdownStep bounds the change of
+	// its logarithm by one answer: a single long time may be due to a stall or an unknown queue
+	// just as well as to a slow target. A target that is five times slower is recognized after
+	// about 25 answers.
 	minSlowdown  = 0.5
 	maxSlowdown  = 20.0
 	slowdownStep = 0.07
 )
 
-// The delay before an unreachable target is tried again doubles with each failure.
+// The delay before an unreachable target is tried again is firstRetryDelay after the first failure
+// and doubles with each further one, at most maxRetryDoublings times and up to maxRetryDelay.
 const (
 	firstRetryDelay   = 300 * time.Millisecond
 	maxRetryDelay     = 3 * time.Second
 	maxRetryDoublings = 4
 )
 
-// begin counts work at a target and returns its ticket. The caller holds p.mu.
+// begin counts w as work in progress at a target and returns the ticket for it. The times that the
+// ticket measures count from now. The caller holds p.mu.
 func (p *Placer) begin(t *fleet.Target, w Work, now time.Time) *Ticket {
 	s := p.stateByID(t.RunID())
 	s.ownWork = s.ownWork.Plus(w)
@@ -123,20 +134,21 @@
 		s.noteRefusal(now)
 	case Bad:
 		s.failureRate += failureWeight * (1 - s.failureRate)
-		p.recordUse(Use{Target: t.id, Failed: true}, now)
+		p.recordOwn(Use{Target: t.id, Failed: true}, now)
 	case Unreachable:
 		s.noteConnectFailure(now)
 	}
 }
 
-// noteConnectFailure records that the target could not be reached.
+// noteConnectFailure records that the target could not be reached. The caller holds Placer.mu.
 func (s *state) noteConnectFailure(now time.Time) {
 	wait := firstRetryDelay << min(s.connErrors, maxRetryDoublings)
 	s.connErrors++
 	s.retryAt = now.Add(min(wait, maxRetryDelay))
 }
 
-// NoteUnreachable records that a target is known to be down, so that no request has to find out.
+// NoteUnreachable records that the target run with this id is known to be down, so that no request
+// has to find out.
 func (p *Placer) NoteUnreachable(target string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,15 +157,16 @@
 	}
 }
 
-// NoteLostHandle records that a prompt which a target had prefilled could not be decoded, because its handle
-// was gone or could not be fetched.
+// NoteLostHandle records that a prompt which the target run with this id had prefilled could not be
+// decoded, because its handle was gone or its KV cache could not be fetched. It counts as a
+// refusal.
 func (p *Placer) NoteLostHandle(target string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stateByID(target).noteRefusal(now)
 }
 
-// FirstEvent records that the target has begun to answer, so that its prefill is done.
+// FirstEvent records that the first event of the answer has come, so that the prefill is done.
 func (t *Ticket) FirstEvent(now time.Time) {
 	if t == nil || t.ended {
 		return
@@ -168,23 +181,25 @@
 	t.observeFirst(s, now)
 }
 
-// span is a run of consecutive events of an answer.
+// span is a series of consecutive events of an answer.
 type span struct {
-	// began is when the event before the span came. It is zero before the first event.
-	began  time.Time
+	// began is when the last event before the span came, or zero before the first event of the
+	// answer.
+	began time.Time
+	// events is the number of events so far.
 	events int
-	// running is how many other requests ran when the span began, and inPlaceTokens the number of
-	// prompt tokens that the target had been given to prefill in place by then.
+	// running is the number of other requests that ran at the target when the span began, and
+	// inPlaceTokens the value of state.inPlaceTokens at that time.
 	running       int
 	inPlaceTokens int
 }
 
-// observedSpan is the number of events after which the step time of an answer in progress is
-// recorded. A single late event has little weight in so many, and they come soon enough to notice a
-// batch that has just grown, which whole answers show only when they end.
+// observedSpan is the number of events of a span, after which its step time is recorded. In so many
+// events a single late one has little weight. They also come soon enough to notice a batch that has
+// just grown, which whole answers would show only when they end.
 const observedSpan = 16
 
-// minObservedEvents is the number of events from which a whole answer is used to measure steps.
+// minObservedEvents is the fewest events of a whole answer from which the step time is measured.
 const minObservedEvents = 4
 
 // AddEvents records that n more events of the answer have come.
@@ -207,7 +222,8 @@
 	t.span = span{began: now, running: p.totalWork(t.id).Running - 1, inPlaceTokens: s.inPlaceTokens}
 }
 
-// ObserveAnswer records a whole answer: the number of its events, and the time from the first to the last.
+// ObserveAnswer records a whole answer: the number of its events, and the time from the first to
+// the last of them.
 func (t *Ticket) ObserveAnswer(events int, took time.Duration) {
 	if t == nil || t.ended || t.prompt == nil || t.placer.cfg.Off.Profile {
 		return
@@ -221,7 +237,7 @@
 	p.profile(t.service).ObserveAnswer(events, t.prompt.Output)
 }
 
-// observeSteps records that so many events took this long. The caller holds p.mu.
+// observeSteps records the time that the given number of events took. The caller holds Placer.mu.
 func (t *Ticket) observeSteps(s *state, events int, took time.Duration) {
 	p := t.placer
 	if p.cfg.Off.Profile {
@@ -234,14 +250,14 @@
 		s.stepSlowdown = adjustSlowdown(s.stepSlowdown, float64(took)/max(float64(events)*float64(f.LoadedInterval(b)), 1))
 		s.stepSlowdown = math.Pow(s.stepSlowdown, 1-stepSlowdownDecay)
 	}
-	// The slower targets of a service run smaller batches. Without the correction for their speed,
-	// steps would seem to grow less with the batch size, or not at all.
+	// The slower targets of a service run smaller batches. If their times were not divided by their
+	// slowdown, steps would seem to grow less with the size of the batch, or not at all.
 	f.ObserveEvents(events, time.Duration(float64(took)/s.stepSlowdown), b)
 }
 
-// stepSlowdownDecay is the part of its logarithm that a step slowdown loses with each sample. The
-// profile is learned with the slowdowns and they with the profile; without the decay both could
-// drift in opposite directions.
+// stepSlowdownDecay is the fraction by which the logarithm of a step slowdown decreases with each
+// sample. The profile is learned from times divided by the slowdowns, and the slowdowns are learned
+// from times divided by the profile's; without the decay both could drift in opposite directions.
 const stepSlowdownDecay = 0.003
 
 // ObserveLength records how many events an answer had, whether it is complete or not.
@@ -255,14 +271,15 @@
 	p.profile(t.service).ObserveLength(events, t.prompt.MaxOutput)
 }
 
-// adjustSlowdown moves a slowdown factor towards the ratio observed for one answer.
+// adjustSlowdown returns the slowdown factor, moved towards the ratio of measured to expected time
+// that was observed for one answer.
 func adjustSlowdown(factor, observed float64) float64 {
 	step := slowdownWeight * math.Log(max(observed, minSlowdown/2)/factor)
 	factor *= math.Exp(min(max(step, -slowdownStep), slowdownStep))
 	return min(max(factor, minSlowdown), maxSlowdown)
 }
 
-// observeEnd records the time of a request that ended well. The caller holds p.mu.
+// observeEnd records the time of a request whose result is Good. The caller holds Placer.mu.
 func (t *Ticket) observeEnd(s *state, now time.Time) {
 	if t.placer.cfg.Off.Profile {
 		return
@@ -278,8 +295,8 @@
 	}
 }
 
-// observeFirst records the time that the prefill, or the first event after a hand-off, took. It
-// does so once per ticket. The caller holds p.mu.
+// observeFirst records the time of the prefill or of the handoff, once per ticket. The caller holds
+// Placer.mu.
 func (t *Ticket) observeFirst(s *state, now time.Time) {
 	if t.firstObserved || t.prompt == nil {
 		return
@@ -300,8 +317,8 @@
 	}
 }
 
-// observePrefillSlowdown compares the time that a prefill took with the estimate of the profile,
-// once the profile rests on enough samples. The caller holds p.mu.
+// observePrefillSlowdown adjusts the target's prefill slowdown by the time that a prefill took,
+// once the profile's estimate is based on enough samples. The caller holds Placer.mu.
 func (t *Ticket) observePrefillSlowdown(f *profile.Profile, s *state, took time.Duration) {
 	expected := f.PrefillTime(t.prompt.Tokens, t.cached)
 	if t.task == taskPrefillInPlace {
@@ -314,9 +331,11 @@
 	s.prefillSlowdown = adjustSlowdown(s.prefillSlowdown, float64(took-t.overhead)/float64(expected))
 }
 
-// refusalDecay is the time constant with which refusals are forgotten: a full engine has a free
-// slot again as soon as one of its requests ends. The value is fixed and not learned.
+// refusalDecay is the time constant with which the rate of refusals decays. It is short because a
+// full engine has a free slot again as soon as one of its requests ends. The value is fixed and not
+// learned.
 const refusalDecay = time.Second
 
-// minPrefillSample is the shortest estimated prefill that is used to measure the speed of a target.
+// minPrefillSample is the shortest estimated prefill from which the prefill slowdown of a target is
+// measured.
 const minPrefillSample = 5 * time.Millisecond
--- a/internal/place/ways_test.go
+++ b/internal/place/ways_test.go
@@ -12,17 +12,18 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// policy is a rule for choosing an engine on stale reports.
+// policy is a rule for choosing an engine based on stale reports.
 type policy struct {
 	name string
-	// spreads uses the rule of this package with the true age of the reports. Otherwise the
-	// cheapest of the selected engines is chosen.
-	spreads       bool
+	// spreads is set if the placers are told the true age of the reports, so that they spread their
+	// prompts over the engines. Otherwise they choose the cheapest engine.
+	spreads bool
+	// selectEngines returns the engines to choose from; nil selects all.
 	selectEngines engineSelector
 }
 
-// policies returns the policies to compare. Each call returns policies that work out the session
-// engines anew.
+// policies returns the policies to compare. The policies of each call compute the engines of the
+// sessions anew, since they remember them.
 func policies() []policy {
 	return []policy{
 		{name: "cheapest"},
@@ -54,27 +55,27 @@
 	}
 }
 
-// sessionRank is the rank of a target among the engines of a session. It comes from a random
-// generator: plain sums of ids that differ in their last digit would prefer the same targets for
-// all sessions.
+// sessionRank returns a number that differs by target and session. The targets with the smallest
+// numbers are the engines of the session. The number comes from a random generator: sums of hashes
+// of ids that differ only in their last digit would prefer the same targets for all sessions.
 func sessionRank(t *fleet.Target, session uint64) uint64 {
 	h := fnv.New64a()
-	// Write of a hash never returns an error.
+	// The Write method of a hash never returns an error.
 	_, _ = h.Write([]byte(t.ID))
 	return rand.NewPCG(session, h.Sum64()).Uint64()
 }
 
-// fleetSizes are numbers of VMs, with the age of what they know of each other. The ages follow from
-// the intervals of reports, summaries and digests.
+// fleetSizes holds numbers of VMs with the age of their reports on each other's work. The ages
+// follow from the intervals at which VMs send reports, summaries and digests.
 var fleetSizes = []struct {
 	vms int
 	age time.Duration
 }{{24, 10 * time.Millisecond}, {100, 40 * time.Millisecond}, {295, 60 * time.Millisecond}, {410, 80 * time.Millisecond}}
 
-// BenchmarkFigures prints for each policy and size the share of the prompts that were prefilled
-// after 250 ms, and the cached tokens of each prompt, of 6,200 shared ones. There is one engine for
-// every three VMs. Each engine is sent 45 prompts per second, 0.5 of what it can prefill if it has
-// all shared parts cached.
+// BenchmarkFigures prints for each policy and fleet size the fraction of the prompts whose prefill
+// ended more than 250 ms after their arrival, and the mean number of a prompt's 6,200 shared tokens
+// that were cached. There is one prefill engine for every three VMs. On average an engine is sent
+// 45 prompts per second, 0.5 of what it can prefill if it has all shared parts cached.
 func BenchmarkFigures(b *testing.B) {
 	const steps, perSecond = 300, 45
 	for _, size := range fleetSizes {
--- a/internal/place/weigh.go
+++ b/internal/place/weigh.go
@@ -9,62 +9,67 @@
 )
 
 const (
-	// prefillWorkCost weighs the time that a prefill occupies the target against the time that the
-	// request waits. While prompts queue, a prefill delays several later ones, so that a session
-	// goes back to the target that has it cached even if others wait there.
+	// prefillWorkCost is the weight of the time that a prefill occupies the target, relative to the
+	// time that the request waits. While prompts queue, a prefill delays several later ones. With
+	// this weight, a session goes back to the target that has it cached even if prompts wait there.
 	prefillWorkCost = 4.0
-	// cacheShare is the part of a target's free KV cache that is assumed to hold prompt parts.
+	// cacheShare is the fraction of a target's free KV cache that is assumed to hold prompt parts.
 	cacheShare = 0.9
-	// spareSlots is the number of slots of each decode target that are kept for the short decode
-	// phases of prompts prefilled elsewhere.
+	// spareSlots is the number of slots of each decode target that are kept free for the short
+	// decode phases of prompts prefilled separately.
 	spareSlots = 4
-	// smallPromptShare is the part of the gap budget up to which a prompt may be prefilled
-	// anywhere.
+	// smallPromptShare is the largest fraction of the gap budget that the prefill of a small prompt
+	// takes. A small prompt may be prefilled in place no matter which streams run there.
 	smallPromptShare = 1.0 / 8
-	// minHandOffShare is the part of the hand-off time that a prefill must take for the hand-off to
-	// be worthwhile. In place the prefill takes twice as long, which is what the hand-off saves.
-	minHandOffShare = 0.5
-	// streamDelayCost is the cost of delaying one stream by a prefill beside it, as a part of the
-	// prefill time.
+	// minHandoffShare is the shortest prefill time for which a handoff is worthwhile, as a fraction
+	// of the time of the handoff. As a prefill in place takes twice as long as a separate one, a
+	// handoff saves about the time of the separate prefill.
+	minHandoffShare = 0.5
+	// streamDelayCost is the cost of each stream that a prefill in place delays, as a fraction of
+	// the prefill time.
 	streamDelayCost = 0.05
-	// firstStreamCost is the cost of the first stream at a target, as a part of the gap budget:
-	// from then on the target can prefill other prompts less freely.
+	// firstStreamCost is the cost of the first stream at a target, as a fraction of the gap budget:
+	// once the target runs a stream, it can prefill other prompts less freely.
 	firstStreamCost = 0.35
 )
 
-// engineModel estimates the timing of the engines of one service for the placement of a request.
-type engineModel struct {
+// estimates holds what is known of the timing of the engines of one service, and what the request
+// being placed needs from them.
+type estimates struct {
 	*profile.Profile
 	spec *fleet.EngineSpec
 	off  Off
 	// maxStep is the longest decode step at which the service's longest answers end in time, or 0
-	// if none are known yet.
+	// if no such answers are known.
 	maxStep time.Duration
 	// batch is what the request being placed needs from the batch that it joins.
 	batch batchNeeds
 }
 
-// engineModel returns the model for the service of the targets. The caller holds p.mu.
-func (p *Placer) engineModel(targets []*fleet.Target, spec *fleet.EngineSpec) engineModel {
+// estimatesFor returns the estimates for the service of the targets, without the needs of a
+// request. The caller holds p.mu.
+func (p *Placer) estimatesFor(targets []*fleet.Target, spec *fleet.EngineSpec) estimates {
 	service := ""
 	if len(targets) > 0 {
 		service = targets[0].Service
 	}
-	return engineModel{Profile: p.profile(service), spec: spec, off: p.cfg.Off, maxStep: p.stepLimit(service).step}
+	return estimates{Profile: p.profile(service), spec: spec, off: p.cfg.Off, maxStep: p.stepLimit(service).step}
 }
 
-// gapBudget returns the time that prompts may be prefilled between two events of a stream: what the
-// shortest maximum gap of any route leaves beside the stream's own steps.
-func (e engineModel) gapBudget() time.Duration {
+// gapBudget returns for how long prompts may be prefilled between two events of a stream: the
+// maximum gap, which is the shortest of all routes of the service, less the usual time between
+// events.
+func (e estimates) gapBudget() time.Duration {
 	if e.spec.MaxGap <= 0 {
 		return math.MaxInt64
 	}
 	return max(e.spec.MaxGap-e.EventInterval(), 0)
 }
 
-// longStreams returns 1 if the answer to q lasts longer than the maximum gap between events, and
-// else 0. A shorter answer is unlikely to be interrupted by a prefill beside it.
-func (e engineModel) longStreams(q *Prompt) int {
+// longStreams returns the number of streams that q counts as: 1 if its answer takes longer than the
+// maximum gap between events, and 0 otherwise. A prefill in place is unlikely to interrupt a
+// shorter answer.
+func (e estimates) longStreams(q *Prompt) int {
 	if e.spec.MaxGap > 0 && time.Duration(q.Output)*e.TokenTime() > e.spec.MaxGap {
 		return 1
 	}
@@ -74,35 +79,39 @@
 // candidate is one way to prefill a prompt, with its estimated times and cost.
 type candidate struct {
 	target *fleet.Target
-	work   Work
+	// work is the work that the request would be at the target.
+	work Work
 	// cached is the number of the prompt's tokens that the target has cached.
 	cached int
 	// prefillWait is the time of the prefills that the target has pending before this one.
 	prefillWait time.Duration
-	// running is the number of requests that the target runs.
+	// running is the number of requests that the target runs already.
 	running int
-	// expected is the time until the answer begins. It includes ownPrefill, the prefill of this
-	// prompt, seatWait, the wait for a seat, and overhead, what the target takes besides
-	// prefilling.
-	expected   time.Duration
+	// expected is the time until the answer begins. It includes prefillWait and the three times
+	// that follow.
+	expected time.Duration
+	// ownPrefill is the time of the prefill of this prompt.
 	ownPrefill time.Duration
-	seatWait   time.Duration
-	overhead   time.Duration
-	cost       time.Duration
+	// seatWait is the time that the request waits for a seat.
+	seatWait time.Duration
+	// overhead is the time that the request takes at the target besides waiting and prefilling.
+	overhead time.Duration
+	// cost is what candidates are compared by.
+	cost time.Duration
 }
 
 // evaluate estimates the times and the cost of prefilling the prompt of req at t. It returns false
-// if t must not prefill it. The caller holds p.mu.
+// if t must not prefill the prompt. The caller holds p.mu.
 func (p *Placer) evaluate(t *fleet.Target, req prefillRequest) (candidate, bool) {
-	s, load, model, q := p.stateOf(t), p.totalWork(t.RunID()), req.model, req.prompt
-	c := candidate{target: t, work: Work{Prefills: 1, Tokens: q.Tokens}, prefillWait: load.prefillWait(), running: load.Running, overhead: model.OverheadTime()}
-	if !model.off.Cache {
-		c.cached = s.cache.cachedTokens(q, cacheShare*float64(model.spec.KVTokens-load.Tokens))
+	s, load, est, q := p.stateOf(t), p.totalWork(t.RunID()), req.est, req.prompt
+	c := candidate{target: t, work: Work{Prefills: 1, Tokens: q.Tokens}, prefillWait: load.prefillWait(), running: load.Running, overhead: est.OverheadTime()}
+	if !est.off.Cache {
+		c.cached = s.cache.cachedTokens(q, cacheShare*float64(est.spec.KVTokens-load.Tokens))
 	}
 	var extra seat
 	var ok bool
 	if t.Stage == fleet.Prefill {
-		extra, ok = p.evaluatePrefill(&c, req)
+		extra, ok = p.evaluateSeparate(&c, req)
 	} else {
 		extra, ok = c.evaluateInPlace(t, s, load, req)
 	}
@@ -116,58 +125,63 @@
 		c.seatWait = req.decodeSeat.wait
 	}
 	c.expected = prefill + c.overhead + extra.wait + p.remotePenalty(t)
-	cost := prefill + time.Duration(model.workCost()*float64(c.work.Prefill)) + extra.cost + p.remotePenalty(t)
+	cost := prefill + time.Duration(est.workCost()*float64(c.work.Prefill)) + extra.cost + p.remotePenalty(t)
 	c.cost = time.Duration(float64(cost)*s.expectedTries(req.now)) + p.healthPenalty(s, req.now)
 	return c, true
 }
 
-// evaluatePrefill estimates a prefill at a prefill engine and the hand-off to a decode engine. It
-// returns false if the hand-off takes more time than it saves. The caller holds p.mu.
-func (p *Placer) evaluatePrefill(c *candidate, req prefillRequest) (seat, bool) {
-	model, q := req.model, req.prompt
-	c.work.Prefill = model.PrefillTime(q.Tokens, c.cached)
-	handOff := model.OverheadTime() + model.HandoffTime(q.Tokens) + p.linkTime(q)
-	if c.work.Prefill < time.Duration(minHandOffShare*float64(handOff)) {
+// evaluateSeparate estimates a prefill at a prefill engine and the handoff to a decode engine. It
+// sets the prefill time in c.work and returns the seat at the decode engine, with the time of the
+// handoff added to its wait and cost. It returns false if the handoff takes more time than it
+// saves. The caller holds p.mu.
+func (p *Placer) evaluateSeparate(c *candidate, req prefillRequest) (seat, bool) {
+	est, q := req.est, req.prompt
+	c.work.Prefill = est.PrefillTime(q.Tokens, c.cached)
+	handoff := est.OverheadTime() + est.HandoffTime(q.Tokens) + p.linkTime(q)
+	if c.work.Prefill < time.Duration(minHandoffShare*float64(handoff)) {
 		return seat{}, false
 	}
-	return seat{wait: req.decodeSeat.wait + handOff, cost: req.decodeSeat.cost + handOff}, true
+	return seat{wait: req.decodeSeat.wait + handoff, cost: req.decodeSeat.cost + handoff}, true
 }
 
-// evaluateInPlace estimates a prefill at the decode engine that then runs the request. It returns
-// false if streams there would be delayed too long.
+// evaluateInPlace estimates a prefill at the decode engine t, which then runs the request. load is
+// the work in progress there. It sets c.work and c.overhead and returns the seat at t, with the
+// other costs of the prefill added to its cost. It returns false if the streams at t would be
+// delayed for too long.
 func (c *candidate) evaluateInPlace(t *fleet.Target, s *state, load Work, req prefillRequest) (seat, bool) {
-	model, q := req.model, req.prompt
-	c.work.Prefill = model.InPlacePrefillTime(q.Tokens, c.cached)
-	c.work.Running, c.work.Streams = 1, model.longStreams(q)
+	est, q := req.est, req.prompt
+	c.work.Prefill = est.InPlacePrefillTime(q.Tokens, c.cached)
+	c.work.Running, c.work.Streams = 1, est.longStreams(q)
 	c.work.Tokens += q.Output / 2
-	if req.keepMaxGap && !(model.keepsMaxGap(load, c.work.Prefill) && model.leavesStepTime(s, load, c.work.Prefill, req.now)) {
+	if req.keepMaxGap && !(est.keepsMaxGap(load, c.work.Prefill) && est.leavesStepTime(s, load, c.work.Prefill, req.now)) {
 		return seat{}, false
 	}
-	c.overhead += model.HandoffTime(0)
-	extra := model.seat(t, s, load, req.now)
-	extra.cost += model.HandoffTime(0) + model.interferenceCost(load, c.work)
+	c.overhead += est.HandoffTime(0)
+	extra := est.seat(t, s, load, req.now)
+	extra.cost += est.HandoffTime(0) + est.interferenceCost(load, c.work)
 	return extra, true
 }
 
-// workCost returns the weight of a prefill's work.
-func (e engineModel) workCost() float64 {
+// workCost returns the weight of the time that a prefill occupies its target.
+func (e estimates) workCost() float64 {
 	if e.off.Stay {
 		return 1
 	}
 	return prefillWorkCost
 }
 
-// keepsMaxGap reports whether a decode target can prefill a prompt that takes this long beside its
-// streams without exceeding their maximum gap. Each chunk of a prompt is processed between two of
-// their tokens.
-func (e engineModel) keepsMaxGap(load Work, prefill time.Duration) bool {
+// keepsMaxGap reports whether a decode target whose work is load can prefill one more prompt
+// without exceeding the maximum gap of its streams. prefill is the time for the prompt. The target
+// prefills a prompt in chunks, each between two decode steps.
+func (e estimates) keepsMaxGap(load Work, prefill time.Duration) bool {
 	budget := e.gapBudget()
 	return load.Streams == 0 || load.Prefill+prefill <= budget || prefill <= time.Duration(smallPromptShare*float64(budget))
 }
 
-// interferenceCost returns the cost that keeps streams and prefills in place apart: streams gather
-// at a few targets, and prompts go to the others.
-func (e engineModel) interferenceCost(load, added Work) time.Duration {
+// interferenceCost returns the cost of running streams and prefills in place at the same target.
+// load is the work there, and added that of the request. Because of this cost, streams gather at a
+// few targets, and prompts are prefilled at the others.
+func (e estimates) interferenceCost(load, added Work) time.Duration {
 	budget := e.gapBudget()
 	small := added.Prefill <= time.Duration(smallPromptShare*float64(budget))
 	var cost time.Duration
@@ -184,9 +198,9 @@
 	return cost
 }
 
-// fillShare returns how far the running requests fill a decode target, by seats or by memory. It
-// exceeds 1 if the target is overloaded.
-func (e engineModel) fillShare(t *fleet.Target, s *state, load Work) float64 {
+// fillShare returns the fraction of a decode target that the running requests fill: of its seats or
+// of its KV cache, whichever is larger. It exceeds 1 if the target is overloaded.
+func (e estimates) fillShare(t *fleet.Target, s *state, load Work) float64 {
 	seats := float64(load.Running) / float64(e.seatsForLongest(t, s))
 	memory := float64(load.Tokens) / float64(max(e.spec.KVTokens, 1))
 	return max(seats, memory)
