--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -9,6 +9,7 @@
 	"garnethoist.org/garnethoist/internal/fair"
 )
 
+// A request is classified by its size among the requests of its own route only.
 func TestSizesAreComparedWithinTheirRoute(t *testing.T) {
 	is := is.New(t)
 	s := &fair.Sizes{}
@@ -22,6 +23,8 @@
 	is.Equal(s.Classify("short", 99, 20), fair.Size{Prompt: fair.LargestTenth, Answer: fair.LargestTenth})
 }
 
+// While a route has few recent requests to compare with, most requests are still classified as
+// Rest.
 func TestFirstRequestsOfARouteAreNotAllClassifiedAsLarge(t *testing.T) {
 	is := is.New(t)
 	s := &fair.Sizes{}
@@ -33,8 +36,8 @@
 	is.True(count[fair.Rest] > 128)
 }
 
-// countRequests counts requests of which the largest tenth by prompt is admitted with one
-// probability and the others with another.
+// countRequests classifies and counts requests of random sizes. Those with a prompt in LargestTenth
+// are admitted with the probability largest, and the other ones with the probability others.
 func countRequests(s *fair.Sizes, requests int, largest, others float64) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for range requests {
@@ -47,6 +50,8 @@
 	}
 }
 
+// The largest prompts are favored to the degree to which they are admitted less often than others,
+// and only in their own route.
 func TestSizesAdmittedLessOftenAreFavored(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -54,7 +59,7 @@
 		most, least     float64
 	}{
 		{"all are admitted", 1, 1, 0, 0},
-		{"alike", 0.5, 0.5, 0.2, 0},
+		{"all are admitted equally often", 0.5, 0.5, 0.2, 0},
 		{"the largest are admitted half as often", 0.2, 0.5, 1, 0.7},
 		{"the largest are never admitted", 0, 0.5, 1, 1},
 		{"the largest are admitted more often", 0.9, 0.5, 0, 0},
@@ -71,8 +76,8 @@
 	}
 }
 
-// A caller that is refused and comes back counts as one request that was admitted, not as two
-// requests of which one was.
+// A caller that is refused at first and then admitted counts as one request that was admitted, and
+// not as two requests of which one was admitted.
 func TestCallersThatComeBackCountOnce(t *testing.T) {
 	is := is.New(t)
 	s := &fair.Sizes{}
