--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,14 +1,16 @@
-// Package retry bounds retries to a share of the requests, so that they do not add much load to
-// targets that fail.
+// Package retry limits retries to a fraction of the requests, so that they do not add much load to
+// targets that fail. A Budget is a token bucket. A Window enforces its limit over every period of a
+// given length.
 package retry
 
 import "sync"
 
-// Budget is a token bucket that allows retries for at most a share of the requests. It is safe for
+// Budget is a token bucket that allows retries for a fraction of the requests. It is safe for
 // concurrent use.
 type Budget struct {
 	mu sync.Mutex
-	// tokens grows by ratio with each request, up to maxTokens. A retry takes one.
+	// tokens is the number of retries that may be made now. It grows by ratio with each request, up
+	// to maxTokens, and a retry takes one token.
 	tokens    float64
 	ratio     float64
 	maxTokens float64
@@ -25,14 +27,15 @@
 	return &Budget{tokens: burst, ratio: ratio, maxTokens: burst}
 }
 
-// Request counts the first try of a request.
+// Request counts the first try of a request, which adds ratio retries to the budget.
 func (b *Budget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.ratio, b.maxTokens)
 }
 
-// Retry takes one retry from the budget. It returns false if the budget is used up.
+// Retry takes one retry from the budget. It returns false, and takes nothing, if there is none
+// left.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retry/count.go
+++ b/internal/retry/count.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// buckets is the number of time buckets by which the events of a span are counted. The counted time
-// is at most one bucket shorter than the span and never longer.
+// buckets is the number of time buckets by which the events of a span are counted. The time that is
+// counted is never longer than the span, and shorter by one bucket at most.
 const buckets = 32
 
-// spanCount counts the events of the most recent span in constant memory, at any rate.
+// spanCount counts the events of the most recent time span, in constant memory whatever the rate of
+// the events.
 type spanCount struct {
 	// bucket is the length of one bucket.
 	bucket time.Duration
-	// counts is a ring with the number of events in each bucket. Buckets are numbered from time 0,
-	// and newest is the one being filled.
+	// counts is a ring buffer with the number of events in each bucket. Buckets are numbered from
+	// time 0 on, and newest is the number of the one being filled.
 	counts [buckets]int
 	newest int64
-	sum    int
+	// sum is the sum of counts.
+	sum int
 }
 
 // newSpanCount returns a counter for the given span.
@@ -33,7 +35,7 @@
 	return c.sum
 }
 
-// expire drops the buckets that have left the span.
+// expire makes the bucket of now the newest one, and clears those that have left the span.
 func (c *spanCount) expire(now time.Duration) {
 	newest := max(int64(now/c.bucket), c.newest)
 	for n := max(c.newest+1, newest-buckets+1); n <= newest; n++ {
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -11,9 +11,10 @@
 	"garnethoist.org/garnethoist/internal/retry"
 )
 
-// bound is the bound that these tests check.
+// bound is the bound on retries that these tests check.
 var bound = retry.WindowConfig{Ratio: 0.2, Slack: 5, Span: 10 * time.Second}
 
+// A new window allows Slack retries without any request, and an emptied one allows none.
 func TestSlackIsAvailableFromTheStart(t *testing.T) {
 	is := is.New(t)
 	w := retry.NewWindow(bound)
@@ -26,7 +27,7 @@
 	is.True(!w.Retry(0))
 }
 
-// After steady traffic, more retries than the slack are available for a burst of failures.
+// After steady traffic, more retries than Slack are available at once for a burst of failures.
 func TestTrafficSavesRetriesForABurst(t *testing.T) {
 	is := is.New(t)
 	w := retry.NewWindow(bound)
@@ -42,8 +43,8 @@
 	is.True(n > 20 && n <= 30)
 }
 
-// Whatever the pattern of requests, no span has more retries than the bound allows. The requests of
-// the span, of the span before it, or of the halves of both count.
+// Whatever the pattern of requests, no span has more retries than the bound allows. The bound is
+// taken for the largest of three numbers of requests (see findExcess).
 func TestNoSpanIsOverTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var phases []phase
@@ -58,9 +59,10 @@
 	})
 }
 
-// A decaying count of requests kept a burst for longer than the span after it: 17 retries came in a
-// span of 54 requests, where 15.8 are allowed and the check adds 1. These phases were found by the
-// test above (rapid seed 6034037910942258090).
+// Guards against counting requests for longer than a span. With an exponentially decaying count, a
+// burst still counted after that time: there were 17 retries in a span of 54 requests, where 15.8
+// are allowed and the check adds 1. TestNoSpanIsOverTheBound found these phases (rapid seed
+// 6034037910942258090).
 func TestBurstIsForgottenAfterTheSpan(t *testing.T) {
 	excess := simulate([]phase{
 		{gap: time.Millisecond, requests: 47},
@@ -102,14 +104,16 @@
 	})
 }
 
-// phase is a series of requests at a fixed gap, each of which asks for retriesPerRequest retries.
+// phase is a series of requests with a fixed time between them, gap. Each of them asks for
+// retriesPerRequest retries.
 type phase struct {
 	gap               time.Duration
 	retriesPerRequest int
 	requests          int
 }
 
-// simulate runs the phases and describes a span that exceeds the bound, or returns "".
+// simulate runs the phases one after the other. It returns a description of a span in which the
+// retries exceed the bound, or "" if there is none.
 func simulate(phases []phase) string {
 	w := retry.NewWindow(bound)
 	var requests, retries []time.Duration
@@ -129,7 +133,9 @@
 	return findExcess(requests, retries)
 }
 
-// findExcess describes a span in which the retries exceed the bound, or returns "".
+// findExcess returns a description of a span in which the retries exceed the bound by more than 1,
+// or "" if there is none. The bound is taken for the requests of that span, of the span before it,
+// or of the last half of the one and the first half of the other, whichever are most.
 func findExcess(requests, retries []time.Duration) string {
 	for _, from := range retries {
 		extra := count(retries, from, from+bound.Span)
@@ -141,7 +147,7 @@
 	return ""
 }
 
-// count returns how many of the times are in [from, to).
+// count returns how many of the times in at are in [from, to).
 func count(at []time.Duration, from, to time.Duration) int {
 	n := 0
 	for _, t := range at {
