--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -1,8 +1,8 @@
-// Package silence sets the timeouts after which a TCP connection to an unresponsive peer counts as
-// lost. Without them the kernel waits for minutes, and a program that reads from the connection
-// does too.
+// Package silence sets the timeouts after which a TCP connection to a silent peer counts as lost,
+// which is one whose kernel no longer acknowledges anything. Without these timeouts the kernel
+// waits for minutes, and so does a program that reads from the connection.
 //
-// The timeouts apply to the kernel of the peer and not to its program: a program that takes long to
+// It is the peer's kernel that has to respond and not its program: a program that takes long to
 // answer does not lose its connections.
 package silence
 
@@ -16,18 +16,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// KeepAlive configures keep-alive probes on a connection that has been idle for a second, the shortest
-// time that the kernel supports. Together with a limit on unacknowledged data, the second probe
-// ends the connection two seconds after the peer became silent. This is before interactive callers
-// give up a stream, which they do after two seconds at the earliest.
+// KeepAlive configures keep-alive probes on a connection that has been idle for a second, the
+// shortest time that the kernel supports. If a limit on unacknowledged data is set too, the second
+// probe closes the connection two seconds after the peer became silent. This is before interactive
+// callers give up a stream, which they do after two seconds at the earliest.
 var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 1}
 
-// acceptedProbeCount is the number of unanswered probes after which an accepted connection ends.
+// acceptedProbeCount is the number of unanswered probes after which an accepted connection is
+// closed.
 const acceptedProbeCount = 3
 
-// Listen listens on a TCP address. An accepted connection ends once its peer has not answered for
-// timeout, during which it is probed, or once data written to it has been unacknowledged for that
-// long.
+// Listen listens on a TCP address. An accepted connection is closed with an error once its peer has
+// been silent for timeout: it has answered none of acceptedProbeCount probes, or has not
+// acknowledged data that was written to the connection.
 func Listen(ctx context.Context, address string, timeout time.Duration) (net.Listener, error) {
 	lc := net.ListenConfig{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: timeout / acceptedProbeCount, Interval: timeout / acceptedProbeCount, Count: acceptedProbeCount},
@@ -37,8 +38,9 @@
 	return lc.Listen(ctx, "tcp", address)
 }
 
-// SetUnackedTimeout limits how long data written to c may remain unacknowledged, and how long the peer may
-// keep its receive window closed. It has no effect on connections other than TCP.
+// SetUnackedTimeout sets the time d for which data written to c may remain unacknowledged, or the
+// peer may keep its receive window closed, before the connection is closed with an error. It has no
+// effect on connections other than TCP.
 func SetUnackedTimeout(c net.Conn, d time.Duration) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -51,8 +53,8 @@
 	return setUserTimeout(raw, d)
 }
 
-// Dialer returns a dialer whose connections are probed and have a limit on the time that data stays
-// unacknowledged. timeout limits the time to connect.
+// Dialer returns a dialer whose connections are probed as KeepAlive configures. timeout limits the
+// time to connect, and unacked the time for which written data may remain unacknowledged.
 func Dialer(timeout, unacked time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout, KeepAliveConfig: KeepAlive,
@@ -60,7 +62,8 @@
 	}
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT on a socket, in milliseconds.
+// setUserTimeout sets the option TCP_USER_TIMEOUT of a socket to d, which is rounded down to
+// milliseconds.
 func setUserTimeout(raw syscall.RawConn, d time.Duration) error {
 	var setErr error
 	err := raw.Control(func(fd uintptr) {
--- a/internal/silence/silence_test.go
+++ b/internal/silence/silence_test.go
@@ -15,9 +15,10 @@
 )
 
 const (
+	// timeout is the timeout of the listener in these tests.
 	timeout = time.Second
-	// maxDetection is the time within which a silent connection must have ended, with a probe each
-	// second.
+	// maxDetection is the time within which a connection must have failed after its peer became
+	// silent, with a probe each second.
 	maxDetection = timeout + 2500*time.Millisecond
 )
 
@@ -38,8 +39,8 @@
 	c, err := l.Accept()
 	is.NoErr(err)
 	t.Cleanup(func() { c.Close() })
-	// A byte through the relay shows that it has both of its connections. It may not have the
-	// second one yet when that is accepted.
+	// The relay may not hold both of its connections yet when the second one is accepted. A byte
+	// that has passed through it shows that it does.
 	_, err = peer.Write([]byte("x"))
 	is.NoErr(err)
 	_, err = c.Read(make([]byte, 1))
@@ -47,7 +48,8 @@
 	return c, peer, r
 }
 
-// waitForError calls f until it fails and returns the time that this took and the error.
+// waitForError calls f until it returns an error, and returns the time that this took and the
+// error.
 func waitForError(t *testing.T, f func() error) (time.Duration, error) {
 	t.Helper()
 	began := time.Now()
@@ -60,6 +62,7 @@
 	return 0, nil
 }
 
+// Reading from and writing to an accepted connection fails soon after its peer has become silent.
 func TestSilentConnectionEnds(t *testing.T) {
 	for name, use := range map[string]func(net.Conn) error{
 		"reading": func(c net.Conn) error { _, err := c.Read(make([]byte, 1)); return err },
