--- a/internal/place/cache.go
+++ b/internal/place/cache.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Use records that a VM sent a request to a target or, if Failed is set, that a request which it
-// sent there before has failed. VMs report these records to each other.
+// Use records that a VM sent a request to a target or, if Failed is set, that a request of
+// the VM to the target has failed. VMs report these records to each other.
 type Use struct {
 	// Target is the id of the target's run.
 	Target string
--- a/internal/place/pick.go
+++ b/internal/place/pick.go
@@ -235,7 +235,7 @@
 		if t.Stage == fleet.Prefill || !p.usable(t, tried) {
 			continue
 		}
-		s := est.seat(t, p.stateOf(t), p.totalWork(t.RunID()), now)
+		s := est.seatAt(t, p.stateOf(t), p.totalWork(t.RunID()), now)
 		s.cost += p.remotePenalty(t) + p.healthPenalty(p.stateOf(t), now) + p.jitter()
 		if near != "" && t.DataCentre != near {
 			s.cost += p.cfg.RemotePenalty
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -3,11 +3,12 @@
 // has cached, and compares the cost of the ways to serve a request. A cost is a duration: the
 // expected wait plus penalties. The package reads no clock and opens no connections of its own.
 //
-// A model engine is in one of two stages. A prefill target computes the KV cache of a prompt and
-// hands the request off to a decode target, which generates the answer. A decode target can also
-// prefill a prompt itself, in place. It runs all of its requests as one batch and generates one
-// token of each answer per decode step, so that steps take longer in larger batches and while the
-// target prefills. Plain requests go to targets that are not model engines.
+// A model engine, or engine, is a target that serves a language model. It is in one of two stages.
+// A prefill target computes the KV cache of a prompt and hands the request off to a decode target,
+// which generates the answer. A decode target can also prefill a prompt itself, in place. It runs
+// all of its requests as one batch and generates one token of each answer per decode step, so that
+// steps take longer in larger batches and while the target prefills. Plain requests go to targets
+// that are not model engines.
 //
 // These terms are used throughout the package:
 //   - Answers are sent as events, which hold one or more tokens each. The gap is the time between
@@ -306,7 +307,7 @@
 		return 0
 	}
 	est := p.estimatesFor(targets, spec)
-	est.maxStep = p.stepLimit(targets[0].Service).current(now)
+	est.maxStep = p.stepLimitOf(targets[0].Service).current(now)
 	sum := 0.0
 	for _, t := range targets {
 		if t.Stage != fleet.Prefill {
--- a/internal/place/seats.go
+++ b/internal/place/seats.go
@@ -6,8 +6,8 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// stepLimit is the longest decode step at which the longest answers of a service still end in time.
-// Answers for which no target is fast enough do not count.
+// stepLimit is the longest decode step at which the longest answers of a service still end in
+// time. Answers for which no target is fast enough do not count.
 type stepLimit struct {
 	// step is the limit, and at when it was last observed.
 	step time.Duration
@@ -57,8 +57,8 @@
 	return l.step
 }
 
-// stepLimit returns the step limit of a service. The caller holds p.mu.
-func (p *Placer) stepLimit(service string) *stepLimit {
+// stepLimitOf returns the step limit of a service. The caller holds p.mu.
+func (p *Placer) stepLimitOf(service string) *stepLimit {
 	l := p.stepLimits[service]
 	if l == nil {
 		l = &stepLimit{}
@@ -96,7 +96,7 @@
 	est.batch.maxStep = step
 	// A caller that comes back has less time left than at its first try. The step limit of the
 	// service is that of first tries.
-	limit := p.stepLimit(targets[0].Service)
+	limit := p.stepLimitOf(targets[0].Service)
 	limit.observe(time.Duration(answerTimeShare*float64(max(q.InitialLimit, q.Limit)))/time.Duration(longest), now)
 	est.maxStep = limit.current(now)
 	if !q.Deferred {
@@ -130,19 +130,19 @@
 // usableSlots returns the number of slots of t less the spare slots, at least 1.
 func usableSlots(t *fleet.Target) int { return max(t.Slots-spareSlots, 1) }
 
-// seats returns the number of seats at t for the request being placed. If it is not a stream, all
-// usable slots are seats.
-func (e estimates) seats(t *fleet.Target, s *state) int {
+// seatCount returns the number of seats at t for the request being placed. If it is not a stream,
+// all usable slots are seats.
+func (e estimates) seatCount(t *fleet.Target, s *state) int {
 	if !e.batch.stream {
 		return usableSlots(t)
 	}
-	return e.seatsForLongest(t, s)
+	return e.seatCountForLongest(t, s)
 }
 
-// seatsForLongest returns how many requests may run at t for the service's longest answers to end
-// in time there, but no fewer than minSeatsShare of the usable slots. A target that is too slow for
-// the longest answers may use all usable slots.
-func (e estimates) seatsForLongest(t *fleet.Target, s *state) int {
+// seatCountForLongest returns how many requests may run at t for the service's longest answers to
+// end in time there, but no fewer than minSeatsShare of the usable slots. A target that is too slow
+// for the longest answers may use all usable slots.
+func (e estimates) seatCountForLongest(t *fleet.Target, s *state) int {
 	open := float64(usableSlots(t))
 	if !e.fastEnough(s) {
 		return int(open)
@@ -157,7 +157,9 @@
 // leavesStepTime reports whether a decode target that runs streams may prefill a prompt in place:
 // all such prefills must fit into the fraction of its time that the steps of the longest answers do
 // not need. When only each single gap was limited, a burst of prompts made all steps longer for as
-// long as the burst lasted. load is the work at the target, and prefill the time for the prompt.
+// long as the burst lasted. Small prompts (see smallPromptShare) and targets that are not fast
+// enough for the longest answers are exempt. load is the work at the target, and prefill the time
+// for the prompt.
 func (e estimates) leavesStepTime(s *state, load Work, prefill time.Duration, now time.Time) bool {
 	if load.Streams == 0 || !e.fastEnough(s) || prefill <= time.Duration(smallPromptShare*float64(e.gapBudget())) {
 		return true
@@ -174,9 +176,9 @@
 	cost time.Duration
 }
 
-// seat estimates the seat of the request being placed at t, whose work in progress is load.
-func (e estimates) seat(t *fleet.Target, s *state, load Work, now time.Time) seat {
-	seats := e.seats(t, s)
+// seatAt estimates the seat of the request being placed at t, whose work in progress is load.
+func (e estimates) seatAt(t *fleet.Target, s *state, load Work, now time.Time) seat {
+	seats := e.seatCount(t, s)
 	run := float64(e.RunTime())
 	usedShare := float64(load.Running) / float64(seats)
 	st := seat{cost: time.Duration(usedShare*usedShare*fullBatchCost*run) + e.overrun(s, load, now)}
@@ -196,10 +198,10 @@
 }
 
 // overrun returns by how much a long answer would exceed its time limit at a target whose work in
-// progress is load. In general it considers the longest answer that the request itself may
-// have, so that long answers go where they end in time. At targets that are fast enough for the
-// service's longest answers it considers those, so that requests with shorter answers leave the
-// seats there to them and fill the slower targets first.
+// progress is load. In general it considers the longest answer that the request itself may have, so
+// that long answers go where they end in time. At targets that are fast enough for the service's
+// longest answers it considers these instead, so that requests with shorter answers leave the seats
+// there to them and fill the slower targets first.
 //
 // Load pattern: a burst of streams of all lengths on engines that differ in speed. If the streams
 // are distributed equally, long answers are lost at the slower engines, and at the faster ones too,
--- a/internal/place/ticket.go
+++ b/internal/place/ticket.go
@@ -43,8 +43,8 @@
 	overhead    time.Duration
 	// waitedForSeat is set if the target's batch was full when the target was chosen.
 	waitedForSeat bool
-	// span is the span of the answer whose step time is being measured. stepsObserved is set once
-	// the step time of one span was recorded.
+	// span holds the events of the answer whose step time is being measured. stepsObserved is set
+	// once the step time of one span was recorded.
 	span          span
 	stepsObserved bool
 	// began is when the target was chosen. The measured times count from it.
--- a/internal/place/weigh.go
+++ b/internal/place/weigh.go
@@ -53,7 +53,7 @@
 	if len(targets) > 0 {
 		service = targets[0].Service
 	}
-	return estimates{Profile: p.profile(service), spec: spec, off: p.cfg.Off, maxStep: p.stepLimit(service).step}
+	return estimates{Profile: p.profile(service), spec: spec, off: p.cfg.Off, maxStep: p.stepLimitOf(service).step}
 }
 
 // gapBudget returns for how long prompts may be prefilled between two events of a stream: the
@@ -157,7 +157,7 @@
 		return seat{}, false
 	}
 	c.overhead += est.HandoffTime(0)
-	extra := est.seat(t, s, load, req.now)
+	extra := est.seatAt(t, s, load, req.now)
 	extra.cost += est.HandoffTime(0) + est.interferenceCost(load, c.work)
 	return extra, true
 }
@@ -201,7 +201,7 @@
 // fillShare returns the fraction of a decode target that the running requests fill: of its seats or
 // of its KV cache, whichever is larger. It exceeds 1 if the target is overloaded.
 func (e estimates) fillShare(t *fleet.Target, s *state, load Work) float64 {
-	seats := float64(load.Running) / float64(e.seatsForLongest(t, s))
+	seats := float64(load.Running) / float64(e.seatCountForLongest(t, s))
 	memory := float64(load.Tokens) / float64(max(e.spec.KVTokens, 1))
 	return max(seats, memory)
 }
