--- a/cmd/garnet-soak/main.go
+++ b/cmd/garnet-soak/main.go
@@ -1,5 +1,5 @@
-// Command garnet-soak runs garnet-node processes on loopback before stand-ins,
-// deals them faults by a seed and checks the promises to callers and targets.
+// Command garnet-soak runs garnet-node processes on loopback against stand-ins, injects faults that
+// are derived from seeds, and checks the invariants that callers and targets rely on.
 package main
 
 import (
@@ -18,21 +18,21 @@
 )
 
 type options struct {
-	Seed    uint64        `long:"seed" description:"first seed; 0 draws one"`
-	Seeds   int           `long:"seeds" default:"1" description:"how many seeds are soaked, one after the other"`
-	Length  time.Duration `long:"length" default:"30s" description:"length of one soak"`
-	VMs     int           `long:"vms" default:"4" description:"garnet-node processes"`
-	Engines int           `long:"engines" default:"6" description:"model engines"`
-	Plains  int           `long:"plains" default:"3" description:"targets of the plain service"`
-	Callers int           `long:"callers" default:"16" description:"callers that ask one after the other"`
-	Bin     string        `long:"bin" default:"bin" description:"folder of the programs"`
-	Out     string        `long:"out" default:"soak" description:"folder for logs and reports, one below it for each seed"`
+	Seed    uint64        `long:"seed" description:"first seed; 0 chooses one at random"`
+	Seeds   int           `long:"seeds" default:"1" description:"number of seeds to run, one after the other"`
+	Length  time.Duration `long:"length" default:"30s" description:"length of the run of each seed"`
+	VMs     int           `long:"vms" default:"4" description:"number of garnet-node processes"`
+	Engines int           `long:"engines" default:"6" description:"number of model engines"`
+	Plains  int           `long:"plains" default:"3" description:"number of targets of the plain service"`
+	Callers int           `long:"callers" default:"16" description:"number of concurrent callers"`
+	Bin     string        `long:"bin" default:"bin" description:"directory of the programs"`
+	Out     string        `long:"out" default:"soak" description:"directory for logs and reports, with a subdirectory for each seed"`
 }
 
-// Exit codes: a promise was broken, or the soak could not be run.
+// The exit codes: an invariant was violated, or the run failed.
 const (
-	exitBroken = 1
-	exitError  = 2
+	exitViolated = 1
+	exitError    = 2
 )
 
 func main() {
@@ -43,7 +43,7 @@
 	if o.Seed == 0 {
 		o.Seed = uint64(rand.Uint32())
 	}
-	// A program in a folder named without a slash would be looked for on the path.
+	// exec looks up a relative path without a slash in PATH, so the path is made absolute.
 	bin, err := filepath.Abs(o.Bin)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "garnet-soak:", err)
@@ -51,28 +51,28 @@
 	}
 	o.Bin = bin
 	ports := proc.NewPorts()
-	broken := 0
+	violations := 0
 	for i := range o.Seeds {
 		n, err := run(o, o.Seed+uint64(i), ports)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "garnet-soak:", err)
 			os.Exit(exitError)
 		}
-		broken += n
+		violations += n
 	}
-	if broken > 0 {
-		os.Exit(exitBroken)
+	if violations > 0 {
+		os.Exit(exitViolated)
 	}
 }
 
-// run soaks one seed and returns how many promises were broken.
+// run performs the run of one seed and returns the number of violations.
 func run(o options, seed uint64, ports *proc.Ports) (int, error) {
 	dir := filepath.Join(o.Out, fmt.Sprint(seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return 0, errors.Wrap(err, "make folder")
+		return 0, errors.Wrap(err, "create directory")
 	}
 	r, err := soak.Run(context.Background(), soak.Config{
-		Seed: seed, Length: o.Length, VMs: o.VMs, Engines: o.Engines, Plains: o.Plains, Callers: o.Callers,
+		Seed: seed, Length: o.Length, VMs: o.VMs, Engines: o.Engines, PlainTargets: o.Plains, Callers: o.Callers,
 		Bin: o.Bin, Dir: dir, Ports: ports,
 	})
 	if err != nil {
@@ -83,7 +83,7 @@
 	}
 	svg, err := os.Create(filepath.Join(dir, "timeline.svg"))
 	if err != nil {
-		return 0, errors.Wrap(err, "make timeline")
+		return 0, errors.Wrap(err, "create timeline")
 	}
 	defer svg.Close()
 	return len(r.Violations), r.WriteTimeline(svg)
--- a/internal/soak/accounts.go
+++ b/internal/soak/accounts.go
@@ -11,125 +11,133 @@
 )
 
 const (
-	// accounts is how many client accounts there are, each with keysEach keys at first.
-	accounts = 4
-	keysEach = 3
-	// revokeBound is within what time a removed key serves no request any more.
+	// accountCount is the number of client accounts. Each starts with keysPerAccount keys.
+	accountCount   = 4
+	keysPerAccount = 3
+	// revokeBound is the time after which a revoked key must no longer serve any request.
 	revokeBound = 3 * time.Second
-	// usageWindow is the length of the windows in which usage is reported, and usageLate how
-	// long after a window's end its report is due.
-	usageWindow = time.Second
-	usageLate   = 10 * time.Second
-	// cloudCallsPerS bounds the calls of all VMs for the duties.
+	// usageWindow is the length of a usage window. Its report is due usageReportDelay after its
+	// end.
+	usageWindow      = time.Second
+	usageReportDelay = 10 * time.Second
+	// cloudCallsPerS limits the calls per second that all VMs together make for the platform
+	// duties.
 	cloudCallsPerS = 50
 )
 
-// keyring is the client accounts' keys.
+// keyring holds the keys of the client accounts. It is safe for concurrent use.
 type keyring struct {
 	mu sync.Mutex
-	// held holds the keys in force by account, and removed those that were, the newest last.
-	held    [accounts][]string
-	removed []string
-	made    int
+	// active holds the keys in force by account, and revoked the revoked keys of all accounts, the
+	// newest last. issued counts the keys made so far.
+	active  [accountCount][]string
+	revoked []string
+	issued  int
 }
 
+// newKeyring returns a keyring with keysPerAccount new keys for each account.
 func newKeyring() *keyring {
 	k := &keyring{}
-	for i := range k.held {
-		for range keysEach {
-			k.held[i] = append(k.held[i], k.next(i))
+	for i := range k.active {
+		for range keysPerAccount {
+			k.active[i] = append(k.active[i], k.newKey(i))
 		}
 	}
 	return k
 }
 
-// next returns a key that was never used; the caller holds k.mu, or is the only one.
-func (k *keyring) next(account int) string {
-	k.made++
-	return fmt.Sprintf("key-%d-%d", account, k.made)
+// newKey returns a key that was never used before. The caller must hold k.mu or be the only user of
+// k.
+func (k *keyring) newKey(account int) string {
+	k.issued++
+	return fmt.Sprintf("key-%d-%d", account, k.issued)
 }
 
 func accountName(i int) string { return fmt.Sprintf("account-%d", i) }
 
-// inForce returns the keys by account.
-func (k *keyring) inForce() map[string][]string {
+// activeKeys returns a copy of the keys in force by account name.
+func (k *keyring) activeKeys() map[string][]string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	out := make(map[string][]string, accounts)
-	for i, keys := range k.held {
+	out := make(map[string][]string, accountCount)
+	for i, keys := range k.active {
 		out[accountName(i)] = append([]string(nil), keys...)
 	}
 	return out
 }
 
-// removedEvery is of how many requests one bears the key that was removed last.
-const removedEvery = 3
+// One request in revokedKeyEvery carries the most recently revoked key, if there is one.
+const revokedKeyEvery = 3
 
-// draw returns an account and one of its keys, or the key that was removed last and no account.
-func (k *keyring) draw() (account, key string) {
+// drawKey returns a random account and one of its keys, or the most recently revoked key and no
+// account.
+func (k *keyring) drawKey() (account, key string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if n := len(k.removed); n > 0 && rand.IntN(removedEvery) == 0 {
-		return "", k.removed[n-1]
+	if n := len(k.revoked); n > 0 && rand.IntN(revokedKeyEvery) == 0 {
+		return "", k.revoked[n-1]
 	}
-	i := rand.IntN(accounts)
-	return accountName(i), k.held[i][rand.IntN(len(k.held[i]))]
+	i := rand.IntN(accountCount)
+	return accountName(i), k.active[i][rand.IntN(len(k.active[i]))]
 }
 
-// turn takes an account's oldest key away and gives it a new one.
-func (k *keyring) turn(account int) (removed string) {
+// rotate revokes an account's oldest key, gives the account a new one and returns the old key.
+func (k *keyring) rotate(account int) (removed string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	i := account % accounts
-	removed = k.held[i][0]
-	k.held[i] = append(k.held[i][1:], k.next(i))
+	i := account % accountCount
+	removed = k.active[i][0]
+	k.active[i] = append(k.active[i][1:], k.newKey(i))
 	return removed
 }
 
-// revoke removes a key by a new version of the configuration.
-func (w *world) revoke(account int) {
-	if w.keys == nil {
+// revokeKey revokes a key by writing a new configuration version. account is taken modulo the
+// number of accounts.
+func (h *harness) revokeKey(account int) {
+	if h.keys == nil {
 		return
 	}
-	key := w.keys.turn(account)
-	w.change()
-	w.keys.mu.Lock()
-	w.keys.removed = append(w.keys.removed, key)
-	w.keys.mu.Unlock()
-	w.check.Revoked(key, w.now())
+	key := h.keys.rotate(account)
+	h.changeConfig()
+	h.keys.mu.Lock()
+	h.keys.revoked = append(h.keys.revoked, key)
+	h.keys.mu.Unlock()
+	h.check.KeyRevoked(key, h.now())
 }
 
-// addAccounts gives a VM's settings what accounts and duties need.
-func (w *world) addAccounts(cfg *settings.Node) {
-	if w.keys == nil {
+// configureAccounts adds the settings that client accounts and platform duties need.
+func (h *harness) configureAccounts(cfg *settings.Node) {
+	if h.keys == nil {
 		return
 	}
 	cfg.RevokeBound, cfg.UsageWindow = settings.Duration(revokeBound), settings.Duration(usageWindow)
-	cfg.Cloud = settings.Cloud{Address: w.cloud.Address(), CallsPerS: cloudCallsPerS, Duties: []string{settings.DutyUsage}}
+	cfg.Cloud = settings.Cloud{Address: h.cloud.Address(), CallsPerS: cloudCallsPerS,
+		Duties: []string{settings.DutyUsage}}
 }
 
-// inspect has the checker see what a target is told of a request's account.
-func (w *world) inspect(e *platformtest.Engine) {
-	if w.keys == nil {
+// inspectAccounts has the checker inspect the key and account that a target receives with each
+// request.
+func (h *harness) inspectAccounts(e *platformtest.Engine) {
+	if h.keys == nil {
 		return
 	}
-	e.Inspect(func(id, key, account string) { w.check.Told(id, key, account, w.now()) })
+	e.Inspect(func(id, key, account string) { h.check.CheckAccount(id, key, account, h.now()) })
 }
 
-// checkDuties checks what the platform saw of the duties, and that the windows which are due
-// were reported.
-func (w *world) checkDuties() {
-	if w.keys == nil {
+// checkDuties checks the calls that the platform received for the duties, and that every usage
+// window whose report is due was reported.
+func (h *harness) checkDuties() {
+	if h.keys == nil {
 		return
 	}
-	for _, what := range w.cloud.Violations() {
-		w.check.Duty(false, what, w.now())
+	for _, what := range h.cloud.Violations() {
+		h.check.CheckDuty(false, what, h.now())
 	}
-	reports := w.cloud.Reports()
-	w.check.Duty(len(reports) > 0, "no window was reported", w.now())
-	last := time.Now().Add(-usageLate).Unix()
-	for window := w.served.Unix(); window < last; window++ {
+	reports := h.cloud.Reports()
+	h.check.CheckDuty(len(reports) > 0, "no window was reported", h.now())
+	last := time.Now().Add(-usageReportDelay).Unix()
+	for window := h.readyAt.Unix(); window < last; window++ {
 		_, ok := reports[window]
-		w.check.Duty(ok, fmt.Sprintf("window %d was not reported", window), w.now())
+		h.check.CheckDuty(ok, fmt.Sprintf("window %d was not reported", window), h.now())
 	}
 }
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -17,78 +17,81 @@
 )
 
 const (
-	// callTimeout is how long a caller waits; the routes allow as much.
+	// callTimeout is how long a caller waits for an answer. The routes allow the same time.
 	callTimeout = 2 * time.Second
 	dialTimeout = 500 * time.Millisecond
 	askTimeout  = 500 * time.Millisecond
-	// perConnection is how many requests a caller sends on one connection.
-	perConnection = 12
-	// think is a caller's mean pause between requests.
-	think = 20 * time.Millisecond
-	// balancerPoll is how often the balancer asks, and missesOut the misses
-	// after which it sends no new connections.
-	balancerPoll = 250 * time.Millisecond
-	missesOut    = 2
-	// probeEvery is how often each VM is asked which version is in force.
-	probeEvery = 150 * time.Millisecond
-	// longPrompt and shortPrompt are prompts' lengths in tokens.
+	// requestsPerConnection is the number of requests that a caller sends on one connection.
+	requestsPerConnection = 12
+	// thinkTime is a caller's mean pause between requests.
+	thinkTime = 20 * time.Millisecond
+	// balancerPoll is the interval of the load balancer's readiness checks. After failedPollLimit
+	// failed checks in a row it sends a VM no new connections.
+	balancerPoll    = 250 * time.Millisecond
+	failedPollLimit = 2
+	// probeInterval is how often each VM is asked which configuration version is in force.
+	probeInterval = 150 * time.Millisecond
+	// longPrompt and shortPrompt are lengths of prompts in tokens.
 	longPrompt  = 9000
 	shortPrompt = 200
-	// popularEvery is of how many requests of a kind one has the same body as others.
-	popularEvery = 4
+	// One request in sharedBodyEvery has the same body as others of its kind.
+	sharedBodyEvery = 4
 )
 
-// soundBody returns the body of a request that is not deadly: its own, or one that many callers
-// send alike.
-func soundBody(id string) string {
-	if xxhash.Sum64String(id)%popularEvery == 0 {
+// requestBody returns the body of a request that crashes no target: one of its own, or one that
+// many requests share.
+func requestBody(id string) string {
+	if xxhash.Sum64String(id)%sharedBodyEvery == 0 {
 		return "popular"
 	}
 	return "body of " + id
 }
 
-// kindOfCall is one kind of request that callers make.
-type kindOfCall struct {
-	route  string
-	once   bool
-	tokens int
-	probe  bool
+// requestKind is a kind of request that callers send. tokens is the length of the prompt, 0 for a
+// plain call.
+type requestKind struct {
+	route         string
+	nonIdempotent bool
+	tokens        int
+	probe         bool
 }
 
-// name is the kind's name in reports; the routes named after versions are one.
-func (k kindOfCall) name() string {
+// name returns the kind's name in reports. All version routes share one name.
+func (k requestKind) name() string {
 	if k.probe {
 		return "probe"
 	}
 	return k.route
 }
 
-var kindsOfCall = []kindOfCall{
-	{route: "safe"}, {route: "unsafe", once: true}, {route: "long", tokens: longPrompt},
-	{route: "long", tokens: shortPrompt}, {route: "once", once: true, tokens: longPrompt}, {route: "once", once: true, tokens: shortPrompt},
+// requestKinds are the kinds that callers choose from at random.
+var requestKinds = []requestKind{
+	{route: "safe"}, {route: "unsafe", nonIdempotent: true}, {route: "long", tokens: longPrompt},
+	{route: "long", tokens: shortPrompt}, {route: "once", nonIdempotent: true, tokens: longPrompt},
+	{route: "once", nonIdempotent: true, tokens: shortPrompt},
 }
 
-// ids makes ids that are never used twice.
-type ids struct{ n atomic.Int64 }
+// idSource generates request ids that are never reused.
+type idSource struct{ n atomic.Int64 }
 
-func (i *ids) next() string { return fmt.Sprintf("q%d", i.n.Add(1)) }
+func (i *idSource) next() string { return fmt.Sprintf("q%d", i.n.Add(1)) }
 
-// call sends requests from one caller until ctx ends: it keeps its connections
-// open, also to a VM that stops, until that closes them.
-func (w *world) call(ctx context.Context, ids *ids, seed uint64) {
+// runCaller sends requests from one caller until ctx ends. It keeps a connection open, also to a VM
+// that is stopping, until the VM closes it.
+func (h *harness) runCaller(ctx context.Context, ids *idSource, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, seed))
 	for ctx.Err() == nil {
-		v := w.pick(r)
+		v := h.pickVM(r)
 		c, err := platformtest.DialCaller(string(v.cfg.Listen), dialTimeout)
 		if err != nil {
-			w.count("no_connection")
-			kernel.Sleep(ctx, think)
+			h.count("no_connection")
+			kernel.Sleep(ctx, thinkTime)
 			continue
 		}
-		for range perConnection {
-			kind := kindsOfCall[r.IntN(len(kindsOfCall))]
-			reply := w.ask(c, v, ids.next(), kind)
-			kernel.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(think)))
+		for range requestsPerConnection {
+			kind := requestKinds[r.IntN(len(requestKinds))]
+			reply := h.send(c, v, ids.next(), kind)
+			kernel.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(thinkTime)))
 			if reply.Err != nil || reply.Closes || ctx.Err() != nil {
 				break
 			}
@@ -97,43 +100,45 @@
 	}
 }
 
-// pick returns a VM that the balancer takes for ready, or any where fewer than
-// half are: the balancer then sends callers to those that stop as well.
-func (w *world) pick(r *rand.Rand) *vm {
-	ready := make([]*vm, 0, len(w.vms))
-	for _, v := range w.vms {
+// pickVM returns a VM that the load balancer considers ready. If fewer than half are ready it
+// returns any: the balancer then sends callers to stopping VMs as well.
+func (h *harness) pickVM(r *rand.Rand) *vm {
+	ready := make([]*vm, 0, len(h.vms))
+	for _, v := range h.vms {
 		v.mu.Lock()
 		if v.ready {
 			ready = append(ready, v)
 		}
 		v.mu.Unlock()
 	}
-	if 2*len(ready) < len(w.vms) {
-		ready = w.vms
+	if 2*len(ready) < len(h.vms) {
+		ready = h.vms
 	}
 	return ready[r.IntN(len(ready))]
 }
 
-// ask sends one request and has its answer checked.
-func (w *world) ask(c *platformtest.Caller, v *vm, id string, kind kindOfCall) platformtest.Reply {
+// send sends one request and has the checker check the answer.
+func (h *harness) send(c *platformtest.Caller, v *vm, id string, kind requestKind) platformtest.Reply {
 	account, key := "", ""
-	if w.keys != nil {
-		account, key = w.keys.draw()
+	if h.keys != nil {
+		account, key = h.keys.drawKey()
 	}
-	w.check.Sent(id, v.name, kind.once, w.now())
-	w.check.Named(id, account, key)
-	reply := c.Do(platformtest.Call{ID: id, Path: "/" + kind.route + "/x", Tokens: kind.tokens, Body: soundBody(id), Timeout: callTimeout, Key: key})
-	a := answerOf(id, kind, reply)
-	w.check.Answered(id, a, w.now())
-	w.count(kind.name() + " " + outcome(a, reply))
+	h.check.Sent(id, v.name, kind.nonIdempotent, h.now())
+	h.check.SetKey(id, account, key)
+	reply := c.Do(platformtest.Call{ID: id, Path: "/" + kind.route + "/x", Tokens: kind.tokens,
+		Body: requestBody(id), Timeout: callTimeout, Key: key})
+	a := newAnswer(id, kind, reply)
+	h.check.Answered(id, a, h.now())
+	h.count(kind.name() + " " + outcomeName(a, reply))
 	return reply
 }
 
-func answerOf(id string, kind kindOfCall, r platformtest.Reply) Answer {
+// newAnswer converts a reply to what the checker needs to know of it.
+func newAnswer(id string, kind requestKind, r platformtest.Reply) Answer {
 	var timeout net.Error
 	switch {
 	case errors.As(r.Err, &timeout) && timeout.Timeout():
-		// The caller gave up.
+		// The caller timed out.
 		return Answer{}
 	case r.Err != nil:
 		return Answer{Cut: true}
@@ -147,10 +152,12 @@
 	if kind.tokens == 0 {
 		body = platformtest.PlainBody(engine, id)
 	}
-	return Answer{Succeeded: true, Engine: engine, Whole: r.Body == body && r.Signature == platformtest.Signature(engine, id)}
+	return Answer{Succeeded: true, Engine: engine,
+		Whole: r.Body == body && r.Signature == platformtest.Signature(engine, id)}
 }
 
-func outcome(a Answer, r platformtest.Reply) string {
+// outcomeName returns the outcome of a request as reports count it.
+func outcomeName(a Answer, r platformtest.Reply) string {
 	switch {
 	case a.Cut:
 		return "cut"
@@ -160,15 +167,15 @@
 	return fmt.Sprint(r.Status)
 }
 
-// balance asks every VM whether it is ready, as the balancer does.
-func (w *world) balance(ctx context.Context) {
+// pollReadiness checks every VM's readiness endpoint, as the load balancer does.
+func (h *harness) pollReadiness(ctx context.Context) {
 	kernel.Every(ctx, balancerPoll, func(context.Context) {
-		for _, v := range w.vms {
+		for _, v := range h.vms {
 			ok := platformtest.Ready(string(v.cfg.ReadyListen), balancerPoll)
 			v.mu.Lock()
 			if ok {
-				v.ready, v.misses = true, 0
-			} else if v.misses++; v.misses >= missesOut {
+				v.ready, v.failedPolls = true, 0
+			} else if v.failedPolls++; v.failedPolls >= failedPollLimit {
 				v.ready = false
 			}
 			v.mu.Unlock()
@@ -176,27 +183,29 @@
 	})
 }
 
-// probe asks a VM for the routes of the newest versions: the one that it serves
-// shows which version is in force there.
-func (w *world) probe(ctx context.Context, v *vm, ids *ids) {
-	kernel.Every(ctx, probeEvery, func(context.Context) {
-		newest := w.newest()
+// probeVersions requests the routes of the newest configuration versions from a VM. The route that
+// it serves shows which version is in force there.
+func (h *harness) probeVersions(ctx context.Context, v *vm, ids *idSource) {
+	kernel.Every(ctx, probeInterval, func(context.Context) {
+		newest := h.newestVersion()
 		for version := newest; version > max(newest-2, 0); version-- {
-			w.probeOne(v, ids.next(), version)
+			h.probeVersion(v, ids.next(), version)
 		}
 	})
 }
 
-func (w *world) probeOne(v *vm, id string, version int) {
-	_, life := v.current()
+// probeVersion requests the route of one version. It ignores the answer if the VM's process was
+// replaced meanwhile.
+func (h *harness) probeVersion(v *vm, id string, version int) {
+	_, incarnation := v.current()
 	c, err := platformtest.DialCaller(string(v.cfg.Listen), dialTimeout)
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	sent := w.now()
-	reply := w.ask(c, v, id, kindOfCall{route: routeOf(version), probe: true})
-	if _, now := v.current(); reply.Err == nil && reply.Status == 200 && now == life {
-		w.check.Shown(v.name, life, version, sent, w.now())
+	sent := h.now()
+	reply := h.send(c, v, id, requestKind{route: versionRoute(version), probe: true})
+	if _, now := v.current(); reply.Err == nil && reply.Status == 200 && now == incarnation {
+		h.check.VersionObserved(v.name, incarnation, version, sent, h.now())
 	}
 }
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -1,6 +1,5 @@
-// Package soak runs real garnet-node processes before stand-ins, deals them
-// faults from outside by a seed, and checks while it runs, from what callers and
-// targets see, that the promises to both are kept.
+// Package soak runs real garnet-node processes against stand-ins, injects faults from outside that
+// are derived from a seed, and checks invariants meanwhile from what callers and targets observe.
 package soak
 
 import (
@@ -9,188 +8,200 @@
 	"time"
 )
 
-// Promise is one of the things that are checked.
-type Promise string
+// Invariant is the name of a property that the checker verifies.
+type Invariant string
 
-// The promises.
+// The invariants.
 const (
-	// Whole: a success is the whole answer of a target that ran this request.
-	Whole Promise = "whole_answer"
-	// Once: a request that may not be repeated runs at most once.
-	Once Promise = "at_most_once"
-	// Unrun: a request that was refused as not run has not run and never does.
-	Unrun Promise = "true_refusal"
-	// Asked: nothing runs that no caller sent, or from another's KV cache.
-	Asked Promise = "asked_for"
-	// OneHolder: an engine's orders come from one holder at a time.
-	OneHolder Promise = "one_holder"
-	// Left: a leaving target gets nothing new.
-	Left Promise = "nothing_after_leaving"
-	// Forward: a VM's configuration does not go back.
-	Forward Promise = "version_never_back"
-	// InForce: a new version is in force in time on a calm VM.
-	InForce Promise = "version_in_force"
-	// Alive: a process does not end by itself.
-	Alive Promise = "no_end_of_its_own"
-	// Uncut: an answer that a target wrote whole reaches its caller while the VM
-	// and its links are undisturbed, also when the VM stops as planned.
-	Uncut Promise = "no_answer_cut"
-	// Contained: a request that has ended three targets is kept from others.
-	Contained Promise = "deadly_contained"
-	// Secret: a target is told the account that holds a request's key, and not the key.
-	Secret Promise = "keys_kept"
-	// Denied: a removed key serves no request that is sent later than its bound.
-	Denied Promise = "removed_key_denied"
-	// Duties: calls of one VM for all come from one at a time, and each window is reported
-	// once.
-	Duties Promise = "one_duty_holder"
+	// WholeAnswer: a successful answer is the complete answer of a target that ran this request.
+	WholeAnswer Invariant = "whole_answer"
+	// AtMostOnce: a non-idempotent request runs at most once.
+	AtMostOnce Invariant = "at_most_once"
+	// RefusalNotRun: a request refused as not run did not run before and never runs later.
+	RefusalNotRun Invariant = "true_refusal"
+	// SentByCaller: a target runs only requests that a caller sent, and never from the KV cache of
+	// another request.
+	SentByCaller Invariant = "asked_for"
+	// OneHolder: an engine receives orders from one lease holder at a time.
+	OneHolder Invariant = "one_holder"
+	// NoneAfterLeaving: a leaving target receives no new requests.
+	NoneAfterLeaving Invariant = "nothing_after_leaving"
+	// VersionMonotonic: a VM never goes back to an older configuration version.
+	VersionMonotonic Invariant = "version_never_back"
+	// VersionInForce: on an undisturbed VM a new configuration version is in force in time.
+	VersionInForce Invariant = "version_in_force"
+	// NoCrash: a process never exits by itself.
+	NoCrash Invariant = "no_end_of_its_own"
+	// NoTruncation: an answer that a target wrote completely reaches its caller while the VM and
+	// its links are undisturbed, also when the VM stops as planned.
+	NoTruncation Invariant = "no_answer_cut"
+	// CrashesContained: a request that has crashed three targets is not sent to others.
+	CrashesContained Invariant = "deadly_contained"
+	// KeysSecret: a target receives the account that holds a request's key, but not the key.
+	KeysSecret Invariant = "keys_kept"
+	// RevokedKeyDenied: a revoked key serves no request that is sent after the revocation bound.
+	RevokedKeyDenied Invariant = "removed_key_denied"
+	// OneDutyHolder: only one VM at a time makes the calls that one VM makes for all, and each
+	// usage window is reported once.
+	OneDutyHolder Invariant = "one_duty_holder"
 	// Recovered: after the last fault every VM serves again.
-	Recovered Promise = "recovered"
+	Recovered Invariant = "recovered"
 )
 
 const (
-	// leaveWithin is how long after its row says so a leaving target may still
-	// get requests: the bound of the users' pages.
-	leaveWithin = 2 * time.Second
-	// calmBefore is how long a VM must have been undisturbed for a bound on time
-	// to hold for it: the users' pages say 3 s.
-	calmBefore = 3 * time.Second
-	// holderGap is the least time between the orders of two holders.
-	holderGap = 3 * time.Second
-	// changeWithin is how long a new version may take: the bound of the users'
-	// pages.
-	changeWithin = 2 * time.Second
-	// versionWithin is how long after a VM has shown a version it must not show
-	// an older one to a request sent later.
-	versionWithin = 250 * time.Millisecond
-	// A request that has ended so many targets may be sent on by all VMs for so long, and so
-	// many times after that: the bounds of the users' pages.
-	deadlyEnds   = 3
-	deadlyWithin = 3 * time.Second
-	deadlyAfter  = 3
+	// leaveBound is how long a leaving target may still receive requests after its entry says that
+	// it leaves, as the user documentation states.
+	leaveBound = 2 * time.Second
+	// undisturbedBefore is how long a VM must have been undisturbed before a time bound applies to
+	// it. The user documentation states 3 s.
+	undisturbedBefore = 3 * time.Second
+	// handoverGap is the least time between the orders of two lease holders.
+	handoverGap = 3 * time.Second
+	// configBound is the time within which a new configuration version must be in force, as the
+	// user documentation states.
+	configBound = 2 * time.Second
+	// After a VM has shown a version, requests sent more than versionReorderBound later must not
+	// show an older one.
+	versionReorderBound = 250 * time.Millisecond
+	// After a request has crashed crashLimit targets, all VMs may go on sending it for
+	// crashContainBound, and then lateSendLimit more times in all. These are the bounds that the
+	// user documentation states.
+	crashLimit        = 3
+	crashContainBound = 3 * time.Second
+	lateSendLimit     = 3
 )
 
-// Violation is a broken promise.
+// Violation is a broken invariant. At is the time since the start of the run.
 type Violation struct {
-	At      time.Duration
-	Promise Promise
-	What    string
+	At        time.Duration
+	Invariant Invariant
+	What      string
 }
 
-// Answer is how a request ended for its caller.
+// Answer is the result of a request as its caller saw it.
 type Answer struct {
-	// Succeeded, Refused and Cut exclude each other; all false is a failure that
-	// promises nothing.
+	// Succeeded, Refused and Cut are mutually exclusive. If all are false, the request failed with
+	// no statement about whether it ran.
 	Succeeded bool
 	Refused   bool
-	// Cut: no whole answer came and the caller did not give up.
+	// Cut: no complete answer came, and the caller had not timed out.
 	Cut bool
-	// Engine is the target that the signature names, and Whole says that the
-	// body is that target's whole answer to this request.
+	// Engine is the target named in the signature. Whole says that the body is that target's
+	// complete answer to this request.
 	Engine string
 	Whole  bool
 }
 
+// request is what the checker knows of a request. ranOn lists the targets that ran it.
 type request struct {
-	once    bool
-	vm      string
-	sent    time.Duration
-	runs    []string
-	ending  Ending
-	refused bool
-	// account holds key, which is empty where none was named.
+	nonIdempotent bool
+	vm            string
+	sent          time.Duration
+	ranOn         []string
+	ending        WorkEnding
+	refused       bool
+	// account is the holder of key. Both are empty if the request carries no key; account is also
+	// empty if key may have been revoked.
 	account string
 	key     string
-	// cut is when the caller got a part, while the target was still at work; 0
-	// where that is not so.
-	cut time.Duration
+	// cutAt is when the caller received a truncated answer while the target was still working on
+	// it, 0 if that did not happen.
+	cutAt time.Duration
 }
 
-// Ending is how a target's work on a request ended.
-type Ending int
+// WorkEnding is how a target's work on a request ended.
+type WorkEnding int
 
-// The endings.
+// The ways in which a target's work ends.
 const (
-	// Written: the target wrote its whole answer.
-	Written Ending = iota + 1
+	// Completed: the target wrote its complete answer.
+	Completed WorkEnding = iota + 1
 	// HungUp: the VM closed the connection to the target first.
 	HungUp
-	// Spoiled: the target itself broke off.
-	Spoiled
+	// BrokenOff: the target itself broke off its answer.
+	BrokenOff
 )
 
-type order struct {
+// acceptedOrder is the latest order that an engine accepted.
+type acceptedOrder struct {
 	holder string
 	fence  uint64
 	at     time.Duration
 }
 
-type shown struct {
+// observedVersion is a configuration version, and when it was written or shown.
+type observedVersion struct {
 	version int
 	at      time.Duration
 }
 
-// Checker judges what callers and targets see. It has no clock: all times are
-// since the soak's start. It is safe for concurrent use.
+// Checker verifies the invariants from the events that callers and targets report. It has no clock:
+// all times are since the start of the run. It is safe for concurrent use.
 type Checker struct {
-	mu        sync.Mutex
-	requests  map[string]*request
-	orders    map[string]order
-	leaving   map[string]time.Duration
-	shown     map[string]shown
-	changes   []shown
-	disturbed map[string][]span
-	// killed holds when targets ended under each deadly request, and late how often it was
-	// sent on too late.
-	killed map[string][]time.Duration
-	late   map[string]int
-	// revoked holds when keys were removed.
-	revoked    map[string]time.Duration
+	mu       sync.Mutex
+	requests map[string]*request
+	orders   map[string]acceptedOrder
+	// leavingSince holds when targets began to leave, lastVersions the newest version that each
+	// process has shown, and written the versions in the order in which they were written.
+	leavingSince map[string]time.Duration
+	lastVersions map[string]observedVersion
+	written      []observedVersion
+	disturbances map[string][]interval
+	// crashes holds, by crashing request, when it crashed targets, and lateSends how often it was
+	// sent on after crashContainBound.
+	crashes   map[string][]time.Duration
+	lateSends map[string]int
+	// revokedAt holds the time of revocation by key.
+	revokedAt  map[string]time.Duration
 	violations []Violation
-	// Made counts the checks made of each promise.
-	made map[Promise]int
+	// checks counts the checks of each invariant.
+	checks map[Invariant]int
 }
 
-// span is a time in which something was disturbed.
-type span struct{ from, to time.Duration }
+// interval is a period in which a subject was disturbed, both ends included.
+type interval struct{ from, to time.Duration }
 
-// All is the subject of a disturbance of everything, the store's for one.
+// All is the subject of disturbances that affect everything, such as those of the store.
 const All = "all"
 
-// NewChecker returns a checker that has seen nothing.
+// NewChecker returns a checker without any events.
 func NewChecker() *Checker {
 	return &Checker{
-		requests: make(map[string]*request), orders: make(map[string]order), leaving: make(map[string]time.Duration),
-		shown: make(map[string]shown), killed: make(map[string][]time.Duration), late: make(map[string]int), revoked: make(map[string]time.Duration), disturbed: make(map[string][]span), made: make(map[Promise]int),
+		requests: make(map[string]*request), orders: make(map[string]acceptedOrder),
+		leavingSince: make(map[string]time.Duration),
+		lastVersions: make(map[string]observedVersion), crashes: make(map[string][]time.Duration),
+		lateSends: make(map[string]int), revokedAt: make(map[string]time.Duration),
+		disturbances: make(map[string][]interval), checks: make(map[Invariant]int),
 	}
 }
 
-// check counts a check and notes a violation; the caller holds c.mu.
-func (c *Checker) check(p Promise, ok bool, at time.Duration, format string, args ...any) {
-	c.made[p]++
+// check counts a check and records a violation unless ok is true. The caller must hold c.mu.
+func (c *Checker) check(inv Invariant, ok bool, at time.Duration, format string, args ...any) {
+	c.checks[inv]++
 	if !ok {
-		c.violations = append(c.violations, Violation{At: at, Promise: p, What: fmt.Sprintf(format, args...)})
+		c.violations = append(c.violations, Violation{At: at, Invariant: inv,
+			What: fmt.Sprintf(format, args...)})
 	}
 }
 
-// Disturbed notes that a VM, a target, or All is disturbed from one time to
-// another.
+// Disturbed records that subject, which is a VM, a target or All, is disturbed in a period.
 func (c *Checker) Disturbed(subject string, from, to time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.disturbed[subject] = append(c.disturbed[subject], span{from, to})
+	c.disturbances[subject] = append(c.disturbances[subject], interval{from, to})
 }
 
-// calm reports whether none of the subjects, nor All, was disturbed in a time;
-// the caller holds c.mu.
-func (c *Checker) calm(from, to time.Duration, subjects ...string) bool {
+// allUndisturbed reports whether none of the subjects, nor All, was disturbed in a period. The
+// caller must hold c.mu.
+func (c *Checker) allUndisturbed(from, to time.Duration, subjects ...string) bool {
 	return c.undisturbed(from, to, append(subjects, All)...)
 }
 
-// undisturbed is calm for the subjects alone; the caller holds c.mu.
+// undisturbed reports whether none of the subjects was disturbed in a period; unlike allUndisturbed
+// it ignores All. The caller must hold c.mu.
 func (c *Checker) undisturbed(from, to time.Duration, subjects ...string) bool {
 	for _, subject := range subjects {
-		for _, s := range c.disturbed[subject] {
+		for _, s := range c.disturbances[subject] {
 			if s.from <= to && s.to >= from {
 				return false
 			}
@@ -199,69 +210,73 @@
 	return true
 }
 
-// Sent notes a request to a VM before its first byte is written.
-func (c *Checker) Sent(id, vm string, once bool, at time.Duration) {
+// Sent records a request to a VM. It must be called before the request's first byte is
+// written.
+func (c *Checker) Sent(id, vm string, nonIdempotent bool, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requests[id] = &request{once: once, vm: vm, sent: at}
+	c.requests[id] = &request{nonIdempotent: nonIdempotent, vm: vm, sent: at}
 }
 
-// Ran checks that a target may run a request; source is the handle that it goes
-// on from, or empty.
+// Ran checks that a target may run a request. source is the request whose KV cache it
+// continues from, empty if there is none.
 func (c *Checker) Ran(id, engine, source string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.requests[id]
-	c.check(Asked, r != nil && (source == "" || source == id), at, "%s runs %q from %q", engine, id, source)
+	c.check(SentByCaller, r != nil && (source == "" || source == id), at, "%s runs %q from %q",
+		engine, id, source)
 	if r == nil {
 		return
 	}
-	if r.once {
-		c.check(Once, len(r.runs) == 0, at, "%s runs on %s after %v", id, engine, r.runs)
+	if r.nonIdempotent {
+		c.check(AtMostOnce, len(r.ranOn) == 0, at, "%s runs on %s after %v", id, engine, r.ranOn)
 	}
-	c.check(Unrun, !r.refused, at, "%s runs on %s after it was refused", id, engine)
-	r.runs = append(r.runs, engine)
-	if removed, ok := c.revoked[r.key]; ok {
-		// It holds for every VM, disturbed or not.
-		c.check(Denied, r.sent-removed <= revokeBound, at, "%s runs on %s, sent %s after its key was removed", id, engine, r.sent-removed)
+	c.check(RefusalNotRun, !r.refused, at, "%s runs on %s after it was refused", id, engine)
+	r.ranOn = append(r.ranOn, engine)
+	if removed, ok := c.revokedAt[r.key]; ok {
+		// This bound applies to every VM, disturbed or not.
+		c.check(RevokedKeyDenied, r.sent-removed <= revokeBound, at,
+			"%s runs on %s, sent %s after its key was removed", id, engine, r.sent-removed)
 	}
 }
 
-// Named notes the key that a request bears, and the account that holds it; empty where the key
-// may have been removed.
-func (c *Checker) Named(id, account, key string) {
+// SetKey records the key of a request that was sent, and the account that holds it. account is
+// empty if the key may have been revoked.
+func (c *Checker) SetKey(id, account, key string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests[id].account, c.requests[id].key = account, key
 }
 
-// Revoked notes that the operator has removed a key.
-func (c *Checker) Revoked(key string, at time.Duration) {
+// KeyRevoked records that the operator has revoked a key.
+func (c *Checker) KeyRevoked(key string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.revoked[key] = at
+	c.revokedAt[key] = at
 }
 
-// Told checks what a target is told of a request's account.
-func (c *Checker) Told(id, key, account string, at time.Duration) {
+// CheckAccount checks the key and the account that a target received with a request.
+func (c *Checker) CheckAccount(id, key, account string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.requests[id]
 	if r == nil || r.key == "" {
 		return
 	}
-	c.check(Secret, key == "" && account != "" && (r.account == "" || r.account == account), at, "%s of %s reaches a target as %s, key told: %t", id, r.account, account, key != "")
+	c.check(KeysSecret, key == "" && account != "" && (r.account == "" || r.account == account), at,
+		"%s of %s reaches a target as %s, key told: %t", id, r.account, account, key != "")
 }
 
-// Duty checks a call that one VM makes for all.
-func (c *Checker) Duty(ok bool, what string, at time.Duration) {
+// CheckDuty checks a call that one VM makes for all; what describes the violation.
+func (c *Checker) CheckDuty(ok bool, what string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.check(Duties, ok, at, "%s", what)
+	c.check(OneDutyHolder, ok, at, "%s", what)
 }
 
-// Ended notes that a target is through with a request.
-func (c *Checker) Ended(id string, how Ending) {
+// Ended records that a target has finished its work on a request.
+func (c *Checker) Ended(id string, how WorkEnding) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.requests[id]
@@ -269,25 +284,27 @@
 		return
 	}
 	r.ending = how
-	if r.cut != 0 {
-		c.checkCut(id, r, r.cut)
+	if r.cutAt != 0 {
+		c.checkTruncated(id, r, r.cutAt)
 	}
 }
 
-// checkCut judges an answer of which the caller got a part, once it is known how
-// the target's work ended; the caller holds c.mu.
-func (c *Checker) checkCut(id string, r *request, at time.Duration) {
-	if len(r.runs) > 0 && r.ending == 0 {
-		r.cut = at
+// checkTruncated checks a truncated answer. If the target's work has not ended yet, it leaves that
+// to Ended. The caller must hold c.mu.
+func (c *Checker) checkTruncated(id string, r *request, at time.Duration) {
+	if len(r.ranOn) > 0 && r.ending == 0 {
+		r.cutAt = at
 		return
 	}
-	// The store's disturbances excuse nothing. An answer that is not whole when its caller's
-	// time is over ends there (users' pages).
-	broken := at-r.sent < callTimeout && len(r.runs) == 1 && r.ending != Spoiled && c.undisturbed(r.sent, at, r.vm, r.runs[0])
-	c.check(Uncut, !broken, at, "%s on %s: %v did not break off, the caller got a part", id, r.vm, r.runs)
+	// A disturbance of the store excuses no truncated answer. An answer that is incomplete when its
+	// caller's timeout is over ends there, as the user documentation states.
+	broken := at-r.sent < callTimeout && len(r.ranOn) == 1 && r.ending != BrokenOff &&
+		c.undisturbed(r.sent, at, r.vm, r.ranOn[0])
+	c.check(NoTruncation, !broken, at, "%s on %s: %v did not break off, the caller got a part", id,
+		r.vm, r.ranOn)
 }
 
-// Answered checks what a caller got.
+// Answered checks the answer that a caller received.
 func (c *Checker) Answered(id string, a Answer, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -297,15 +314,16 @@
 	}
 	switch {
 	case a.Succeeded:
-		c.check(Whole, a.Whole && contains(r.runs, a.Engine), at, "%s: answer of %q, whole %t, ran on %v", id, a.Engine, a.Whole, r.runs)
+		c.check(WholeAnswer, a.Whole && contains(r.ranOn, a.Engine), at,
+			"%s: answer of %q, whole %t, ran on %v", id, a.Engine, a.Whole, r.ranOn)
 	case a.Refused:
 		r.refused = true
-		if _, deadly := deadlyRequest(id); deadly {
-			c.check(Contained, true, at, "")
+		if _, crashing := crashingRequestOf(id); crashing {
+			c.check(CrashesContained, true, at, "")
 		}
-		c.check(Unrun, len(r.runs) == 0, at, "%s was refused and ran on %v", id, r.runs)
+		c.check(RefusalNotRun, len(r.ranOn) == 0, at, "%s was refused and ran on %v", id, r.ranOn)
 	case a.Cut:
-		c.checkCut(id, r, at)
+		c.checkTruncated(id, r, at)
 	}
 }
 
@@ -318,116 +336,125 @@
 	return false
 }
 
-// Ordered checks an order that an engine accepted.
-func (c *Checker) Ordered(engine, holder string, fence uint64, at time.Duration) {
+// OrderAccepted checks an order that an engine accepted.
+func (c *Checker) OrderAccepted(engine, holder string, fence uint64, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last, ok := c.orders[engine]
-	fine := !ok || (fence == last.fence && holder == last.holder) || (fence > last.fence && (holder == last.holder || at-last.at >= holderGap))
-	c.check(OneHolder, fine, at, "%s: %s with fence %d, %s after %s with fence %d", engine, holder, fence, at-last.at, last.holder, last.fence)
-	c.orders[engine] = order{holder: holder, fence: fence, at: at}
+	allowed := !ok || (fence == last.fence && holder == last.holder) ||
+		(fence > last.fence && (holder == last.holder || at-last.at >= handoverGap))
+	c.check(OneHolder, allowed, at, "%s: %s with fence %d, %s after %s with fence %d", engine,
+		holder, fence, at-last.at, last.holder, last.fence)
+	c.orders[engine] = acceptedOrder{holder: holder, fence: fence, at: at}
 }
 
-// Leaves notes that a target's row says that it leaves, or is gone.
+// Leaves records that a target's entry says that it leaves, or is removed.
 func (c *Checker) Leaves(engine string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving[engine] = at
+	c.leavingSince[engine] = at
 }
 
-// Arrived checks that a target may get a request.
+// Arrived checks that a target may receive a request.
 func (c *Checker) Arrived(id, engine string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.requests[id]
 	c.checkContained(id, r, at)
-	since, ok := c.leaving[engine]
-	if !ok || r == nil || !c.calm(since-calmBefore, at, r.vm) {
+	since, ok := c.leavingSince[engine]
+	if !ok || r == nil || !c.allUndisturbed(since-undisturbedBefore, at, r.vm) {
 		return
 	}
-	c.check(Left, at-since <= leaveWithin, at, "%s reaches %s from %s %s after it began to leave", id, engine, r.vm, at-since)
+	c.check(NoneAfterLeaving, at-since <= leaveBound, at,
+		"%s reaches %s from %s %s after it began to leave", id, engine, r.vm, at-since)
 }
 
-// Killed notes that a deadly request ends a target, which counts as disturbed for a while.
-func (c *Checker) Killed(request, engine string, at, until time.Duration) {
+// TargetCrashed records that a crashing request ended a target, which counts as disturbed until the
+// given time.
+func (c *Checker) TargetCrashed(request, engine string, at, until time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.killed[request] = append(c.killed[request], at)
-	c.disturbed[engine] = append(c.disturbed[engine], span{at, until})
+	c.crashes[request] = append(c.crashes[request], at)
+	c.disturbances[engine] = append(c.disturbances[engine], interval{at, until})
 }
 
-// checkContained checks that a calm VM may still send a deadly request on; the caller holds
-// c.mu.
+// checkContained checks that a VM may still send a crashing request on. Requests of disturbed VMs
+// do not count as late. The caller must hold c.mu.
 func (c *Checker) checkContained(id string, r *request, at time.Duration) {
-	request, deadly := deadlyRequest(id)
-	ends := c.killed[request]
-	if !deadly || r == nil || len(ends) < deadlyEnds {
+	request, crashing := crashingRequestOf(id)
+	crashes := c.crashes[request]
+	if !crashing || r == nil || len(crashes) < crashLimit {
 		return
 	}
-	since := at - ends[deadlyEnds-1]
-	if since > deadlyWithin && c.undisturbed(at-calmBefore, at, r.vm) {
-		c.late[request]++
+	since := at - crashes[crashLimit-1]
+	if since > crashContainBound && c.undisturbed(at-undisturbedBefore, at, r.vm) {
+		c.lateSends[request]++
 	}
-	c.check(Contained, c.late[request] <= deadlyAfter, at, "%s is sent on %s after %s had ended %d targets", id, since, request, deadlyEnds)
+	c.check(CrashesContained, c.lateSends[request] <= lateSendLimit, at,
+		"%s is sent on %s after %s had ended %d targets", id, since, request, crashLimit)
 }
 
-// Changed notes that the operator has written a version.
-func (c *Checker) Changed(version int, at time.Duration) {
+// ConfigWritten records that the operator has written a configuration version.
+func (c *Checker) ConfigWritten(version int, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.changes = append(c.changes, shown{version: version, at: at})
+	c.written = append(c.written, observedVersion{version: version, at: at})
 }
 
-// checkInForce checks that no version that was replaced long ago is shown; the
-// caller holds c.mu.
-func (c *Checker) checkInForce(vm string, version int, sent time.Duration) {
-	for _, ch := range c.changes {
-		if ch.version > version && c.calm(ch.at-calmBefore, sent, vm) {
-			c.check(InForce, sent-ch.at <= changeWithin, sent, "%s shows %d, %s after %d was written", vm, version, sent-ch.at, ch.version)
+// checkVersionInForce checks that a VM does not show a version that was replaced more than
+// configBound before. The caller must hold c.mu.
+func (c *Checker) checkVersionInForce(vm string, version int, sent time.Duration) {
+	for _, ch := range c.written {
+		if ch.version > version && c.allUndisturbed(ch.at-undisturbedBefore, sent, vm) {
+			c.check(VersionInForce, sent-ch.at <= configBound, sent,
+				"%s shows %d, %s after %d was written", vm, version, sent-ch.at, ch.version)
 			return
 		}
 	}
 }
 
-// EndedByItself notes that a VM's process ended that nobody had signalled.
-func (c *Checker) EndedByItself(vm string, at time.Duration) {
+// UnexpectedExit records that a VM's process exited without having been signalled.
+func (c *Checker) UnexpectedExit(vm string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.check(Alive, false, at, "the process of %s ended by itself", vm)
+	c.check(NoCrash, false, at, "the process of %s ended by itself", vm)
 }
 
-// Shown checks the version that the answer of a VM to a request sent at a time
-// shows. life tells one process of the VM from another.
-func (c *Checker) Shown(vm string, life, version int, sent, at time.Duration) {
+// VersionObserved checks the configuration version that a VM showed in its answer to a request;
+// sent and at are when the request was sent and answered. incarnation tells the processes of a VM
+// apart.
+func (c *Checker) VersionObserved(vm string, incarnation, version int, sent, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.checkInForce(vm, version, sent)
-	vm = fmt.Sprintf("%s#%d", vm, life)
-	last, ok := c.shown[vm]
+	c.checkVersionInForce(vm, version, sent)
+	vm = fmt.Sprintf("%s#%d", vm, incarnation)
+	last, ok := c.lastVersions[vm]
 	if ok && version < last.version {
-		c.check(Forward, sent-last.at <= versionWithin, at, "%s shows %d, %s after %d", vm, version, sent-last.at, last.version)
+		c.check(VersionMonotonic, sent-last.at <= versionReorderBound, at,
+			"%s shows %d, %s after %d", vm, version, sent-last.at, last.version)
 		return
 	}
-	c.check(Forward, true, at, "")
+	c.check(VersionMonotonic, true, at, "")
 	if !ok || version > last.version {
-		c.shown[vm] = shown{version: version, at: at}
+		c.lastVersions[vm] = observedVersion{version: version, at: at}
 	}
 }
 
-// Recovers checks that a VM serves after the last fault.
-func (c *Checker) Recovers(vm string, served, asked int, at time.Duration) {
+// CheckRecovery checks that a VM serves at least nine in ten requests after the last fault.
+func (c *Checker) CheckRecovery(vm string, served, asked int, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.check(Recovered, asked > 0 && served*10 >= asked*9, at, "%s serves %d of %d after the last fault", vm, served, asked)
+	c.check(Recovered, asked > 0 && served*10 >= asked*9, at,
+		"%s serves %d of %d after the last fault", vm, served, asked)
 }
 
-// Result returns the violations so far and how many checks were made.
-func (c *Checker) Result() ([]Violation, map[Promise]int) {
+// Result returns the violations so far and the number of checks of each invariant.
+func (c *Checker) Result() ([]Violation, map[Invariant]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	made := make(map[Promise]int, len(c.made))
-	for p, n := range c.made {
-		made[p] = n
+	checks := make(map[Invariant]int, len(c.checks))
+	for inv, n := range c.checks {
+		checks[inv] = n
 	}
-	return append([]Violation(nil), c.violations...), made
+	return append([]Violation(nil), c.violations...), checks
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -9,113 +9,148 @@
 	"garnethoist.org/garnethoist/internal/soak"
 )
 
+// s keeps the times in the tables short.
 const s = time.Second
 
-// Each check is shown a history that it must refuse, and one beside it that it
-// must take.
+// Feeds the checker sequences of events that violate one invariant each, and similar ones that
+// violate none.
 func TestChecksRefuseBrokenHistories(t *testing.T) {
 	good := soak.Answer{Succeeded: true, Engine: "e1", Whole: true}
 	cases := []struct {
-		name    string
-		history func(c *soak.Checker)
-		broken  soak.Promise
+		name     string
+		events   func(c *soak.Checker)
+		violated soak.Invariant
 	}{
-		{"a whole answer", func(c *soak.Checker) { c.Ran("q", "e1", "", s); c.Answered("q", good, s) }, ""},
-		{"an answer of a target that did not run it", func(c *soak.Checker) { c.Ran("q", "e2", "", s); c.Answered("q", good, s) }, soak.Whole},
-		{"a part taken for the whole", func(c *soak.Checker) {
+		{"complete answer", func(c *soak.Checker) { c.Ran("q", "e1", "", s); c.Answered("q", good, s) }, ""},
+		{"answer of a target that did not run the request",
+			func(c *soak.Checker) { c.Ran("q", "e2", "", s); c.Answered("q", good, s) }, soak.WholeAnswer},
+		{"truncated answer reported as a success", func(c *soak.Checker) {
 			c.Ran("q", "e1", "", s)
 			c.Answered("q", soak.Answer{Succeeded: true, Engine: "e1"}, s)
-		}, soak.Whole},
-		{"a repeatable request twice", func(c *soak.Checker) { c.Sent("r", "vm", false, 0); c.Ran("r", "e1", "", s); c.Ran("r", "e2", "", s) }, ""},
-		{"one that may run once, twice", func(c *soak.Checker) { c.Ran("q", "e1", "", s); c.Ran("q", "e2", "", s) }, soak.Once},
-		{"a true refusal", func(c *soak.Checker) { c.Answered("q", soak.Answer{Refused: true}, s) }, ""},
-		{"refused though it ran", func(c *soak.Checker) { c.Ran("q", "e1", "", s); c.Answered("q", soak.Answer{Refused: true}, s) }, soak.Unrun},
-		{"run after a refusal", func(c *soak.Checker) { c.Answered("q", soak.Answer{Refused: true}, s); c.Ran("q", "e1", "", 2*s) }, soak.Unrun},
-		{"a request that nobody sent", func(c *soak.Checker) { c.Ran("x", "e1", "", s) }, soak.Asked},
-		{"another's KV cache", func(c *soak.Checker) { c.Ran("q", "e1", "other", s) }, soak.Asked},
-		{"its own KV cache", func(c *soak.Checker) { c.Ran("q", "e1", "q", s) }, ""},
-		{"orders in turn, far apart", func(c *soak.Checker) { c.Ordered("e1", "a", 1, 0); c.Ordered("e1", "b", 2, 4*s) }, ""},
-		{"orders of two holders close together", func(c *soak.Checker) { c.Ordered("e1", "a", 1, 0); c.Ordered("e1", "b", 2, s) }, soak.OneHolder},
-		{"a lower fence after a higher one", func(c *soak.Checker) { c.Ordered("e1", "a", 2, 0); c.Ordered("e1", "a", 1, 9*s) }, soak.OneHolder},
-		{"two holders with one fence", func(c *soak.Checker) { c.Ordered("e1", "a", 1, 0); c.Ordered("e1", "b", 1, 9*s) }, soak.OneHolder},
-		{"a request soon after leaving", func(c *soak.Checker) { c.Leaves("e1", 10*s); c.Arrived("q", "e1", 11*s) }, ""},
-		{"a request late after leaving", func(c *soak.Checker) { c.Leaves("e1", 10*s); c.Arrived("q", "e1", 13*s) }, soak.Left},
-		{"the same from a disturbed VM", func(c *soak.Checker) { c.Disturbed("vm", 8*s, 9*s); c.Leaves("e1", 10*s); c.Arrived("q", "e1", 13*s) }, ""},
-		{"the same with the store disturbed", func(c *soak.Checker) {
+		}, soak.WholeAnswer},
+		{"idempotent request runs twice",
+			func(c *soak.Checker) { c.Sent("r", "vm", false, 0); c.Ran("r", "e1", "", s); c.Ran("r", "e2", "", s) },
+			""},
+		{"non-idempotent request runs twice",
+			func(c *soak.Checker) { c.Ran("q", "e1", "", s); c.Ran("q", "e2", "", s) }, soak.AtMostOnce},
+		{"refused and not run",
+			func(c *soak.Checker) { c.Answered("q", soak.Answer{Refused: true}, s) }, ""},
+		{"refused after it ran",
+			func(c *soak.Checker) { c.Ran("q", "e1", "", s); c.Answered("q", soak.Answer{Refused: true}, s) },
+			soak.RefusalNotRun},
+		{"run after it was refused",
+			func(c *soak.Checker) { c.Answered("q", soak.Answer{Refused: true}, s); c.Ran("q", "e1", "", 2*s) },
+			soak.RefusalNotRun},
+		{"request that no caller sent",
+			func(c *soak.Checker) { c.Ran("x", "e1", "", s) }, soak.SentByCaller},
+		{"KV cache of another request",
+			func(c *soak.Checker) { c.Ran("q", "e1", "other", s) }, soak.SentByCaller},
+		{"KV cache of the same request", func(c *soak.Checker) { c.Ran("q", "e1", "q", s) }, ""},
+		{"orders of two holders far apart",
+			func(c *soak.Checker) { c.OrderAccepted("e1", "a", 1, 0); c.OrderAccepted("e1", "b", 2, 4*s) },
+			""},
+		{"orders of two holders close together",
+			func(c *soak.Checker) { c.OrderAccepted("e1", "a", 1, 0); c.OrderAccepted("e1", "b", 2, s) },
+			soak.OneHolder},
+		{"lower fence after a higher one",
+			func(c *soak.Checker) { c.OrderAccepted("e1", "a", 2, 0); c.OrderAccepted("e1", "a", 1, 9*s) },
+			soak.OneHolder},
+		{"two holders with the same fence",
+			func(c *soak.Checker) { c.OrderAccepted("e1", "a", 1, 0); c.OrderAccepted("e1", "b", 1, 9*s) },
+			soak.OneHolder},
+		{"request soon after the target began to leave",
+			func(c *soak.Checker) { c.Leaves("e1", 10*s); c.Arrived("q", "e1", 11*s) }, ""},
+		{"request long after the target began to leave",
+			func(c *soak.Checker) { c.Leaves("e1", 10*s); c.Arrived("q", "e1", 13*s) },
+			soak.NoneAfterLeaving},
+		{"request from a disturbed VM long after the target began to leave",
+			func(c *soak.Checker) { c.Disturbed("vm", 8*s, 9*s); c.Leaves("e1", 10*s); c.Arrived("q", "e1", 13*s) },
+			""},
+		{"request long after the target began to leave, store disturbed", func(c *soak.Checker) {
 			c.Disturbed(soak.All, 11*s, 12*s)
 			c.Leaves("e1", 10*s)
 			c.Arrived("q", "e1", 13*s)
 		}, ""},
-		{"a version that goes back", func(c *soak.Checker) { c.Shown("vm", 1, 5, 0, s); c.Shown("vm", 1, 4, 2*s, 2*s) }, soak.Forward},
-		{"an older version to a request sent before", func(c *soak.Checker) { c.Shown("vm", 1, 5, 0, s); c.Shown("vm", 1, 4, s/2, 2*s) }, ""},
-		{"an older version after a restart", func(c *soak.Checker) { c.Shown("vm", 1, 5, 0, s); c.Shown("vm", 2, 4, 2*s, 2*s) }, ""},
-		{"an old version long after a new one", func(c *soak.Checker) { c.Changed(5, s); c.Shown("vm", 1, 4, 4*s, 4*s) }, soak.InForce},
-		{"an old version soon after a new one", func(c *soak.Checker) { c.Changed(5, s); c.Shown("vm", 1, 4, 2*s, 2*s) }, ""},
-		{"an end of its own", func(c *soak.Checker) { c.EndedByItself("vm", s) }, soak.Alive},
-		{"a whole answer cut on the way", func(c *soak.Checker) {
+		{"older version to a request sent later",
+			func(c *soak.Checker) { c.VersionObserved("vm", 1, 5, 0, s); c.VersionObserved("vm", 1, 4, 2*s, 2*s) },
+			soak.VersionMonotonic},
+		{"older version to a request sent before",
+			func(c *soak.Checker) { c.VersionObserved("vm", 1, 5, 0, s); c.VersionObserved("vm", 1, 4, s/2, 2*s) },
+			""},
+		{"older version after a restart",
+			func(c *soak.Checker) { c.VersionObserved("vm", 1, 5, 0, s); c.VersionObserved("vm", 2, 4, 2*s, 2*s) },
+			""},
+		{"replaced version long after the new one was written",
+			func(c *soak.Checker) { c.ConfigWritten(5, s); c.VersionObserved("vm", 1, 4, 4*s, 4*s) },
+			soak.VersionInForce},
+		{"replaced version soon after the new one was written",
+			func(c *soak.Checker) { c.ConfigWritten(5, s); c.VersionObserved("vm", 1, 4, 2*s, 2*s) }, ""},
+		{"unexpected exit", func(c *soak.Checker) { c.UnexpectedExit("vm", s) }, soak.NoCrash},
+		{"complete answer truncated on the way", func(c *soak.Checker) {
 			c.Ran("q", "e1", "", s)
-			c.Ended("q", soak.Written)
+			c.Ended("q", soak.Completed)
 			c.Answered("q", soak.Answer{Cut: true}, s)
-		}, soak.Uncut},
-		{"cut by the VM while the target works", func(c *soak.Checker) {
+		}, soak.NoTruncation},
+		{"truncated by the VM while the target works", func(c *soak.Checker) {
 			c.Ran("q", "e1", "", s)
 			c.Ended("q", soak.HungUp)
 			c.Answered("q", soak.Answer{Cut: true}, s)
-		}, soak.Uncut},
-		{"the same while only the store is disturbed", func(c *soak.Checker) {
+		}, soak.NoTruncation},
+		{"truncated by the VM while only the store is disturbed", func(c *soak.Checker) {
 			c.Disturbed(soak.All, 0, s)
 			c.Ran("q", "e1", "", s)
 			c.Ended("q", soak.HungUp)
 			c.Answered("q", soak.Answer{Cut: true}, s)
-		}, soak.Uncut},
-		{"cut, and only then known how the target ended", func(c *soak.Checker) {
+		}, soak.NoTruncation},
+		{"truncated by the VM, target's work ends later", func(c *soak.Checker) {
 			c.Ran("q", "e1", "", s)
 			c.Answered("q", soak.Answer{Cut: true}, s)
 			c.Ended("q", soak.HungUp)
-		}, soak.Uncut},
-		{"cut by a target that hung, which ends with its connection", func(c *soak.Checker) {
+		}, soak.NoTruncation},
+		{"truncated by a target that hangs until its connection closes", func(c *soak.Checker) {
 			c.Ran("q", "e1", "", s)
 			c.Answered("q", soak.Answer{Cut: true}, s)
-			c.Ended("q", soak.Spoiled)
+			c.Ended("q", soak.BrokenOff)
 		}, ""},
-		{"cut by the target itself", func(c *soak.Checker) {
+		{"truncated by the target", func(c *soak.Checker) {
 			c.Ran("q", "e1", "", s)
-			c.Ended("q", soak.Spoiled)
+			c.Ended("q", soak.BrokenOff)
 			c.Answered("q", soak.Answer{Cut: true}, s)
 		}, ""},
-		{"cut when its caller's time is over", func(c *soak.Checker) {
+		{"truncated at the caller's timeout", func(c *soak.Checker) {
 			c.Ran("q", "e1", "", s)
 			c.Ended("q", soak.HungUp)
 			c.Answered("q", soak.Answer{Cut: true}, s/2+2*s)
 		}, ""},
-		{"cut just before its caller's time is over", func(c *soak.Checker) {
+		{"truncated just before the caller's timeout", func(c *soak.Checker) {
 			c.Ran("q", "e1", "", s)
 			c.Ended("q", soak.HungUp)
 			c.Answered("q", soak.Answer{Cut: true}, s/2+2*s-time.Millisecond)
-		}, soak.Uncut},
-		{"cut by the VM's kill", func(c *soak.Checker) {
+		}, soak.NoTruncation},
+		{"truncated as the VM is killed", func(c *soak.Checker) {
 			c.Disturbed("vm", s/2, s)
 			c.Ran("q", "e1", "", s)
-			c.Ended("q", soak.Written)
+			c.Ended("q", soak.Completed)
 			c.Answered("q", soak.Answer{Cut: true}, s)
 		}, ""},
-		{"all serve again", func(c *soak.Checker) { c.Recovers("vm", 9, 10, s) }, ""},
-		{"one does not", func(c *soak.Checker) { c.Recovers("vm", 8, 10, s) }, soak.Recovered},
-		{"one is not even asked", func(c *soak.Checker) { c.Recovers("vm", 0, 0, s) }, soak.Recovered},
+		{"VM serves again", func(c *soak.Checker) { c.CheckRecovery("vm", 9, 10, s) }, ""},
+		{"VM fails too many requests",
+			func(c *soak.Checker) { c.CheckRecovery("vm", 8, 10, s) }, soak.Recovered},
+		{"VM was sent no request", func(c *soak.Checker) { c.CheckRecovery("vm", 0, 0, s) }, soak.Recovered},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			c := soak.NewChecker()
 			c.Sent("q", "vm", true, s/2)
-			tc.history(c)
-			broken, _ := c.Result()
-			if tc.broken == "" {
-				is.Equal(len(broken), 0)
+			tc.events(c)
+			violations, _ := c.Result()
+			if tc.violated == "" {
+				is.Equal(len(violations), 0)
 				return
 			}
-			is.Equal(len(broken), 1)
-			is.Equal(broken[0].Promise, tc.broken)
+			is.Equal(len(violations), 1)
+			is.Equal(violations[0].Invariant, tc.violated)
 		})
 	}
 }
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -13,43 +13,47 @@
 )
 
 const (
-	// deadlyBody ends each target that begins to run it, and deadlyGap is the pause between
-	// two sends of it.
-	deadlyBody = "deadly"
-	deadlyGap  = 100 * time.Millisecond
-	// deadlyPrefix begins the ids of its attempts.
-	deadlyPrefix = "deadly-"
+	// crashingBody is a body that ends each target as it begins to run the request.
+	// crashingRequestGap is the pause between two attempts.
+	crashingBody       = "deadly"
+	crashingRequestGap = 100 * time.Millisecond
+	// crashingIDPrefix is the prefix of the ids of such attempts.
+	crashingIDPrefix = "deadly-"
 )
 
-// deadlyRoutes are the routes that it is sent on: one variant is one request.
-var deadlyRoutes = []kindOfCall{{route: "once", once: true, tokens: shortPrompt}, {route: "unsafe", once: true}, {route: "long", tokens: shortPrompt}}
+// crashingRequests are the crashing requests, one for each variant: each has a route of its own.
+var crashingRequests = []requestKind{{route: "once", nonIdempotent: true, tokens: shortPrompt},
+	{route: "unsafe", nonIdempotent: true}, {route: "long", tokens: shortPrompt}}
 
-// deadlyIDs numbers the attempts of all deadly requests.
-var deadlyIDs atomic.Int64
+// crashingAttempts numbers the attempts of all crashing requests.
+var crashingAttempts atomic.Int64
 
-// deadly sends one request, that ends its targets, to one VM after the other.
-func (w *world) deadly(ctx context.Context, f Fault) {
-	kind := deadlyRoutes[f.Variant%len(deadlyRoutes)]
+// sendCrashingRequests sends one crashing request to random VMs, one attempt after the other, for
+// the duration of the fault.
+func (h *harness) sendCrashingRequests(ctx context.Context, f Fault) {
+	kind := crashingRequests[f.Variant%len(crashingRequests)]
 	r := rand.New(rand.NewPCG(uint64(f.Index), uint64(f.Variant)))
-	for until := w.now() + f.For; w.now() < until && ctx.Err() == nil; kernel.Sleep(ctx, deadlyGap) {
-		v := w.pick(r)
+	for until := h.now() + f.Duration; h.now() < until && ctx.Err() == nil; kernel.Sleep(ctx, crashingRequestGap) {
+		v := h.pickVM(r)
 		c, err := platformtest.DialCaller(string(v.cfg.Listen), dialTimeout)
 		if err != nil {
 			continue
 		}
-		id := fmt.Sprint(deadlyPrefix, kind.route, "-", deadlyIDs.Add(1))
-		w.check.Sent(id, v.name, kind.once, w.now())
-		reply := c.Do(platformtest.Call{ID: id, Path: "/" + kind.route + "/x", Tokens: kind.tokens, Body: deadlyBody, Timeout: callTimeout})
-		a := answerOf(id, kind, reply)
-		w.check.Answered(id, a, w.now())
-		w.count("deadly " + kind.route + " " + outcome(a, reply))
+		id := fmt.Sprint(crashingIDPrefix, kind.route, "-", crashingAttempts.Add(1))
+		h.check.Sent(id, v.name, kind.nonIdempotent, h.now())
+		reply := c.Do(platformtest.Call{ID: id, Path: "/" + kind.route + "/x", Tokens: kind.tokens,
+			Body: crashingBody, Timeout: callTimeout})
+		a := newAnswer(id, kind, reply)
+		h.check.Answered(id, a, h.now())
+		h.count("deadly " + kind.route + " " + outcomeName(a, reply))
 		c.Close()
 	}
 }
 
-// deadlyRequest returns which request an attempt is of, or false for a sound one.
-func deadlyRequest(id string) (string, bool) {
-	rest, ok := strings.CutPrefix(id, deadlyPrefix)
+// crashingRequestOf returns the name of the crashing request that an attempt belongs to, or false
+// if id is not that of such an attempt.
+func crashingRequestOf(id string) (string, bool) {
+	rest, ok := strings.CutPrefix(id, crashingIDPrefix)
 	if !ok {
 		return "", false
 	}
@@ -57,24 +61,24 @@
 	return route, true
 }
 
-// ended puts a new target in the place of one that a deadly request has ended.
-func (w *world) ended(s *slot, e *platformtest.Engine) {
+// replaceCrashed starts a new target in place of one that a crashing request has ended.
+func (h *harness) replaceCrashed(s *slot, e *platformtest.Engine) {
 	s.mu.Lock()
-	here := s.engine == e && !s.away
+	here := s.engine == e && !s.unavailable
 	if here {
-		s.away = true
+		s.unavailable = true
 	}
 	s.mu.Unlock()
 	if !here {
-		// It was leaving, and is replaced at the end of that.
+		// The target was leaving, and is replaced when that has finished.
 		return
 	}
-	time.Sleep(rebornAfter)
-	w.store.Remove(platformtest.TableTargets, e.ID)
-	if w.ending() {
+	time.Sleep(targetRestartDelay)
+	h.store.Remove(platformtest.TableTargets, e.ID)
+	if h.isStopping() {
 		return
 	}
-	if err := w.fill(s); err != nil {
-		w.count("target_not_started")
+	if err := h.startTarget(s); err != nil {
+		h.count("target_not_started")
 	}
 }
--- a/internal/soak/deal.go
+++ b/internal/soak/deal.go
@@ -12,211 +12,226 @@
 	"garnethoist.org/garnethoist/platform/platformtest"
 )
 
-// The ways in which the store, links and targets are disturbed.
+// The variants of the faults of the store, of open connections, links and targets.
 var (
 	storeFaults = []platformtest.Fault{
-		platformtest.FaultBusy, platformtest.FaultLimited, platformtest.FaultSilent, platformtest.FaultReset,
+		platformtest.FaultBusy, platformtest.FaultLimited, platformtest.FaultSilent,
+		platformtest.FaultReset,
 		platformtest.FaultLost, platformtest.FaultStale, platformtest.FaultSlow,
 	}
-	silentFaults = []proc.Disturbance{proc.Lost, proc.Swallowed}
-	linkFaults   = []proc.Disturbance{proc.Refuse, proc.Reset, proc.Silent, proc.OneWay, proc.Delayed}
-	targetFaults = []platformtest.EngineFault{
-		platformtest.EngineFull, platformtest.EngineHangs, platformtest.EngineResets, platformtest.EngineCuts,
-		platformtest.EngineStray, platformtest.EngineUnsigned, platformtest.EngineFails, platformtest.EngineNoHandle,
+	silenceFaults = []proc.Disturbance{proc.Lost, proc.Swallowed}
+	linkFaults    = []proc.Disturbance{proc.Refuse, proc.Reset, proc.Silent, proc.OneWay, proc.Delayed}
+	targetFaults  = []platformtest.EngineFault{
+		platformtest.EngineFull, platformtest.EngineHangs, platformtest.EngineResets,
+		platformtest.EngineCuts,
+		platformtest.EngineStray, platformtest.EngineUnsigned, platformtest.EngineFails,
+		platformtest.EngineNoHandle,
 	}
 )
 
 const (
-	// upAfter is when a started process has come to its first line of code,
-	// before which the kernel ends it on SIGHUP whatever that line says.
-	upAfter = 200 * time.Millisecond
-	// rebornAfter is how long a target that starts again is away, and heartbeat the time
-	// between its writes of its entry.
-	rebornAfter = 300 * time.Millisecond
-	heartbeat   = 1200 * time.Millisecond
-	// rollGap is the pause between two stops of a roll: with four VMs all are
-	// stopping for a second or two, so that requests come to the end of each.
-	rollGap = 300 * time.Millisecond
-	// storms is how many changes a storm has, stormGap apart.
-	storms   = 8
-	stormGap = 100 * time.Millisecond
+	// sighupHandledAfter is the time that a started process has to reach its first line of code.
+	// Until it handles SIGHUP, the kernel ends the process on that signal.
+	sighupHandledAfter = 200 * time.Millisecond
+	// targetRestartDelay is how long a restarting target is down. heartbeatInterval is the time
+	// between a target's writes of its entry.
+	targetRestartDelay = 300 * time.Millisecond
+	heartbeatInterval  = 1200 * time.Millisecond
+	// rollingStopGap is the pause between the stops of two VMs. With four VMs all of them are
+	// stopping for a second or two, so that requests reach each VM at the very end.
+	rollingStopGap = 300 * time.Millisecond
+	// A configuration storm is stormChanges changes, stormInterval apart.
+	stormChanges  = 8
+	stormInterval = 100 * time.Millisecond
 )
 
-// deal deals the plan's faults at their times, and waits for their ends.
-func (w *world) deal(ctx context.Context, plan []Fault) {
+// injectAll injects the plan's faults at their times and waits for them to end.
+func (h *harness) injectAll(ctx context.Context, plan []Fault) {
 	var faults sync.WaitGroup
 	defer faults.Wait()
 	for _, f := range plan {
-		kernel.Sleep(ctx, f.At-w.now())
+		kernel.Sleep(ctx, f.At-h.now())
 		if ctx.Err() != nil {
 			return
 		}
-		faults.Go(func() { w.dealOne(ctx, f) })
+		faults.Go(func() { h.inject(ctx, f) })
 	}
 }
 
-func (w *world) dealOne(ctx context.Context, f Fault) {
-	v := w.vms[f.Index%len(w.vms)]
-	s := w.slots[f.Index%len(w.slots)]
+// inject injects one fault and returns when it has ended.
+func (h *harness) inject(ctx context.Context, f Fault) {
+	v := h.vms[f.Index%len(h.vms)]
+	s := h.slots[f.Index%len(h.slots)]
 	switch f.Kind {
-	case Stop:
-		w.stop(ctx, v)
-	case Roll:
-		w.roll(ctx)
-	case Kill:
-		w.kill(v)
-	case Pause:
-		w.pause(ctx, v, f.For)
-	case Hangup:
-		w.hangup(v, f.Variant)
+	case StopVM:
+		h.stopVM(ctx, v)
+	case RollingStop:
+		h.stopAllInTurn(ctx)
+	case KillVM:
+		h.killVM(v)
+	case PauseVM:
+		h.pauseVM(ctx, v, f.Duration)
+	case ChangeSettings:
+		h.changeSettings(v, f.Variant)
 	case StoreFault:
-		w.disturbStore(ctx, storeFaults[f.Variant%len(storeFaults)], f.For)
-	case StoreForget:
-		w.check.Disturbed(All, w.now(), w.now())
-		w.store.DropHistory()
+		h.injectStoreFault(ctx, storeFaults[f.Variant%len(storeFaults)], f.Duration)
+	case StoreDropsHistory:
+		h.check.Disturbed(All, h.now(), h.now())
+		h.store.DropHistory()
 	case StoreLink:
-		w.disturbLink(ctx, v.store, v.name, f)
+		h.injectLinkFault(ctx, v.storeLink, v.name, f)
 	case TargetLink:
-		w.disturbLink(ctx, s.link, w.idAt(s), f)
+		h.injectLinkFault(ctx, s.link, h.targetID(s), f)
 	case StoreSilence:
-		for _, v := range w.vms {
-			w.silence(v.store, v.name, f)
+		for _, v := range h.vms {
+			h.silenceConnections(v.storeLink, v.name, f)
 		}
 	case TargetSilence:
-		w.silence(s.link, w.idAt(s), f)
+		h.silenceConnections(s.link, h.targetID(s), f)
 	case TargetFault:
-		w.disturbTarget(ctx, s, targetFaults[f.Variant%len(targetFaults)], f.For)
-	case Leave:
-		w.leave(ctx, s)
-	case Crash:
-		w.crash(ctx, s)
-	case Reborn:
-		w.restart(ctx, s)
-	case Foreign:
-		w.foreign(ctx, s)
-	case Deadly:
-		w.deadly(ctx, f)
-	case Revoke:
-		w.revoke(f.Index)
-	case Change:
-		w.change()
-	case Storm:
-		for range storms {
-			w.change()
-			kernel.Sleep(ctx, stormGap)
+		h.injectTargetFault(ctx, s, targetFaults[f.Variant%len(targetFaults)], f.Duration)
+	case TargetLeaves:
+		h.drainTarget(ctx, s)
+	case TargetCrashes:
+		h.crashTarget(ctx, s)
+	case TargetRestarts:
+		h.restartTarget(ctx, s)
+	case ForeignEntries:
+		h.writeForeignEntries(ctx, s)
+	case CrashingRequest:
+		h.sendCrashingRequests(ctx, f)
+	case RevokeKey:
+		h.revokeKey(f.Index)
+	case ChangeConfig:
+		h.changeConfig()
+	case ConfigStorm:
+		for range stormChanges {
+			h.changeConfig()
+			kernel.Sleep(ctx, stormInterval)
 		}
 	}
 }
 
-// stop sends SIGTERM, and SIGKILL to what is still there when the grace ends.
-func (w *world) stop(ctx context.Context, v *vm) {
-	p, life := w.signalled(v)
+// stopVM sends SIGTERM, and SIGKILL if the process is still running after the grace period.
+func (h *harness) stopVM(ctx context.Context, v *vm) {
+	p, incarnation := h.expectExit(v)
 	if p == nil || p.Terminate() != nil {
 		return
 	}
 	kernel.Sleep(ctx, grace)
-	if now, other := v.current(); now == p && other == life && !p.Exited() && ctx.Err() == nil {
-		w.check.Disturbed(v.name, w.now(), w.now()+settled)
-		// It may end at this moment.
+	if now, other := v.current(); now == p && other == incarnation && !p.Exited() && ctx.Err() == nil {
+		h.check.Disturbed(v.name, h.now(), h.now()+settleTime)
+		// The process may exit at this moment.
 		_ = p.Kill()
 	}
 }
 
-// roll stops all VMs in turn.
-func (w *world) roll(ctx context.Context) {
+// stopAllInTurn stops all VMs, one shortly after the other.
+func (h *harness) stopAllInTurn(ctx context.Context) {
 	var stops sync.WaitGroup
 	defer stops.Wait()
-	for _, v := range w.vms {
-		stops.Go(func() { w.stop(ctx, v) })
-		kernel.Sleep(ctx, rollGap)
+	for _, v := range h.vms {
+		stops.Go(func() { h.stopVM(ctx, v) })
+		kernel.Sleep(ctx, rollingStopGap)
 	}
 }
 
-func (w *world) kill(v *vm) {
-	w.check.Disturbed(v.name, w.now(), w.now()+settled)
-	if p, _ := w.signalled(v); p != nil {
-		// It may end at this moment.
+// killVM sends SIGKILL.
+func (h *harness) killVM(v *vm) {
+	h.check.Disturbed(v.name, h.now(), h.now()+settleTime)
+	if p, _ := h.expectExit(v); p != nil {
+		// The process may exit at this moment.
 		_ = p.Kill()
 	}
 }
 
-// signalled returns a VM's process, which is to end.
-func (w *world) signalled(v *vm) (*proc.Process, int) {
+// expectExit marks the exit of a VM's process as expected. It returns the process and its
+// incarnation, or nil if none is running.
+func (h *harness) expectExit(v *vm) (*proc.Process, int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.process == nil || v.process.Exited() {
 		return nil, 0
 	}
-	v.expected = true
-	return v.process, v.life
+	v.exitExpected = true
+	return v.process, v.incarnation
 }
 
-func (w *world) pause(ctx context.Context, v *vm, d time.Duration) {
+// pauseVM stops a VM's process with SIGSTOP for a time.
+func (h *harness) pauseVM(ctx context.Context, v *vm, d time.Duration) {
 	p, _ := v.current()
-	w.check.Disturbed(v.name, w.now(), w.now()+d+settled)
+	h.check.Disturbed(v.name, h.now(), h.now()+d+settleTime)
 	if p == nil || p.Exited() || p.Signal(syscall.SIGSTOP) != nil {
 		return
 	}
 	kernel.Sleep(ctx, d)
-	// It may have been killed meanwhile.
+	// The process may have been killed meanwhile.
 	_ = p.Signal(syscall.SIGCONT)
 }
 
-// hangup changes the settings file, with a signal or silently.
-func (w *world) hangup(v *vm, variant int) {
+// changeSettings rewrites a VM's settings file. Odd variants also send SIGHUP.
+func (h *harness) changeSettings(v *vm, variant int) {
 	v.mu.Lock()
 	v.cfg.LogLinesPerS = int64(300 + variant%100)
-	err := w.cluster.Write(v.name, v.cfg)
-	p, up := v.process, time.Since(v.started) > upAfter
+	err := h.cluster.Write(v.name, v.cfg)
+	p, up := v.process, time.Since(v.startedAt) > sighupHandledAfter
 	v.mu.Unlock()
 	if err != nil || variant%2 == 0 || p == nil || p.Exited() || !up {
 		return
 	}
-	// It may end at this moment.
+	// The process may exit at this moment.
 	_ = p.Signal(syscall.SIGHUP)
 }
 
-func (w *world) disturbStore(ctx context.Context, f platformtest.Fault, d time.Duration) {
-	w.check.Disturbed(All, w.now(), w.now()+d)
-	w.mu.Lock()
-	w.storeTurn++
-	turn := w.storeTurn
-	w.mu.Unlock()
-	w.store.SetFault(f)
+// injectStoreFault makes the store misbehave for the duration d, unless a newer fault of the store
+// replaces this one.
+func (h *harness) injectStoreFault(ctx context.Context, f platformtest.Fault, d time.Duration) {
+	h.check.Disturbed(All, h.now(), h.now()+d)
+	h.mu.Lock()
+	h.storeFaultSeq++
+	seq := h.storeFaultSeq
+	h.mu.Unlock()
+	h.store.SetFault(f)
 	if f == platformtest.FaultStale {
-		// Old reads matter where a VM lists a table that it knows.
-		w.store.DropHistory()
+		// Stale reads matter only if a VM lists a table that it knows already. Dropping the history
+		// cuts the feed of changes, so that the VMs list the tables again.
+		h.store.DropHistory()
 	}
 	kernel.Sleep(ctx, d)
-	w.mu.Lock()
-	newest := w.storeTurn == turn
-	w.mu.Unlock()
+	h.mu.Lock()
+	newest := h.storeFaultSeq == seq
+	h.mu.Unlock()
 	if newest {
-		w.store.SetFault(platformtest.FaultNone)
+		h.store.SetFault(platformtest.FaultNone)
 	}
 }
 
-func (w *world) disturbLink(ctx context.Context, r *proc.Relay, subject string, f Fault) {
-	w.check.Disturbed(subject, w.now(), w.now()+f.For)
+// injectLinkFault disturbs a link for the duration of the fault. subject is the VM or target that
+// counts as disturbed.
+func (h *harness) injectLinkFault(ctx context.Context, r *proc.Relay, subject string, f Fault) {
+	h.check.Disturbed(subject, h.now(), h.now()+f.Duration)
 	r.Disturb(linkFaults[f.Variant%len(linkFaults)])
-	kernel.Sleep(ctx, f.For)
+	kernel.Sleep(ctx, f.Duration)
 	r.Heal()
 }
 
-// silence silences the connections that are open now. What they carry may be cut,
-// and nothing else: later requests have the time that any other has.
-func (w *world) silence(r *proc.Relay, subject string, f Fault) {
-	w.check.Disturbed(subject, w.now(), w.now())
-	r.Disturb(silentFaults[f.Variant%len(silentFaults)])
+// silenceConnections silences the connections that are open now. Only requests on them may be cut:
+// later ones have the full time to be answered.
+func (h *harness) silenceConnections(r *proc.Relay, subject string, f Fault) {
+	h.check.Disturbed(subject, h.now(), h.now())
+	r.Disturb(silenceFaults[f.Variant%len(silenceFaults)])
 }
 
-func (w *world) idAt(s *slot) string {
+// targetID returns the id of a slot's current target.
+func (h *harness) targetID(s *slot) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.engine.ID
 }
 
-func (w *world) disturbTarget(ctx context.Context, s *slot, f platformtest.EngineFault, d time.Duration) {
+// injectTargetFault makes a slot's current target misbehave for the duration d.
+func (h *harness) injectTargetFault(
+	ctx context.Context, s *slot, f platformtest.EngineFault, d time.Duration) {
 	s.mu.Lock()
 	e := s.engine
 	s.mu.Unlock()
@@ -225,102 +240,105 @@
 	e.SetFault(platformtest.EngineHealthy)
 }
 
-// take marks a slot's target as going, unless it goes already or the service
-// would have too few.
-func (w *world) take(s *slot) *platformtest.Engine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// takeTarget marks a slot's target as unavailable and returns it. It returns nil if the target is
+// unavailable already or the service would have fewer than minTargets left.
+func (h *harness) takeTarget(s *slot) *platformtest.Engine {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	here := 0
-	for _, other := range w.slots {
+	for _, other := range h.slots {
 		other.mu.Lock()
-		if other.service == s.service && !other.away {
+		if other.service == s.service && !other.unavailable {
 			here++
 		}
 		other.mu.Unlock()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away || here <= leastTargets {
+	if s.unavailable || here <= minTargets {
 		return nil
 	}
-	s.away = true
+	s.unavailable = true
 	return s.engine
 }
 
-// leastTargets of a service always stay.
-const leastTargets = 2
+// minTargets is the number of targets of a service that always stay available.
+const minTargets = 2
 
-// leave drains a target as planned and puts another one in its place.
-func (w *world) leave(ctx context.Context, s *slot) {
-	e := w.take(s)
+// drainTarget has a target leave as planned and starts another one in its place.
+func (h *harness) drainTarget(ctx context.Context, s *slot) {
+	e := h.takeTarget(s)
 	if e == nil {
 		return
 	}
-	w.store.Put(platformtest.TableTargets, e.ID, platformtest.WithLeaving(platformtest.WithAddress(e.Row(s.service, s.dataCentre()), s.link.Addr())))
-	w.check.Leaves(e.ID, w.now())
-	kernel.Sleep(ctx, leaveTakes)
-	w.store.Remove(platformtest.TableTargets, e.ID)
-	w.replace(s, e)
+	h.store.Put(platformtest.TableTargets, e.ID,
+		platformtest.WithLeaving(platformtest.WithAddress(e.Row(s.service, s.dataCentre()), s.link.Addr())))
+	h.check.Leaves(e.ID, h.now())
+	kernel.Sleep(ctx, drainTime)
+	h.store.Remove(platformtest.TableTargets, e.ID)
+	h.replaceTarget(s, e)
 }
 
-// crash ends a target without a word; its entry lapses later.
-func (w *world) crash(ctx context.Context, s *slot) {
-	e := w.take(s)
+// crashTarget ends a target without warning. Its entry is removed only after crashedEntryTTL.
+func (h *harness) crashTarget(ctx context.Context, s *slot) {
+	e := h.takeTarget(s)
 	if e == nil {
 		return
 	}
-	w.check.Disturbed(e.ID, w.now(), w.now()+entryStays)
+	h.check.Disturbed(e.ID, h.now(), h.now()+crashedEntryTTL)
 	e.Close()
-	kernel.Sleep(ctx, entryStays)
-	w.store.Remove(platformtest.TableTargets, e.ID)
-	w.replace(s, e)
+	kernel.Sleep(ctx, crashedEntryTTL)
+	h.store.Remove(platformtest.TableTargets, e.ID)
+	h.replaceTarget(s, e)
 }
 
-// restart ends a target without a word and starts it again under its id.
-func (w *world) restart(ctx context.Context, s *slot) {
-	e := w.take(s)
+// restartTarget ends a target without warning and starts it again under the same id.
+func (h *harness) restartTarget(ctx context.Context, s *slot) {
+	e := h.takeTarget(s)
 	if e == nil {
 		return
 	}
-	w.check.Disturbed(e.ID, w.now(), w.now()+settled)
+	h.check.Disturbed(e.ID, h.now(), h.now()+settleTime)
 	e.Close()
-	kernel.Sleep(ctx, rebornAfter)
-	if err := w.fillAs(s, e.ID); err != nil {
-		w.count("target_not_started")
+	kernel.Sleep(ctx, targetRestartDelay)
+	if err := h.startTargetAs(s, e.ID); err != nil {
+		h.count("target_not_started")
 	}
 }
 
-// foreign has another program write entries: of targets that there are not, and over the
-// entry of one that there is, which writes its own again with its next heartbeat.
-func (w *world) foreign(ctx context.Context, s *slot) {
+// writeForeignEntries writes entries as another program would: some for targets that do not exist,
+// and one over the entry of an existing target. That target writes its own entry again with its
+// next heartbeat.
+func (h *harness) writeForeignEntries(ctx context.Context, s *slot) {
 	s.mu.Lock()
 	e := s.engine
 	sound := platformtest.WithAddress(e.Row(s.service, s.dataCentre()), s.link.Addr())
 	s.mu.Unlock()
 	for i, entry := range platformtest.ForeignEntries(sound) {
-		w.store.PutBytes(platformtest.TableTargets, fmt.Sprintf("foreign-%d", i), entry)
+		h.store.PutBytes(platformtest.TableTargets, fmt.Sprintf("foreign-%d", i), entry)
 	}
-	w.check.Disturbed(e.ID, w.now(), w.now()+settled)
-	w.store.PutBytes(platformtest.TableTargets, e.ID, []byte("{"))
-	kernel.Sleep(ctx, heartbeat)
+	h.check.Disturbed(e.ID, h.now(), h.now()+settleTime)
+	h.store.PutBytes(platformtest.TableTargets, e.ID, []byte("{"))
+	kernel.Sleep(ctx, heartbeatInterval)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.engine == e && !s.away {
-		w.list(s, e)
+	if s.engine == e && !s.unavailable {
+		h.writeEntry(s, e)
 	}
 }
 
-// replace puts a new target at the address of an old one.
-func (w *world) replace(s *slot, old *platformtest.Engine) {
-	w.check.Disturbed(old.ID, w.now(), w.now()+settled)
+// replaceTarget starts a new target at the address of an old one.
+func (h *harness) replaceTarget(s *slot, old *platformtest.Engine) {
+	h.check.Disturbed(old.ID, h.now(), h.now()+settleTime)
 	old.Close()
-	if err := w.fill(s); err != nil {
-		w.count("target_not_started")
+	if err := h.startTarget(s); err != nil {
+		h.count("target_not_started")
 	}
 }
 
-func (w *world) count(what string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.tallies[what]++
+// count counts an outcome for the report.
+func (h *harness) count(what string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.outcomes[what]++
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -6,132 +6,144 @@
 	"time"
 )
 
-// Kind is a kind of fault.
-type Kind string
+// FaultKind is a kind of fault.
+type FaultKind string
 
-// The kinds of fault.
+// The kinds of faults.
 const (
-	// Of a VM's process. Stop is planned: SIGTERM, and a start after the end.
-	Stop Kind = "vm_stop"
-	// Roll stops all VMs in turn, each before the one before it has ended.
-	Roll   Kind = "vm_roll"
-	Kill   Kind = "vm_kill"
-	Pause  Kind = "vm_pause"
-	Hangup Kind = "vm_settings"
-	// Of the store.
-	StoreFault  Kind = "store_fault"
-	StoreForget Kind = "store_forgets"
-	// Of links: from a VM to the store, and to a target.
-	StoreLink  Kind = "store_link"
-	TargetLink Kind = "target_link"
-	// Of the connections that are open: those of all VMs to the store, or to a
-	// target, fall silent for good, while new ones pass.
-	StoreSilence  Kind = "store_silence"
-	TargetSilence Kind = "target_silence"
-	// Of targets. Leave is planned; Crash frees the address for another one.
-	TargetFault Kind = "target_fault"
-	Leave       Kind = "target_leaves"
-	Crash       Kind = "target_crashes"
-	// Reborn: a target crashes and starts again under its id. Foreign: another program
-	// writes entries, also over those of targets, which write theirs again. Both are dealt
-	// by histories only: what is drawn for a seed stays as it was when it failed.
-	Reborn  Kind = "target_reborn"
-	Foreign Kind = "foreign_entries"
-	// Deadly: a request that ends each target that runs it is sent again and again. It is dealt
-	// by histories only, as well.
-	Deadly Kind = "deadly_request"
-	// Revoke takes a key from an account. It is dealt by histories only, as well.
-	Revoke Kind = "key_revoked"
-	// Of the configuration: one change, or several in quick succession.
-	Change Kind = "config_change"
-	Storm  Kind = "config_storm"
+	// StopVM stops a VM as planned: SIGTERM, and a start after the exit.
+	StopVM FaultKind = "vm_stop"
+	// RollingStop stops all VMs in turn, each before the previous one has exited.
+	RollingStop FaultKind = "vm_roll"
+	// KillVM sends SIGKILL to a VM's process, which then starts again.
+	KillVM FaultKind = "vm_kill"
+	// PauseVM stops a VM's process with SIGSTOP for a time.
+	PauseVM FaultKind = "vm_pause"
+	// ChangeSettings changes a VM's settings file, with or without SIGHUP.
+	ChangeSettings FaultKind = "vm_settings"
+	// StoreFault makes the store misbehave for a time.
+	StoreFault FaultKind = "store_fault"
+	// StoreDropsHistory makes the store drop the history of its changes.
+	StoreDropsHistory FaultKind = "store_forgets"
+	// StoreLink disturbs the link from one VM to the store, and TargetLink that to a target.
+	StoreLink  FaultKind = "store_link"
+	TargetLink FaultKind = "target_link"
+	// StoreSilence and TargetSilence silence for good the open connections of all VMs to the store,
+	// or to one target, while new connections work.
+	StoreSilence  FaultKind = "store_silence"
+	TargetSilence FaultKind = "target_silence"
+	// TargetFault makes a target misbehave for a time.
+	TargetFault FaultKind = "target_fault"
+	// TargetLeaves: a target leaves as planned, and another one replaces it.
+	TargetLeaves FaultKind = "target_leaves"
+	// TargetCrashes: a target ends, and another one gets its address.
+	TargetCrashes FaultKind = "target_crashes"
+	// TargetRestarts: a target crashes and starts again under its id. ForeignEntries: another
+	// program writes entries, also over those of targets, which write theirs again. Only explicit
+	// plans contain these two: a seed that failed must keep its plan.
+	TargetRestarts FaultKind = "target_reborn"
+	ForeignEntries FaultKind = "foreign_entries"
+	// CrashingRequest: a request that crashes each target that runs it is sent again and again.
+	// Only explicit plans contain it.
+	CrashingRequest FaultKind = "deadly_request"
+	// RevokeKey revokes a key of a client account. Only explicit plans contain it.
+	RevokeKey FaultKind = "key_revoked"
+	// ChangeConfig writes one new configuration version, and ConfigStorm several in quick
+	// succession.
+	ChangeConfig FaultKind = "config_change"
+	ConfigStorm  FaultKind = "config_storm"
 )
 
 // Fault is one fault of a plan.
 type Fault struct {
-	Kind Kind
-	At   time.Duration
-	For  time.Duration
-	// Index chooses the VM or target, and Variant the way, both modulo what
-	// there is.
+	Kind FaultKind
+	// At is the time since the start of the run. Not all kinds use Duration: a stop,
+	// for example, lasts as long as it takes.
+	At       time.Duration
+	Duration time.Duration
+	// Index selects the VM or target, and Variant the form of the fault, both modulo the number of
+	// choices.
 	Index   int
 	Variant int
 }
 
-// kinds has each kind as often as it is dealt among others.
-var kinds = []Kind{
-	Stop, Stop, Kill, Pause, Pause, Hangup, StoreFault, StoreFault, StoreForget, StoreLink, StoreLink,
-	TargetLink, TargetFault, TargetFault, TargetFault, TargetFault, TargetFault, TargetFault, Leave, Crash, Change, Change, Storm,
+// weightedKinds lists each kind as often as its share among all faults requires.
+var weightedKinds = []FaultKind{
+	StopVM, StopVM, KillVM, PauseVM, PauseVM, ChangeSettings, StoreFault, StoreFault,
+	StoreDropsHistory, StoreLink, StoreLink, TargetLink,
+	TargetFault, TargetFault, TargetFault, TargetFault, TargetFault, TargetFault, TargetLeaves,
+	TargetCrashes, ChangeConfig, ChangeConfig, ConfigStorm,
 }
 
 const (
-	// firstFault leaves the VMs time to come up.
-	firstFault = 2 * time.Second
-	// lastFault is kept free of new faults before the end, for recovery.
-	lastFault = 4 * time.Second
-	// meanGap is the mean time between the begins of two faults.
-	meanGap = 400 * time.Millisecond
-	// shortest and longest bound a fault's duration.
-	shortest = 300 * time.Millisecond
-	longest  = 4 * time.Second
-	// silenceGap is the mean time between two silences.
-	silenceGap = 4 * time.Second
-	// series is the chance that a fault comes again at the moment it ends.
-	series = 0.25
+	// firstFaultAt is the time of the earliest fault; it leaves the VMs time to start.
+	firstFaultAt = 2 * time.Second
+	// faultFreeTail is the time before the end of a run in which no new fault begins, for recovery.
+	faultFreeTail = 4 * time.Second
+	// meanFaultGap is the mean time between the starts of two faults.
+	meanFaultGap = 400 * time.Millisecond
+	// minDuration and maxDuration bound the duration of a fault.
+	minDuration = 300 * time.Millisecond
+	maxDuration = 4 * time.Second
+	// meanSilenceGap is the mean time between two silence faults.
+	meanSilenceGap = 4 * time.Second
+	// repeatChance is the probability that a fault is repeated the moment it ends.
+	repeatChance = 0.25
 )
 
-// planned has the kinds after which every promise holds at once, and faults of
-// targets, which excuse no VM.
-var planned = []Kind{Stop, Stop, Hangup, TargetFault, TargetFault, Leave, Leave, Change, Storm}
+// plannedKinds lists the kinds after which every invariant holds at once, and faults of targets,
+// during which the VMs must keep every invariant.
+var plannedKinds = []FaultKind{StopVM, StopVM, ChangeSettings, TargetFault, TargetFault,
+	TargetLeaves, TargetLeaves, ChangeConfig, ConfigStorm}
 
-// plannedEvery is how many seeds there are for each that deals planned kinds
-// only: bounds on time are judged on undisturbed VMs, of which other seeds have
-// few.
-const plannedEvery = 3
+// One seed in plannedOnlyEvery has planned kinds only: time bounds are checked on undisturbed VMs,
+// of which other seeds have few.
+const plannedOnlyEvery = 3
 
-// rolledEvery is how many seeds there are for each in which all VMs are stopped in
-// turn, at the first fault and halfway: callers then go to VMs that stop, as no
-// others are left.
-const rolledEvery = 5
+// One seed in rollingStopEvery stops all VMs in turn, at the time of the first fault and halfway:
+// callers then go to stopping VMs, as no others are left.
+const rollingStopEvery = 5
 
-// Plan deals faults by a seed: the same seed gives the same plan. They overlap,
-// and some come in series.
+// Plan generates the faults of a run from a seed: the same seed and length give the same plan.
+// Faults overlap, and some are repeated.
 func Plan(seed uint64, length time.Duration) []Fault {
-	kinds := kinds
-	if seed%plannedEvery == 0 {
-		kinds = planned
+	kinds := weightedKinds
+	if seed%plannedOnlyEvery == 0 {
+		kinds = plannedKinds
 	}
 	out := silences(seed, length)
 	r := rand.New(rand.NewPCG(seed, seed))
-	at := firstFault
-	for at < length-lastFault {
+	at := firstFaultAt
+	for at < length-faultFreeTail {
 		f := Fault{
 			Kind: kinds[r.IntN(len(kinds))], At: at, Index: r.IntN(1 << 16), Variant: r.IntN(1 << 16),
-			For: shortest + time.Duration(r.Int64N(int64(longest-shortest))),
+			Duration: minDuration + time.Duration(r.Int64N(int64(maxDuration-minDuration))),
 		}
 		out = append(out, f)
-		for r.Float64() < series && f.At+f.For < length-lastFault {
-			f.At += f.For
+		for r.Float64() < repeatChance && f.At+f.Duration < length-faultFreeTail {
+			f.At += f.Duration
 			f.Variant = r.IntN(1 << 16)
 			out = append(out, f)
 		}
-		at += time.Duration(r.ExpFloat64() * float64(meanGap))
+		at += time.Duration(r.ExpFloat64() * float64(meanFaultGap))
 	}
-	if seed%rolledEvery == rolledEvery-1 {
-		out = append(out, Fault{Kind: Roll, At: firstFault}, Fault{Kind: Roll, At: length / 2})
+	if seed%rollingStopEvery == rollingStopEvery-1 {
+		out = append(out, Fault{Kind: RollingStop, At: firstFaultAt},
+			Fault{Kind: RollingStop, At: length / 2})
 	}
 	sort.SliceStable(out, func(i, j int) bool { return out[i].At < out[j].At })
 	return out
 }
 
-// silences deals the silences of connections by a sequence of their own, so that
-// the other faults of a seed stay as they were when it failed.
+// silences generates the silence faults from a random sequence of their own, so that the other
+// faults of a seed that failed stay as they were.
 func silences(seed uint64, length time.Duration) []Fault {
 	r := rand.New(rand.NewPCG(seed, ^seed))
-	kinds := []Kind{StoreSilence, TargetSilence}
+	kinds := []FaultKind{StoreSilence, TargetSilence}
 	var out []Fault
-	for at := firstFault; at < length-lastFault; at += time.Duration(r.ExpFloat64() * float64(silenceGap)) {
-		out = append(out, Fault{Kind: kinds[r.IntN(len(kinds))], At: at, Index: r.IntN(1 << 16), Variant: r.IntN(1 << 16)})
+	for at := firstFaultAt; at < length-faultFreeTail; at += time.Duration(r.ExpFloat64() * float64(meanSilenceGap)) {
+		out = append(out, Fault{Kind: kinds[r.IntN(len(kinds))], At: at, Index: r.IntN(1 << 16),
+			Variant: r.IntN(1 << 16)})
 	}
 	return out
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -10,113 +10,117 @@
 	"garnethoist.org/garnethoist/platform/platformtest"
 )
 
-// Config says how large a soak is.
+// Config sets the size of a run and where its files are.
 type Config struct {
 	Seed   uint64
 	Length time.Duration
-	// Faults is dealt in place of the seed's plan, where it is set.
+	// Faults, if not nil, is used instead of the plan that Seed gives.
 	Faults []Fault
 	VMs    int
-	// Engines and Plains are the numbers of targets; Callers is that of callers
-	// that ask one after the other.
-	Engines int
-	Plains  int
-	Callers int
-	// Accounts has callers name client accounts by keys, and VMs report their use.
+	// Engines and PlainTargets are numbers of targets. Callers is the number of callers that send
+	// requests one after the other.
+	Engines      int
+	PlainTargets int
+	Callers      int
+	// Accounts makes callers send keys of client accounts, and VMs report usage.
 	Accounts bool
-	// Bin holds the programs, Dir takes settings and logs.
+	// Bin is the directory of the programs, and Dir that for settings and logs.
 	Bin   string
 	Dir   string
 	Ports *proc.Ports
 }
 
 const (
-	// startWithin bounds the first start, and recoverWithin the return of all
-	// VMs after the last fault: the users' pages say 12 s.
-	startWithin   = 20 * time.Second
-	recoverWithin = 12 * time.Second
-	// lastAsks is how many requests each VM is sent after the last fault.
-	lastAsks = 20
+	// startTimeout bounds the first start of all VMs. recoveryTimeout bounds the time until all VMs
+	// are ready after the last fault; the user documentation states 12 s.
+	startTimeout    = 20 * time.Second
+	recoveryTimeout = 12 * time.Second
+	// finalRequests is the number of requests that each VM is sent after the last fault.
+	finalRequests = 20
 )
 
-// Report is what a soak found.
+// Report is the result of a run.
 type Report struct {
-	Seed       uint64
-	Length     time.Duration
-	Faults     []Fault
+	Seed   uint64
+	Length time.Duration
+	Faults []Fault
+	// Outcomes counts requests by kind and outcome, and a few other events. Checks counts the
+	// checks of each invariant.
 	Outcomes   map[string]int
-	Checks     map[Promise]int
+	Checks     map[Invariant]int
 	Violations []Violation
 }
 
-// Run soaks: it starts the VMs, deals the seed's faults and checks.
+// Run starts the VMs, injects the faults and checks the invariants. It returns an error if the VMs
+// do not start; violations are in the report.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
-	w, err := newWorld(cfg)
+	h, err := newHarness(cfg)
 	if err != nil {
 		return nil, err
 	}
-	defer w.close()
-	start, cancel := context.WithTimeout(ctx, startWithin)
-	err = w.awaitReady(start)
+	defer h.close()
+	start, cancel := context.WithTimeout(ctx, startTimeout)
+	err = h.awaitReady(start)
 	cancel()
 	if err != nil {
 		return nil, err
 	}
-	w.served = time.Now()
+	h.readyAt = time.Now()
 	plan := cfg.Faults
 	if plan == nil {
 		plan = Plan(cfg.Seed, cfg.Length)
 	}
-	w.soak(ctx, plan)
-	w.recover(ctx)
-	w.checkDuties()
-	violations, checks := w.check.Result()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return &Report{Seed: cfg.Seed, Length: cfg.Length, Faults: plan, Outcomes: w.tallies, Checks: checks, Violations: violations}, nil
+	h.runFaults(ctx, plan)
+	h.checkRecovery(ctx)
+	h.checkDuties()
+	violations, checks := h.check.Result()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return &Report{Seed: cfg.Seed, Length: cfg.Length, Faults: plan, Outcomes: h.outcomes,
+		Checks: checks, Violations: violations}, nil
 }
 
-// soak runs callers, probes and faults for the soak's length.
-func (w *world) soak(ctx context.Context, plan []Fault) {
-	ctx, cancel := context.WithDeadline(ctx, w.began.Add(w.cfg.Length))
+// runFaults runs callers, probes and faults for the length of the run.
+func (h *harness) runFaults(ctx context.Context, plan []Fault) {
+	ctx, cancel := context.WithDeadline(ctx, h.startedAt.Add(h.cfg.Length))
 	defer cancel()
-	var ids ids
+	var ids idSource
 	var parts sync.WaitGroup
-	parts.Go(func() { w.balance(ctx) })
-	parts.Go(func() { w.deal(ctx, plan) })
-	for i := range w.cfg.Callers {
-		parts.Go(func() { w.call(ctx, &ids, w.cfg.Seed+uint64(i)) })
+	parts.Go(func() { h.pollReadiness(ctx) })
+	parts.Go(func() { h.injectAll(ctx, plan) })
+	for i := range h.cfg.Callers {
+		parts.Go(func() { h.runCaller(ctx, &ids, h.cfg.Seed+uint64(i)) })
 	}
-	for _, v := range w.vms {
-		parts.Go(func() { w.probe(ctx, v, &ids) })
+	for _, v := range h.vms {
+		parts.Go(func() { h.probeVersions(ctx, v, &ids) })
 	}
 	parts.Wait()
 }
 
-// recover ends all faults and checks that every VM serves again in time.
-func (w *world) recover(ctx context.Context) {
-	w.heal()
-	ready, cancel := context.WithTimeout(ctx, recoverWithin)
+// checkRecovery ends all faults and checks that every VM serves again in time.
+func (h *harness) checkRecovery(ctx context.Context) {
+	h.clearFaults()
+	ready, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	// A VM that is not ready is found by its answers.
-	_ = w.awaitReady(ready)
-	kernel.Sleep(ready, settled)
-	var last ids
+	// A VM that is not ready is found by its answers below.
+	_ = h.awaitReady(ready)
+	kernel.Sleep(ready, settleTime)
+	var last idSource
 	last.n.Store(1 << 40)
-	for _, v := range w.vms {
+	for _, v := range h.vms {
 		served := 0
-		for i := range lastAsks {
-			kind := kindsOfCall[i%len(kindsOfCall)]
+		for i := range finalRequests {
+			kind := requestKinds[i%len(requestKinds)]
 			c, err := platformtest.DialCaller(string(v.cfg.Listen), dialTimeout)
 			if err != nil {
 				continue
 			}
-			if r := w.ask(c, v, last.next(), kind); r.Err == nil && (r.Status == 200 || r.Status == 401) {
-				// A removed key is denied.
+			if r := h.send(c, v, last.next(), kind); r.Err == nil && (r.Status == 200 || r.Status == 401) {
+				// 401 is the right answer to a revoked key.
 				served++
 			}
 			c.Close()
 		}
-		w.check.Recovers(v.name, served, lastAsks, w.now())
+		h.check.CheckRecovery(v.name, served, finalRequests, h.now())
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -15,152 +15,159 @@
 )
 
 const (
-	// grace is the VMs' time from SIGTERM to SIGKILL.
+	// grace is the time that a VM has between SIGTERM and SIGKILL.
 	grace = 4 * time.Second
-	// restartAfter is the pause before an ended process is started again.
-	restartAfter = 200 * time.Millisecond
-	// settled is how long after its start a VM still counts as disturbed.
-	settled = time.Second
-	// stageTakes is how long an engine takes to change its stage.
-	stageTakes = 500 * time.Millisecond
-	// entryStays is how long a crashed target stays listed.
-	entryStays = 1500 * time.Millisecond
-	// leaveTakes is how long a leaving target serves on.
-	leaveTakes = 4 * time.Second
-	// eventGap is the pause between the events of a stream, and longGap that at
-	// every third target: its streams end within the callers' timeout, long after
-	// the time that a VM reckons for their few tokens.
-	eventGap = 50 * time.Millisecond
-	longGap  = 350 * time.Millisecond
-	// dataCentres is how many data centres the VMs and targets are dealt to.
-	dataCentres = 2
+	// restartDelay is the pause before an exited process is started again.
+	restartDelay = 200 * time.Millisecond
+	// settleTime is how long a VM still counts as disturbed after its start.
+	settleTime = time.Second
+	// stageChangeTime is how long an engine takes to change its stage.
+	stageChangeTime = 500 * time.Millisecond
+	// crashedEntryTTL is how long the entry of a crashed target remains.
+	crashedEntryTTL = 1500 * time.Millisecond
+	// drainTime is how long a leaving target still serves.
+	drainTime = 4 * time.Second
+	// eventInterval is the pause between the events of a stream, and longEventInterval that of
+	// every third target. Streams of the latter end within the callers' timeout, but long after the
+	// time that a VM estimates for their few tokens.
+	eventInterval     = 50 * time.Millisecond
+	longEventInterval = 350 * time.Millisecond
+	// dataCentreCount is the number of data centres among which VMs and targets are distributed.
+	dataCentreCount = 2
 )
 
-// vm is one garnet-node, its settings and its link to the store.
+// vm is one garnet-node with its settings and its link to the store.
 type vm struct {
-	name  string
-	cfg   *settings.Node
-	store *proc.Relay
-
-	mu      sync.Mutex
-	process *proc.Process
-	started time.Time
-	life    int
-	// expected says that the process was signalled to end.
-	expected bool
-	// ready is what the balancer found, and misses its misses in a row.
-	ready  bool
-	misses int
+	name      string
+	cfg       *settings.Node
+	storeLink *proc.Relay
+
+	mu          sync.Mutex
+	process     *proc.Process
+	startedAt   time.Time
+	incarnation int
+	// exitExpected says that the process was signalled to end.
+	exitExpected bool
+	// ready is whether the load balancer considers the VM ready. failedPolls counts the failed
+	// readiness checks in a row.
+	ready       bool
+	failedPolls int
 }
 
+// current returns the VM's latest process and its incarnation.
 func (v *vm) current() (*proc.Process, int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.process, v.life
+	return v.process, v.incarnation
 }
 
-// slot is one place for a target: its address and link stay while targets come
-// and go.
+// slot is a fixed address and link, at which one target after the other runs.
 type slot struct {
 	index   int
 	service string
 	link    *proc.Relay
 	address string
 
-	mu     sync.Mutex
-	engine *platformtest.Engine
-	life   int
-	// away is set while the target leaves or has crashed.
-	away bool
+	mu          sync.Mutex
+	engine      *platformtest.Engine
+	incarnation int
+	// unavailable is set while the target leaves or has crashed.
+	unavailable bool
 }
 
 func (s *slot) dataCentre() string { return dataCentreOf(s.index) }
 
-func dataCentreOf(i int) string { return fmt.Sprintf("dc-%d", i%dataCentres) }
-
-// world is all that the VMs meet, and the VMs.
-type world struct {
-	cfg     Config
-	check   *Checker
-	store   *platformtest.Store
-	cluster *proc.Cluster
-	vms     []*vm
-	slots   []*slot
-	began   time.Time
-	// served is when all VMs were ready first.
-	served time.Time
-	bg     sync.WaitGroup
-
-	// keys and cloud are nil in histories without client accounts.
+// dataCentreOf returns the data centre of VM or slot i.
+func dataCentreOf(i int) string { return fmt.Sprintf("dc-%d", i%dataCentreCount) }
+
+// harness runs the VMs under test and the stand-ins for the store, the targets and the platform.
+type harness struct {
+	cfg       Config
+	check     *Checker
+	store     *platformtest.Store
+	cluster   *proc.Cluster
+	vms       []*vm
+	slots     []*slot
+	startedAt time.Time
+	// readyAt is when all VMs were ready for the first time.
+	readyAt    time.Time
+	background sync.WaitGroup
+
+	// keys and cloud are nil in runs without client accounts.
 	keys  *keyring
 	cloud *platformtest.Cloud
 
 	mu      sync.Mutex
 	version int
-	// storeTurn tells the newest fault of the store from older ones.
-	storeTurn int
-	stopping  bool
-	tallies   map[string]int
+	// storeFaultSeq numbers the faults of the store, so that the end of an older fault does not end
+	// a newer one.
+	storeFaultSeq int
+	stopping      bool
+	outcomes      map[string]int
 }
 
-func (w *world) now() time.Duration { return time.Since(w.began) }
+// now returns the time since the start of the run.
+func (h *harness) now() time.Duration { return time.Since(h.startedAt) }
 
-// newWorld starts the stand-ins and the VMs.
-func newWorld(cfg Config) (*world, error) {
-	w := &world{
-		cfg: cfg, check: NewChecker(), store: platformtest.NewStore(), cluster: proc.NewCluster(cfg.Dir, cfg.Bin, cfg.Ports),
-		began: time.Now(), tallies: make(map[string]int),
+// newHarness starts the stand-ins and the VMs.
+func newHarness(cfg Config) (*harness, error) {
+	h := &harness{
+		cfg: cfg, check: NewChecker(), store: platformtest.NewStore(),
+		cluster:   proc.NewCluster(cfg.Dir, cfg.Bin, cfg.Ports),
+		startedAt: time.Now(), outcomes: make(map[string]int),
 	}
 	if cfg.Accounts {
-		w.keys, w.cloud = newKeyring(), platformtest.NewCloud()
-		w.cloud.LeaseGap = holderGap
+		h.keys, h.cloud = newKeyring(), platformtest.NewCloud()
+		h.cloud.LeaseGap = handoverGap
 	}
-	w.change()
-	if err := w.addSlots(); err != nil {
-		w.close()
+	h.changeConfig()
+	if err := h.addSlots(); err != nil {
+		h.close()
 		return nil, err
 	}
 	for i := range cfg.VMs {
-		if err := w.addVM(i); err != nil {
-			w.close()
+		if err := h.addVM(i); err != nil {
+			h.close()
 			return nil, err
 		}
 	}
-	return w, nil
+	return h, nil
 }
 
-func (w *world) addSlots() error {
-	addrs, err := w.cfg.Ports.Take(w.cfg.Engines + w.cfg.Plains)
+// addSlots creates the slots, first those of engines and then those of plain targets, and starts a
+// target in each.
+func (h *harness) addSlots() error {
+	addrs, err := h.cfg.Ports.Take(h.cfg.Engines + h.cfg.PlainTargets)
 	if err != nil {
 		return err
 	}
 	for i, addr := range addrs {
 		s := &slot{index: i, service: platformtest.ServiceModel, address: string(addr)}
-		if i >= w.cfg.Engines {
+		if i >= h.cfg.Engines {
 			s.service = platformtest.ServicePlain
 		}
 		if s.link, err = proc.NewRelay(s.address); err != nil {
 			return err
 		}
-		w.slots = append(w.slots, s)
-		if err := w.fill(s); err != nil {
+		h.slots = append(h.slots, s)
+		if err := h.startTarget(s); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// fill starts a new target at a slot and lists it.
-func (w *world) fill(s *slot) error {
+// startTarget starts a new target with a new id in a slot and writes its entry.
+func (h *harness) startTarget(s *slot) error {
 	s.mu.Lock()
-	s.life++
-	id := fmt.Sprintf("t%d-%d", s.index, s.life)
+	s.incarnation++
+	id := fmt.Sprintf("t%d-%d", s.index, s.incarnation)
 	s.mu.Unlock()
-	return w.fillAs(s, id)
+	return h.startTargetAs(s, id)
 }
 
-// fillAs starts a target under an id at a slot and lists it.
-func (w *world) fillAs(s *slot, id string) error {
+// startTargetAs starts a target with the given id in a slot and writes its entry.
+func (h *harness) startTargetAs(s *slot, id string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stage := ""
@@ -172,106 +179,112 @@
 		return err
 	}
 	e.Born = time.Now().UnixMilli()
-	e.Observe(observer{w: w, s: s})
-	gap := eventGap
+	e.Observe(observer{h: h, s: s})
+	gap := eventInterval
 	if s.index%3 == 0 {
-		gap = longGap
+		gap = longEventInterval
 	}
 	e.SetGap(gap)
-	w.inspect(e)
-	e.CrashOn(deadlyBody, func(e *platformtest.Engine) { w.ended(s, e) })
-	s.engine, s.away = e, false
-	w.list(s, e)
+	h.inspectAccounts(e)
+	e.CrashOn(crashingBody, func(e *platformtest.Engine) { h.replaceCrashed(s, e) })
+	s.engine, s.unavailable = e, false
+	h.writeEntry(s, e)
 	return nil
 }
 
-func (w *world) list(s *slot, e *platformtest.Engine) {
-	w.store.Put(platformtest.TableTargets, e.ID, platformtest.WithAddress(e.Row(s.service, s.dataCentre()), s.link.Addr()))
+// writeEntry writes a target's entry, with the address of the slot's link, to the store.
+func (h *harness) writeEntry(s *slot, e *platformtest.Engine) {
+	h.store.Put(platformtest.TableTargets, e.ID,
+		platformtest.WithAddress(e.Row(s.service, s.dataCentre()), s.link.Addr()))
 }
 
-func (w *world) addVM(i int) error {
-	addrs, err := w.cfg.Ports.Take(4)
+// addVM creates VM i with its link to the store and starts it.
+func (h *harness) addVM(i int) error {
+	addrs, err := h.cfg.Ports.Take(4)
 	if err != nil {
 		return err
 	}
 	v := &vm{name: fmt.Sprintf("vm-%d", i+1), cfg: settings.DefaultNode()}
-	if v.store, err = proc.NewRelay(w.store.Address()); err != nil {
+	if v.storeLink, err = proc.NewRelay(h.store.Address()); err != nil {
 		return err
 	}
 	v.cfg.VM, v.cfg.DataCentre = v.name, dataCentreOf(i)
-	v.cfg.Listen, v.cfg.ReadyListen, v.cfg.MetricsListen, v.cfg.PeerAddress = addrs[0], addrs[1], addrs[2], addrs[3]
-	v.cfg.Store.Address = settings.Addr(v.store.Addr())
+	v.cfg.Listen, v.cfg.ReadyListen, v.cfg.MetricsListen, v.cfg.PeerAddress =
+		addrs[0], addrs[1], addrs[2], addrs[3]
+	v.cfg.Store.Address = settings.Addr(v.storeLink.Addr())
 	v.cfg.Grace = settings.Duration(grace)
-	w.addAccounts(v.cfg)
-	w.vms = append(w.vms, v)
-	if err := w.cluster.Write(v.name, v.cfg); err != nil {
+	h.configureAccounts(v.cfg)
+	h.vms = append(h.vms, v)
+	if err := h.cluster.Write(v.name, v.cfg); err != nil {
 		return err
 	}
-	return w.startProcess(v)
+	return h.startProcess(v)
 }
 
-// startProcess starts a VM's process and sees to it that one that ends is
-// started again.
-func (w *world) startProcess(v *vm) error {
-	p, err := w.cluster.Rerun("garnet-node", v.name)
+// startProcess starts a VM's process, and restarts it whenever it exits.
+func (h *harness) startProcess(v *vm) error {
+	p, err := h.cluster.Rerun("garnet-node", v.name)
 	if err != nil {
 		return err
 	}
 	v.mu.Lock()
-	v.process, v.started, v.expected = p, time.Now(), false
-	v.life++
+	v.process, v.startedAt, v.exitExpected = p, time.Now(), false
+	v.incarnation++
 	v.mu.Unlock()
-	w.check.Disturbed(v.name, w.now(), w.now()+settled)
-	w.bg.Go(func() { w.keepAlive(v, p) })
+	h.check.Disturbed(v.name, h.now(), h.now()+settleTime)
+	h.background.Go(func() { h.supervise(v, p) })
 	return nil
 }
 
-func (w *world) keepAlive(v *vm, p *proc.Process) {
-	// How it ended does not matter: what was asked for is known.
+// supervise waits for a process to exit and starts the VM again, unless the harness is closing. An
+// exit that was not expected is a violation.
+func (h *harness) supervise(v *vm, p *proc.Process) {
+	// The exit status does not matter: exitExpected says whether the process was told to end.
 	_ = p.Wait()
 	v.mu.Lock()
-	expected := v.expected
+	expected := v.exitExpected
 	v.mu.Unlock()
-	if w.ending() {
+	if h.isStopping() {
 		return
 	}
 	if !expected {
-		w.check.EndedByItself(v.name, w.now())
+		h.check.UnexpectedExit(v.name, h.now())
 	}
-	time.Sleep(restartAfter)
-	if w.ending() {
+	time.Sleep(restartDelay)
+	if h.isStopping() {
 		return
 	}
-	if err := w.startProcess(v); err != nil {
-		w.check.EndedByItself(v.name+": "+err.Error(), w.now())
+	if err := h.startProcess(v); err != nil {
+		h.check.UnexpectedExit(v.name+": "+err.Error(), h.now())
 	}
 }
 
-func (w *world) ending() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.stopping
+// isStopping reports whether the harness is closing.
+func (h *harness) isStopping() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.stopping
 }
 
-// close ends what the world started.
-func (w *world) close() {
-	w.mu.Lock()
-	w.stopping = true
-	w.mu.Unlock()
-	for _, v := range w.vms {
+// close ends everything that the harness started.
+func (h *harness) close() {
+	h.mu.Lock()
+	h.stopping = true
+	h.mu.Unlock()
+	for _, v := range h.vms {
 		if p, _ := v.current(); p != nil {
-			// A paused process ends only once it goes on; one that has ended
-			// already takes no signal.
+			// A paused process ends only after SIGCONT. A process that has exited already takes no
+			// signal.
 			_ = p.Signal(syscall.SIGCONT)
 			_ = p.Terminate()
 		}
 	}
-	w.cluster.StopAll(grace)
-	w.bg.Wait()
-	for _, v := range w.vms {
-		v.store.Close()
+	h.cluster.StopAll(grace)
+	h.background.Wait()
+	for _, v := range h.vms {
+		v.storeLink.Close()
 	}
-	for _, s := range w.slots {
+	for _, s := range h.slots {
 		s.link.Close()
 		s.mu.Lock()
 		if s.engine != nil {
@@ -279,46 +292,47 @@
 		}
 		s.mu.Unlock()
 	}
-	w.store.Close()
-	if w.cloud != nil {
-		w.cloud.Close()
+	h.store.Close()
+	if h.cloud != nil {
+		h.cloud.Close()
 	}
 }
 
-// change writes a new version of the configuration, whose route is named after
-// it.
-func (w *world) change() {
-	w.mu.Lock()
-	w.version++
-	version := w.version
-	w.mu.Unlock()
-	config := platformtest.Config(version, routeOf(version))
-	if w.keys != nil {
-		config = platformtest.WithAccounts(config, w.keys.inForce())
+// changeConfig writes a new configuration version with a route named after the version.
+func (h *harness) changeConfig() {
+	h.mu.Lock()
+	h.version++
+	version := h.version
+	h.mu.Unlock()
+	config := platformtest.Config(version, versionRoute(version))
+	if h.keys != nil {
+		config = platformtest.WithAccounts(config, h.keys.activeKeys())
 	}
-	w.store.Put(platformtest.TableOperator, platformtest.KeyConfig, config)
-	w.check.Changed(version, w.now())
+	h.store.Put(platformtest.TableOperator, platformtest.KeyConfig, config)
+	h.check.ConfigWritten(version, h.now())
 }
 
-func routeOf(version int) string { return fmt.Sprintf("v%d", version) }
+// versionRoute returns the name of the route that marks a configuration version.
+func versionRoute(version int) string { return fmt.Sprintf("v%d", version) }
 
-func (w *world) newest() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.version
+// newestVersion returns the newest configuration version that was written.
+func (h *harness) newestVersion() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.version
 }
 
-// heal ends every fault that lasts.
-func (w *world) heal() {
-	w.store.SetFault(platformtest.FaultNone)
-	for _, v := range w.vms {
-		v.store.Heal()
+// clearFaults ends every lasting fault.
+func (h *harness) clearFaults() {
+	h.store.SetFault(platformtest.FaultNone)
+	for _, v := range h.vms {
+		v.storeLink.Heal()
 		if p, _ := v.current(); p != nil && !p.Exited() {
-			// It may end at this moment.
+			// The process may exit at this moment.
 			_ = p.Signal(syscall.SIGCONT)
 		}
 	}
-	for _, s := range w.slots {
+	for _, s := range h.slots {
 		s.link.Heal()
 		s.mu.Lock()
 		s.engine.SetFault(platformtest.EngineHealthy)
@@ -326,50 +340,53 @@
 	}
 }
 
-// observer tells the checker what comes to a target.
+// observer reports what happens at the target of a slot to the checker.
 type observer struct {
-	w *world
+	h *harness
 	s *slot
 }
 
-func (o observer) Arrived(e *platformtest.Engine, id string) { o.w.check.Arrived(id, e.ID, o.w.now()) }
+// Arrived implements platformtest.Observer.
+func (o observer) Arrived(e *platformtest.Engine, id string) { o.h.check.Arrived(id, e.ID, o.h.now()) }
 
+// Ran implements platformtest.Observer.
 func (o observer) Ran(e *platformtest.Engine, id, source string) {
-	if request, ok := deadlyRequest(id); ok {
-		o.w.check.Killed(request, e.ID, o.w.now(), o.w.now()+settled)
+	if request, ok := crashingRequestOf(id); ok {
+		o.h.check.TargetCrashed(request, e.ID, o.h.now(), o.h.now()+settleTime)
 	}
-	o.w.check.Ran(id, e.ID, platformtest.RequestOfHandle(source), o.w.now())
+	o.h.check.Ran(id, e.ID, platformtest.RequestOfHandle(source), o.h.now())
 }
 
-// endings maps the stand-in's endings.
-var endings = map[platformtest.Ending]Ending{
-	platformtest.EndedComplete: Written, platformtest.EndedByPeer: HungUp, platformtest.EndedByFault: Spoiled,
+// workEndings maps the endings that a stand-in reports to those of the checker.
+var workEndings = map[platformtest.Ending]WorkEnding{
+	platformtest.EndedComplete: Completed, platformtest.EndedByPeer: HungUp, platformtest.EndedByFault: BrokenOff,
 }
 
+// Ended implements platformtest.Observer.
 func (o observer) Ended(_ *platformtest.Engine, id string, how platformtest.Ending) {
-	o.w.check.Ended(id, endings[how])
+	o.h.check.Ended(id, workEndings[how])
 }
 
-// Ordered lets the engine change its stage a little later.
+// Ordered makes the engine change its stage after stageChangeTime.
 func (o observer) Ordered(e *platformtest.Engine, order platformtest.Order) {
-	o.w.check.Ordered(e.ID, order.Holder, order.Fence, o.w.now())
-	time.AfterFunc(stageTakes, func() {
+	o.h.check.OrderAccepted(e.ID, order.Holder, order.Fence, o.h.now())
+	time.AfterFunc(stageChangeTime, func() {
 		e.SetStage(order.Stage)
 		o.s.mu.Lock()
-		listed := o.s.engine == e && !o.s.away
+		listed := o.s.engine == e && !o.s.unavailable
 		o.s.mu.Unlock()
 		if listed {
-			o.w.list(o.s, e)
+			o.h.writeEntry(o.s, e)
 		}
 	})
 }
 
 var errNotReady = errors.New("soak: not all VMs are ready")
 
-// awaitReady waits until every VM is ready.
-func (w *world) awaitReady(ctx context.Context) error {
+// awaitReady waits until every VM is ready, or ctx ends.
+func (h *harness) awaitReady(ctx context.Context) error {
 	return proc.Until(ctx, "all VMs to be ready", func(context.Context) error {
-		for _, v := range w.vms {
+		for _, v := range h.vms {
 			if !platformtest.Ready(string(v.cfg.ReadyListen), askTimeout) {
 				return errNotReady
 			}
