--- a/internal/standin/chat.go
+++ b/internal/standin/chat.go
@@ -11,15 +11,16 @@
 	"garnethoist.org/garnethoist/internal/target"
 )
 
-// defaultMaxTokens is the length of an answer when the request names none.
+// defaultMaxTokens is the length of an answer in tokens if the request does not limit it.
 const defaultMaxTokens = 16
 
-// bytesPerToken turns a prompt's length into its token count.
+// bytesPerToken is the number of prompt bytes that count as one token.
 const bytesPerToken = 4
 
-// finishedKept is how long a finished stream stays resumable.
-const finishedKept = 10 * time.Second
+// finishedStreamTTL is how long a finished stream can still be resumed.
+const finishedStreamTTL = 10 * time.Second
 
+// chatRequest is the part of a chat completion request that the stand-in reads.
 type chatRequest struct {
 	Model     string             `json:"model"`
 	Messages  []chatMessage      `json:"messages"`
@@ -35,15 +36,15 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// prompt returns the text that decides the answer and the number of tokens
-// that a continued final message already holds.
-func (c *chatRequest) prompt() (text string, have int) {
+// prompt returns the text that determines the answer, and the number of tokens that a final message
+// to be continued already holds.
+func (c *chatRequest) prompt() (text string, present int) {
 	messages := c.Messages
 	if c.Continue && len(messages) > 0 {
 		var partial string
-		// A final message that is not text has no tokens of ours.
+		// A final message that is not a string counts as having no tokens.
 		_ = json.Unmarshal(messages[len(messages)-1].Content, &partial)
-		have = len(strings.Fields(partial))
+		present = len(strings.Fields(partial))
 		messages = messages[:len(messages)-1]
 	}
 	var b strings.Builder
@@ -51,9 +52,10 @@
 		b.WriteString(m.Role)
 		b.Write(m.Content)
 	}
-	return b.String(), have
+	return b.String(), present
 }
 
+// maxTokens returns the limit of the answer's length in tokens.
 func (c *chatRequest) maxTokens() int {
 	switch {
 	case c.MaxNew > 0:
@@ -64,14 +66,14 @@
 	return defaultMaxTokens
 }
 
-func (e *Engine) chat(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
 	if id := r.Header.Get(target.HeaderLastEventID); id != "" {
-		e.resume(w, r, id)
+		e.resumeStream(w, r, id)
 		return
 	}
 	var req chatRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
-		refuse(w, http.StatusBadRequest, "bad_request", err.Error())
+		writeError(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
 	if e.refuseNew(w) {
@@ -79,11 +81,11 @@
 	}
 	if req.KV != nil && req.KV.DoRemotePrefill {
 		if err := fetchKV(req.KV); err != nil {
-			refuse(w, http.StatusBadGateway, target.CodeTransferFailed, err.Error())
+			writeError(w, http.StatusBadGateway, target.CodeTransferFailed, err.Error())
 			return
 		}
 	}
-	st := e.begin(&req)
+	st := e.startStream(&req)
 	if req.KV != nil && req.KV.DoRemoteDecode {
 		e.prefillOnly(w, r, st)
 		return
@@ -92,26 +94,28 @@
 		e.streamFrom(w, r, st, 0)
 		return
 	}
-	e.whole(w, r, st)
+	e.answerComplete(w, r, st)
 }
 
+// refuseNew refuses new work while the engine changes its role or is leaving, and reports whether
+// it did.
 func (e *Engine) refuseNew(w http.ResponseWriter) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case time.Now().Before(e.changeUntil):
-		refuse(w, http.StatusServiceUnavailable, target.CodeChanging, "the engine is changing")
+		writeError(w, http.StatusServiceUnavailable, target.CodeChanging, "the engine is changing")
 		return true
 	case e.status.Leaving:
-		refuse(w, http.StatusServiceUnavailable, target.CodeLeaving, "the engine is leaving")
+		writeError(w, http.StatusServiceUnavailable, target.CodeLeaving, "the engine is leaving")
 		return true
 	}
 	return false
 }
 
-// begin registers a stream and books its prefill behind what is queued.
-func (e *Engine) begin(req *chatRequest) *stream {
-	text, have := req.prompt()
+// startStream registers a stream. Its prefill is due after the prefills that are already queued.
+func (e *Engine) startStream(req *chatRequest) *stream {
+	text, present := req.prompt()
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -119,23 +123,24 @@
 	tokens := len(text)/bytesPerToken + 1
 	start := now
 	if req.KV == nil || !req.KV.DoRemotePrefill {
-		if e.prefillFree.After(start) {
-			start = e.prefillFree
+		if e.prefillBusyUntil.After(start) {
+			start = e.prefillBusyUntil
 		}
 		start = start.Add(time.Duration(tokens) * e.cfg.PrefillPerToken)
-		e.prefillFree = start
+		e.prefillBusyUntil = start
 		e.status.PrefillTokens += uint64(tokens)
 	}
 	st := &stream{
-		id: fmt.Sprintf("%x-%d", e.boot, e.nextStream), prompt: PromptHash(text), base: have,
-		max: req.maxTokens(), start: start, interval: e.cfg.TokenInterval,
-		gone: make(chan struct{}), lastUsed: now, readers: 1,
+		id: fmt.Sprintf("%x-%d", e.boot, e.nextStream), prompt: PromptHash(text), tokenOffset: present,
+		maxTokens: req.maxTokens(), start: start, interval: e.cfg.TokenInterval,
+		ended: make(chan struct{}), lastUsed: now, readers: 1,
 	}
 	e.streams[st.id] = st
 	return st
 }
 
-func (e *Engine) resume(w http.ResponseWriter, r *http.Request, eventID string) {
+// resumeStream continues a stream after the event with the given id, which is STREAM:NUMBER.
+func (e *Engine) resumeStream(w http.ResponseWriter, r *http.Request, eventID string) {
 	id, offset, ok := strings.Cut(eventID, ":")
 	n, err := strconv.Atoi(offset)
 	e.mu.Lock()
@@ -145,19 +150,21 @@
 	}
 	e.mu.Unlock()
 	if !ok || err != nil || st == nil {
-		refuse(w, http.StatusNotFound, target.CodeUnknownStream, "no such stream")
+		writeError(w, http.StatusNotFound, target.CodeUnknownStream, "no such stream")
 		return
 	}
 	e.streamFrom(w, r, st, n)
 }
 
+// prefillOnly computes the KV cache of a prompt and returns a reference from which another engine
+// can fetch it.
 func (e *Engine) prefillOnly(w http.ResponseWriter, r *http.Request, st *stream) {
-	defer e.release(st, true)
+	defer e.releaseReader(st, true)
 	if !st.wait(r, 0) {
 		return
 	}
 	e.mu.Lock()
-	e.kv[st.prompt] = !e.dropKV
+	e.kvBlocks[st.prompt] = !e.dropKV
 	e.mu.Unlock()
 	host, port := hostPort(r)
 	writeJSON(w, http.StatusOK, map[string]any{
@@ -169,6 +176,7 @@
 	})
 }
 
+// fetchKV fetches each KV block from the engine that holds it.
 func fetchKV(kv *target.KVTransfer) error {
 	for _, block := range kv.RemoteBlockIDs {
 		url := fmt.Sprintf("http://%s:%d/kv/%d", kv.RemoteHost, kv.RemotePort, block)
@@ -184,14 +192,14 @@
 	return nil
 }
 
-// streamFrom writes the events after the given one, as they fall due.
+// streamFrom writes the events after event number after, each when it is due.
 func (e *Engine) streamFrom(w http.ResponseWriter, r *http.Request, st *stream, after int) {
 	finished := false
-	defer func() { e.release(st, finished) }()
+	defer func() { e.releaseReader(st, finished) }()
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
 	var buf []byte
-	for i := after + 1; i <= st.max+1; i++ {
+	for i := after + 1; i <= st.maxTokens+1; i++ {
 		if st.interval > 0 || i == after+1 {
 			if !st.wait(r, i) {
 				panic(http.ErrAbortHandler)
@@ -205,85 +213,88 @@
 			return
 		}
 	}
-	e.count(st.max)
+	e.countDecoded(st.maxTokens)
 	finished = true
-	// The client has all the answer even if this last write fails.
+	// The client has the complete answer even if this last write fails.
 	_, _ = w.Write([]byte("data: [DONE]\n\n"))
 }
 
-// appendEvent appends event i: a token, or the finish reason after the last.
+// appendEvent appends event i: a token, or the finish reason after the last token.
 func (s *stream) appendEvent(buf []byte, i int) []byte {
-	if i > s.max {
+	if i > s.maxTokens {
 		return fmt.Appendf(buf, "id: %s:%d\ndata: {\"id\":\"chatcmpl-%s\",\"object\":\"chat.completion.chunk\",\"created\":%d,\"model\":\"standin\",\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n",
 			s.id, i, s.id, s.start.Unix())
 	}
 	return fmt.Appendf(buf, "id: %s:%d\ndata: {\"id\":\"chatcmpl-%s\",\"object\":\"chat.completion.chunk\",\"created\":%d,\"model\":\"standin\",\"choices\":[{\"index\":0,\"delta\":{\"role\":\"assistant\",\"content\":\"%s\"},\"finish_reason\":null}]}\n\n",
-		s.id, i, s.id, s.start.Unix(), Token(s.prompt, s.base+i))
+		s.id, i, s.id, s.start.Unix(), Token(s.prompt, s.tokenOffset+i))
 }
 
-// wait sleeps until event i is due; false means that the stream or its reader
-// has gone.
+// wait sleeps until event i is due. It returns false if the stream was ended or its client has
+// disconnected.
 func (s *stream) wait(r *http.Request, i int) bool {
 	timer := time.NewTimer(time.Until(s.start.Add(time.Duration(i) * s.interval)))
 	defer timer.Stop()
 	select {
-	case <-s.gone:
+	case <-s.ended:
 		return false
 	case <-r.Context().Done():
 		return false
 	case <-timer.C:
 	}
 	select {
-	case <-s.gone:
+	case <-s.ended:
 		return false
 	default:
 		return true
 	}
 }
 
-func (e *Engine) count(tokens int) {
+func (e *Engine) countDecoded(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.status.DecodeTokens += uint64(tokens)
 }
 
-// release marks that one reader has left the stream.
-func (e *Engine) release(st *stream, finished bool) {
+// releaseReader records that one reader has left the stream.
+func (e *Engine) releaseReader(st *stream, finished bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	st.readers--
 	st.lastUsed = time.Now()
 	if finished {
 		st.finished = true
-		st.lastUsed = st.lastUsed.Add(finishedKept - streamGrace)
+		st.lastUsed = st.lastUsed.Add(finishedStreamTTL - brokenStreamTTL)
 	}
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, st *stream) {
+// answerComplete sends the answer as one response, when its last token is due.
+func (e *Engine) answerComplete(w http.ResponseWriter, r *http.Request, st *stream) {
 	finished := false
-	defer func() { e.release(st, finished) }()
-	if !st.wait(r, st.max) {
-		e.abandon(st)
+	defer func() { e.releaseReader(st, finished) }()
+	if !st.wait(r, st.maxTokens) {
+		e.dropStream(st)
 		panic(http.ErrAbortHandler)
 	}
 	finished = true
-	e.count(st.max)
+	e.countDecoded(st.maxTokens)
 	text := ""
-	for i := 1; i <= st.max; i++ {
-		text += Token(st.prompt, st.base+i)
+	for i := 1; i <= st.maxTokens; i++ {
+		text += Token(st.prompt, st.tokenOffset+i)
 	}
 	writeJSON(w, http.StatusOK, map[string]any{
-		"id": "chatcmpl-" + st.id, "object": "chat.completion", "created": st.start.Unix(), "model": "standin",
+		"id": "chatcmpl-" + st.id, "object": "chat.completion", "created": st.start.Unix(),
+		"model": "standin",
 		"choices": []any{map[string]any{
 			"index": 0, "finish_reason": "stop",
 			"message": map[string]any{"role": "assistant", "content": text},
 		}},
-		"usage": map[string]any{"prompt_tokens": 1, "completion_tokens": st.max, "total_tokens": st.max + 1},
+		"usage": map[string]any{"prompt_tokens": 1, "completion_tokens": st.maxTokens,
+			"total_tokens": st.maxTokens + 1},
 	})
 }
 
-// abandon drops a whole-answer generation whose client has gone.
-func (e *Engine) abandon(st *stream) {
+// dropStream drops a stream whose client disconnected before the complete answer.
+func (e *Engine) dropStream(st *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := e.streams[st.id]; ok {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,6 +1,5 @@
-// Package standin holds small stand-ins of the outside systems: the platform,
-// a model engine and a plain service. They are for tests, the demo and the
-// benchmarks only.
+// Package standin provides small stand-ins for the outside systems: the platform, a model engine
+// and a plain service. Tests, the demo and benchmarks use them.
 package standin
 
 import (
@@ -17,125 +16,128 @@
 	"garnethoist.org/garnethoist/internal/target"
 )
 
-// EngineConfig sets up an engine stand-in.
+// EngineConfig configures an engine stand-in. RoleChange is how long a change of its role takes.
 type EngineConfig struct {
 	Name            string
 	TokenInterval   time.Duration
 	PrefillPerToken time.Duration
 	RoleChange      time.Duration
 	IgnoreFencing   bool
-	// ReadTimeout closes a connection whose request has not arrived in time.
+	// ReadTimeout is the time within which a request must have arrived, or its connection is
+	// closed.
 	ReadTimeout time.Duration
 }
 
-// streamGrace is how long an engine keeps a stream whose connection broke.
-const streamGrace = 30 * time.Second
+// brokenStreamTTL is how long an engine keeps a stream whose connection broke.
+const brokenStreamTTL = 30 * time.Second
 
 // engineSlots is the batch size that the stand-in reports.
 const engineSlots = 32
 
-// Engine is a model engine stand-in. Its answers depend only on the prompt, so
-// that a test can tell a lost or doubled token. It is safe for concurrent use.
+// Engine is a model engine stand-in. Its answers depend only on the prompt, so that a test can
+// detect lost and duplicated tokens. It is safe for concurrent use.
 type Engine struct {
 	cfg  EngineConfig
 	boot uint64
 
-	mu          sync.Mutex
-	seq         uint64
-	status      target.Status
-	changeUntil time.Time
-	prefillFree time.Time
-	streams     map[string]*stream
-	nextStream  uint64
-	kv          map[uint64]bool
-	dropKV      bool
-	cancelled   int
-	cut         int
-	orders      []target.Order
+	mu               sync.Mutex
+	seq              uint64
+	status           target.Status
+	changeUntil      time.Time
+	prefillBusyUntil time.Time
+	streams          map[string]*stream
+	nextStream       uint64
+	kvBlocks         map[uint64]bool
+	dropKV           bool
+	cancelled        int
+	interrupted      int
+	orders           []target.Order
 }
 
-// stream is one generation; token i is due at start + i*interval.
+// stream is one generation. Token i, counted from 1, is due at start + i*interval. If the request
+// continues a message, tokenOffset is the number of tokens that the message already holds.
 type stream struct {
-	id       string
-	prompt   uint64
-	base     int
-	max      int
-	start    time.Time
-	interval time.Duration
-	gone     chan struct{}
-	goneOnce sync.Once
-	lastUsed time.Time
-	readers  int
-	finished bool
+	id          string
+	prompt      uint64
+	tokenOffset int
+	maxTokens   int
+	start       time.Time
+	interval    time.Duration
+	ended       chan struct{}
+	endOnce     sync.Once
+	lastUsed    time.Time
+	readers     int
+	finished    bool
 }
 
-// NewEngine returns a running engine stand-in in role both.
+// NewEngine returns an engine stand-in in role both.
 func NewEngine(cfg EngineConfig) *Engine {
 	return &Engine{
-		cfg:     cfg,
-		boot:    uint64(time.Now().UnixNano()),
-		streams: map[string]*stream{},
-		kv:      map[uint64]bool{},
-		status:  target.Status{Role: target.RoleBoth, Slots: engineSlots},
+		cfg:      cfg,
+		boot:     uint64(time.Now().UnixNano()),
+		streams:  map[string]*stream{},
+		kvBlocks: map[uint64]bool{},
+		status:   target.Status{Role: target.RoleBoth, Slots: engineSlots},
 	}
 }
 
-// Handler serves the engine's HTTP protocol.
+// Handler returns the handler of the engine's HTTP protocol.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+target.PathChat, e.chat)
-	mux.HandleFunc("DELETE "+target.PathStreams+"{id}", e.cancel)
+	mux.HandleFunc("POST "+target.PathChat, e.serveChat)
+	mux.HandleFunc("DELETE "+target.PathStreams+"{id}", e.serveCancel)
 	mux.HandleFunc("GET "+target.PathStatus, e.serveStatus)
-	mux.HandleFunc("POST "+target.PathOrders, e.order)
-	mux.HandleFunc("GET /kv/{block}", e.exportKV)
-	mux.HandleFunc("POST /leave", e.leave)
-	mux.HandleFunc("GET "+PathCounts, e.counts)
+	mux.HandleFunc("POST "+target.PathOrders, e.serveOrder)
+	mux.HandleFunc("GET /kv/{block}", e.serveKV)
+	mux.HandleFunc("POST /leave", e.serveLeave)
+	mux.HandleFunc("GET "+PathCounts, e.serveCounts)
 	return mux
 }
 
-// Server returns an HTTP server for the engine with its read time-out.
+// Server returns an HTTP server for the engine, with its read timeout.
 func (e *Engine) Server() *http.Server {
-	return &http.Server{Handler: e.Handler(), ReadHeaderTimeout: e.cfg.ReadTimeout, ReadTimeout: e.cfg.ReadTimeout}
+	return &http.Server{Handler: e.Handler(), ReadHeaderTimeout: e.cfg.ReadTimeout,
+		ReadTimeout: e.cfg.ReadTimeout}
 }
 
-// Cancelled returns how many streams were cancelled by request.
+// Cancelled returns the number of streams that were cancelled by request.
 func (e *Engine) Cancelled() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cancelled
 }
 
-// Cut returns how many streams an order cut short.
+// Cut returns the number of streams that an order interrupted.
 func (e *Engine) Cut() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.cut
+	return e.interrupted
 }
 
-// Orders returns the orders that took effect, in order.
+// Orders returns the orders that took effect, in sequence.
 func (e *Engine) Orders() []target.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]target.Order(nil), e.orders...)
 }
 
-// SetLeaving marks the engine as on its way out.
+// SetLeaving sets whether the engine reports that it is leaving.
 func (e *Engine) SetLeaving(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.status.Leaving = on
 }
 
-func (e *Engine) leave(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveLeave(w http.ResponseWriter, _ *http.Request) {
 	e.SetLeaving(true)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Status returns the engine's report.
+// Status returns the engine's status report. Each report has a higher sequence number.
 func (e *Engine) Status() target.Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.sweep(time.Now())
+	e.expireStreams(time.Now())
 	e.seq++
 	s := e.status
 	s.Boot, s.Seq = e.boot, e.seq
@@ -145,16 +147,17 @@
 			s.Running++
 		}
 	}
-	if wait := time.Until(e.prefillFree); wait > 0 && e.cfg.PrefillPerToken > 0 {
+	if wait := time.Until(e.prefillBusyUntil); wait > 0 && e.cfg.PrefillPerToken > 0 {
 		s.QueuedTokens = int(wait / e.cfg.PrefillPerToken)
 	}
 	return s
 }
 
-// sweep drops streams that nobody came back for.
-func (e *Engine) sweep(now time.Time) {
+// expireStreams drops streams that have had no reader for brokenStreamTTL. The caller must hold
+// e.mu.
+func (e *Engine) expireStreams(now time.Time) {
 	for id, st := range e.streams {
-		if st.readers == 0 && now.Sub(st.lastUsed) > streamGrace {
+		if st.readers == 0 && now.Sub(st.lastUsed) > brokenStreamTTL {
 			st.end()
 			delete(e.streams, id)
 		}
@@ -165,16 +168,16 @@
 	writeJSON(w, http.StatusOK, e.Status())
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o target.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
-		refuse(w, http.StatusBadRequest, "bad_order", err.Error())
+		writeError(w, http.StatusBadRequest, "bad_order", err.Error())
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.cfg.IgnoreFencing && o.Fence < e.status.Fence {
-		refuse(w, http.StatusPreconditionFailed, "old_fence", "a higher fencing number was seen")
+		writeError(w, http.StatusPreconditionFailed, "old_fence", "a higher fencing number was seen")
 		return
 	}
 	e.status.Fence = max(e.status.Fence, o.Fence)
@@ -182,16 +185,16 @@
 		w.WriteHeader(http.StatusOK)
 		return
 	}
-	e.takeOrder(o)
+	e.applyOrder(o)
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// takeOrder puts o in force; whatever runs is cut, as by an engine that was
-// not drained.
-func (e *Engine) takeOrder(o target.Order) {
+// applyOrder puts o in force. It interrupts running streams, as an engine does that was not drained
+// first. The caller must hold e.mu.
+func (e *Engine) applyOrder(o target.Order) {
 	for id, st := range e.streams {
 		if !st.finished {
-			e.cut++
+			e.interrupted++
 		}
 		st.end()
 		delete(e.streams, id)
@@ -203,15 +206,16 @@
 	e.orders = append(e.orders, o)
 }
 
-func (s *stream) end() { s.goneOnce.Do(func() { close(s.gone) }) }
+// end wakes the readers of the stream, who then stop.
+func (s *stream) end() { s.endOnce.Do(func() { close(s.ended) }) }
 
-func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	id := r.PathValue("id")
 	st, ok := e.streams[id]
 	if !ok {
-		refuse(w, http.StatusNotFound, target.CodeUnknownStream, "no such stream")
+		writeError(w, http.StatusNotFound, target.CodeUnknownStream, "no such stream")
 		return
 	}
 	e.cancelled++
@@ -220,23 +224,24 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (e *Engine) exportKV(w http.ResponseWriter, r *http.Request) {
+// serveKV answers 200 if the engine holds the KV block; the stand-in transfers no data.
+func (e *Engine) serveKV(w http.ResponseWriter, r *http.Request) {
 	block, err := strconv.ParseUint(r.PathValue("block"), 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err != nil || !e.kv[block] {
-		refuse(w, http.StatusNotFound, "unknown_block", "no such block")
+	if err != nil || !e.kvBlocks[block] {
+		writeError(w, http.StatusNotFound, "unknown_block", "no such block")
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// Token returns token i (from 1) of the answer to the prompt with this hash.
+// Token returns token i, counted from 1, of the answer to the prompt with this hash.
 func Token(prompt uint64, i int) string {
 	return fmt.Sprintf("%04x-%d ", (prompt*31+uint64(i)*2654435761)&0xffff, i)
 }
 
-// Answer returns the first n tokens of the answer to a prompt.
+// Answer returns the first n tokens of the answer to the prompt with this hash.
 func Answer(prompt uint64, n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
@@ -245,7 +250,7 @@
 	return b.String()
 }
 
-// PromptHash returns the hash on which a prompt's answer depends.
+// PromptHash returns the hash that determines the answer to a prompt.
 func PromptHash(text string) uint64 {
 	h := fnv.New64a()
 	// A hash never fails to write.
@@ -256,12 +261,13 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A failed write means that the client has gone.
+	// A failed write means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func refuse(w http.ResponseWriter, status int, code, message string) {
-	writeJSON(w, status, target.ErrorBody{Error: target.ErrorDetail{Message: message, Type: "engine", Code: code}})
+func writeError(w http.ResponseWriter, status int, code, message string) {
+	writeJSON(w, status, target.ErrorBody{Error: target.ErrorDetail{Message: message,
+		Type: "engine", Code: code}})
 }
 
 func hostPort(r *http.Request) (string, int) {
@@ -273,26 +279,26 @@
 	return host, n
 }
 
-// DropKV makes the engine lose each exported cache before it is fetched.
+// DropKV makes the engine lose each KV cache before another engine can fetch it.
 func (e *Engine) DropKV() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dropKV = true
 }
 
-// Counts is what a test asks an engine stand-in for.
+// Counts holds an engine stand-in's counters, for tests.
 type Counts struct {
-	// Cut is the streams that an order cut short.
+	// Cut is the number of streams that an order interrupted.
 	Cut int `json:"cut"`
-	// Cancelled is the streams cancelled by request.
+	// Cancelled is the number of streams that were cancelled by request.
 	Cancelled int `json:"cancelled"`
-	// Orders is the orders that took effect, in order.
+	// Orders lists the orders that took effect, in sequence.
 	Orders []target.Order `json:"orders"`
 }
 
-// PathCounts serves Counts.
+// PathCounts is the path of Counts.
 const PathCounts = "/counts"
 
-func (e *Engine) counts(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveCounts(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, Counts{Cut: e.Cut(), Cancelled: e.Cancelled(), Orders: e.Orders()})
 }
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -9,28 +9,29 @@
 	"garnethoist.org/garnethoist/internal/target"
 )
 
-// Plain is a plain-service stand-in that counts how often each body ran.
+// Plain is a stand-in for a plain service. It counts how often each request body ran. It is safe
+// for concurrent use.
 type Plain struct {
 	boot uint64
 
 	mu      sync.Mutex
 	seq     uint64
 	leaving bool
-	ran     map[string]int
-	// CloseAfterRead makes the service close the connection after it has run
-	// a call, without an answer.
+	runs    map[string]int
+	// closeAfterRead makes the service close the connection without an answer after it has run a
+	// call.
 	closeAfterRead bool
 }
 
-// PathRan answers how often the call with the body of the query ran.
+// PathRan is the path that returns how often a call ran whose body is the query parameter "body".
 const PathRan = "/ran"
 
-// NewPlain returns a running plain service.
+// NewPlain returns a plain service stand-in.
 func NewPlain() *Plain {
-	return &Plain{boot: uint64(time.Now().UnixNano()), ran: map[string]int{}}
+	return &Plain{boot: uint64(time.Now().UnixNano()), runs: map[string]int{}}
 }
 
-// Handler serves the status path and runs every other call.
+// Handler returns a handler that serves the status path and runs every other call.
 func (p *Plain) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+target.PathStatus, p.status)
@@ -42,14 +43,15 @@
 	return mux
 }
 
-// SetLeaving marks the service as on its way out.
+// SetLeaving sets whether the service reports that it is leaving.
 func (p *Plain) SetLeaving(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leaving = on
 }
 
-// SetCloseAfterRead makes the service run calls but close without an answer.
+// SetCloseAfterRead sets whether the service runs calls but closes their connections without an
+// answer.
 func (p *Plain) SetCloseAfterRead(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,7 +62,7 @@
 func (p *Plain) Ran(body string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ran[body]
+	return p.runs[body]
 }
 
 func (p *Plain) status(w http.ResponseWriter, _ *http.Request) {
@@ -76,7 +78,7 @@
 		return
 	}
 	p.mu.Lock()
-	p.ran[string(body)]++
+	p.runs[string(body)]++
 	abort := p.closeAfterRead
 	p.mu.Unlock()
 	if abort {
@@ -87,6 +89,6 @@
 	}
 	w.Header().Set("X-Standin-Path", r.URL.RequestURI())
 	w.WriteHeader(http.StatusCreated)
-	// A failed write means that the client has gone.
+	// A failed write means that the client has disconnected.
 	_, _ = w.Write(append([]byte("done: "), body...))
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -12,13 +12,13 @@
 	"garnethoist.org/garnethoist/internal/store/httpstore"
 )
 
-// Platform serves a store.Memory over the HTTP protocol.
+// Platform serves a store.Memory over the platform's HTTP protocol.
 type Platform struct {
 	Memory *store.Memory
 }
 
-// Handler serves the platform's protocol, and POST /fault?mode=M and
-// POST /vm to set it up.
+// Handler returns a handler for the platform's protocol. Tests use POST /fault?mode=M and POST /vm
+// to set faults and the VM list.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+httpstore.PathRecord, p.get)
@@ -36,12 +36,12 @@
 
 func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
 	rec, err := p.Memory.Get(r.Context(), r.URL.Query().Get("key"))
-	answer(w, rec, err)
+	writeAnswer(w, rec, err)
 }
 
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
 	recs, err := p.Memory.List(r.Context(), r.URL.Query().Get("prefix"))
-	answer(w, recs, err)
+	writeAnswer(w, recs, err)
 }
 
 func (p *Platform) commit(w http.ResponseWriter, r *http.Request) {
@@ -51,7 +51,7 @@
 		return
 	}
 	v, err := p.Memory.Commit(r.Context(), txn)
-	answer(w, httpstore.CommitResponse{Version: v}, err)
+	writeAnswer(w, httpstore.CommitResponse{Version: v}, err)
 }
 
 func (p *Platform) putObject(w http.ResponseWriter, r *http.Request) {
@@ -60,20 +60,20 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	answer(w, struct{}{}, p.Memory.PutObject(r.Context(), r.PathValue("name"), data))
+	writeAnswer(w, struct{}{}, p.Memory.PutObject(r.Context(), r.PathValue("name"), data))
 }
 
 func (p *Platform) getObject(w http.ResponseWriter, r *http.Request) {
 	data, err := p.Memory.GetObject(r.Context(), r.PathValue("name"))
 	if err != nil {
-		answer(w, nil, err)
+		writeAnswer(w, nil, err)
 		return
 	}
-	// A failed write means that the client has gone.
+	// A failed write means that the client has disconnected.
 	_, _ = w.Write(data)
 }
 
-// noRevision is a revision that no list has.
+// noRevision is a revision that no list has, so that the list is always returned.
 const noRevision = math.MaxUint64
 
 func (p *Platform) vms(w http.ResponseWriter, r *http.Request) {
@@ -84,7 +84,7 @@
 		return
 	}
 	w.Header().Set("ETag", tag)
-	answer(w, l, err)
+	writeAnswer(w, l, err)
 }
 
 func (p *Platform) reserve(w http.ResponseWriter, r *http.Request) {
@@ -94,14 +94,14 @@
 		return
 	}
 	wait, err := p.Memory.Reserve(r.Context(), req.Model, req.Bytes)
-	answer(w, httpstore.ReserveResponse{WaitMS: int64(wait / time.Millisecond)}, err)
+	writeAnswer(w, httpstore.ReserveResponse{WaitMS: int64(wait / time.Millisecond)}, err)
 }
 
 func (p *Platform) setFault(_ http.ResponseWriter, r *http.Request) {
 	p.Memory.SetFault(store.Fault(r.URL.Query().Get("mode")))
 }
 
-// PlatformCounts is how many requests the platform has served.
+// PlatformCounts holds the numbers of reads and writes that the platform has served.
 type PlatformCounts struct {
 	Reads  uint64 `json:"reads"`
 	Writes uint64 `json:"writes"`
@@ -121,7 +121,8 @@
 	p.Memory.SetVM(vm)
 }
 
-func answer(w http.ResponseWriter, v any, err error) {
+// writeAnswer writes v as JSON, or the status code for a store error.
+func writeAnswer(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
 		writeJSON(w, http.StatusOK, v)
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -12,14 +12,14 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
-// Server serves one stand-in; it is a kernel module.
+// Server serves one stand-in. It is a kernel module.
 type Server struct {
 	cfg    *settings.Standin
 	http   *http.Server
 	served sync.WaitGroup
 }
 
-// NewServer returns the stand-in that cfg describes.
+// NewServer returns a server for the stand-in that cfg describes.
 func NewServer(cfg *settings.Standin) *Server {
 	s := &Server{cfg: cfg}
 	switch cfg.Kind {
@@ -36,27 +36,29 @@
 		s.http = &http.Server{Handler: NewPlain().Handler()}
 	default:
 		s.http = NewEngine(EngineConfig{
-			Name: cfg.Name, TokenInterval: cfg.TokenInterval.D(), PrefillPerToken: cfg.PrefillPerToken.D(),
-			RoleChange: cfg.RoleChange.D(), IgnoreFencing: cfg.IgnoreFencing, ReadTimeout: cfg.ReadTimeout.D(),
+			Name: cfg.Name, TokenInterval: cfg.TokenInterval.D(),
+			PrefillPerToken: cfg.PrefillPerToken.D(),
+			RoleChange:      cfg.RoleChange.D(), IgnoreFencing: cfg.IgnoreFencing,
+			ReadTimeout: cfg.ReadTimeout.D(),
 		}).Server()
 	}
 	return s
 }
 
-// Start listens.
+// Start listens and serves in the background.
 func (s *Server) Start(context.Context) error {
 	l, err := net.Listen("tcp", string(s.cfg.Listen))
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
 	s.served.Go(func() {
-		// The only other error is that of a listener closed by Stop.
+		// Serve always returns an error: the expected one is that Stop closed the listener.
 		_ = s.http.Serve(l)
 	})
 	return nil
 }
 
-// Stop closes the stand-in at once, with whatever it is serving.
+// Stop closes the server at once, with all open connections.
 func (s *Server) Stop(context.Context) error {
 	err := s.http.Close()
 	s.served.Wait()
