--- a/cmd/garnet-demo/main.go
+++ b/cmd/garnet-demo/main.go
@@ -1,7 +1,8 @@
-// Command garnet-demo shows the whole path on loopback, with programs and stand-ins as
-// separate processes that it stops again: garnet-node while the mix shifts, the configuration
-// changes and VMs are lost, or with --own the product's own deployment, to which it applies a
-// table and makes one language request and one call that may not be repeated.
+// Command garnet-demo demonstrates the product on loopback, with programs and stand-ins as separate
+// processes that it stops again. By default it runs garnet-node processes while the mix of requests
+// shifts, the configuration changes and VMs are lost. With --own it runs the product's own
+// deployment, applies a table to it and makes one language request and one call that may not be
+// repeated.
 package main
 
 import (
@@ -23,14 +24,14 @@
 )
 
 type options struct {
-	Bin string `long:"bin" default:"bin" value-name:"DIR" description:"folder of the programs"`
-	Own bool   `long:"own" description:"show the product's own deployment"`
+	Bin string `long:"bin" default:"bin" value-name:"DIR" description:"directory of the programs"`
+	Own bool   `long:"own" description:"demonstrate the product's own deployment"`
 }
 
 const (
 	demoTimeout = 50 * time.Second
 	stopGrace   = 10 * time.Second
-	shape       = 2
+	vmCount     = 2
 )
 
 const demoTable = `# version 0
@@ -58,7 +59,7 @@
 func run(opts options) error {
 	dir, err := os.MkdirTemp("", "garnet-demo-")
 	if err != nil {
-		return errors.Wrap(err, "make folder")
+		return errors.Wrap(err, "create directory")
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
@@ -69,17 +70,19 @@
 	return runOwn(ctx, opts, dir)
 }
 
-// runOwn shows the product's own deployment.
+// runOwn demonstrates the product's own deployment.
 func runOwn(ctx context.Context, opts options, dir string) error {
 	cluster := proc.NewCluster(dir, opts.Bin, proc.NewPorts())
 	defer cluster.StopAll(stopGrace)
-	l, err := proc.NewLayout(cluster, proc.Shape{Engines: 3, Plains: 1, VMs: shape})
+	l, err := proc.NewLayout(cluster, proc.Shape{Engines: 3, PlainTargets: 1, VMs: vmCount})
 	if err != nil {
 		return err
 	}
 	return show(ctx, opts, dir, l)
 }
 
+// show waits for the deployment to start, applies the table, makes the requests and prints the
+// status.
 func show(ctx context.Context, opts options, dir string, l *proc.Layout) error {
 	for _, vm := range l.VMs {
 		if err := proc.Until(ctx, "steward", proc.Ready("http://"+string(vm.StewardAdmin)+"/healthz")); err != nil {
@@ -109,8 +112,8 @@
 	return ctl(ctx, opts, l, "status")
 }
 
-// call posts a body until it is served and prints the answer, which must hold
-// want. A call with a key may be asked again without being run again.
+// call posts a body, repeatedly until it is served, and prints the answer, which must contain want.
+// A call with an idempotency key does not run again when it is repeated.
 func call(ctx context.Context, url, body, key, want string) error {
 	return proc.Until(ctx, url, func(ctx context.Context) error {
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
@@ -138,6 +141,7 @@
 	})
 }
 
+// ctl runs garnetctl and prints the command line and its output.
 func ctl(ctx context.Context, opts options, l *proc.Layout, args ...string) error {
 	args = append([]string{"--steward", string(l.VMs[0].StewardGRPC)}, args...)
 	cmd := exec.CommandContext(ctx, filepath.Join(opts.Bin, "garnetctl"), args...)
--- a/cmd/garnet-entry/main.go
+++ b/cmd/garnet-entry/main.go
@@ -1,5 +1,5 @@
-// Command garnet-entry serves callers: admission, limits, routing, relay of
-// streams and calls that may not be repeated.
+// Command garnet-entry serves callers: admission, rate limits, routing, relaying of streams, and
+// calls that may not be repeated.
 package main
 
 import (
--- a/cmd/garnet-model/main.go
+++ b/cmd/garnet-model/main.go
@@ -1,6 +1,6 @@
-// Command garnet-model plays days of a fleet of model engines under several policies, in
-// virtual time, and writes a report and a plot for each. With --live it plays them on the
-// wall clock with garnet-node processes, and prints service by size.
+// Command garnet-model simulates days of a fleet of model engines under several policies, in
+// virtual time, and writes a report and a plot for each day. With --live it plays the days in real
+// time with garnet-node processes, and prints the results by size of request.
 package main
 
 import (
@@ -15,19 +15,19 @@
 )
 
 type options struct {
-	Day     string   `long:"day" required:"true" description:"file of an installation and its days"`
-	Name    string   `long:"name" description:"name of one day; all days of the file where it is not given"`
-	Policy  []string `long:"policy" description:"policy to play; may be given several times, all where it is not given"`
+	Day     string   `long:"day" required:"true" description:"file that describes an installation and its days"`
+	Name    string   `long:"name" description:"name of one day; default all days of the file"`
+	Policy  []string `long:"policy" description:"policy to simulate; may be given several times; default all"`
 	Seed    uint64   `long:"seed" default:"1" description:"seed of the requests and of random choices"`
-	Speed   float64  `long:"speed" default:"1" description:"speed of the engines, as a part of what the file says"`
-	Traffic float64  `long:"traffic" default:"1" description:"traffic, as a part of what the file says"`
-	Until   float64  `long:"until" description:"end each day after so many seconds"`
-	Live    string   `long:"live" description:"folder of the programs: play on the wall clock with garnet-node processes"`
-	Busy    float64  `long:"busy" description:"share of the time for which the processes are stopped, with --live"`
-	Out     string   `long:"out" default:"model" description:"folder for the reports and plots"`
+	Speed   float64  `long:"speed" default:"1" description:"factor for the speed of the engines in the file"`
+	Traffic float64  `long:"traffic" default:"1" description:"factor for the traffic in the file"`
+	Until   float64  `long:"until" description:"end each day after this many seconds"`
+	Live    string   `long:"live" description:"directory of the programs: play the days in real time with garnet-node processes"`
+	Busy    float64  `long:"busy" description:"with --live, share of the time for which the processes are stopped"`
+	Out     string   `long:"out" default:"model" description:"directory for reports and plots"`
 }
 
-// exitError is the exit code where the days could not be played.
+// exitError is the exit code if the days could not be played.
 const exitError = 2
 
 func main() {
@@ -51,7 +51,7 @@
 		o.Policy = model.PolicyNames()
 	}
 	if err := os.MkdirAll(o.Out, 0o755); err != nil {
-		return errors.Wrap(err, "make folder")
+		return errors.Wrap(err, "create directory")
 	}
 	for i := range site.Days {
 		d := &site.Days[i]
@@ -76,7 +76,7 @@
 	return play(o, site, d)
 }
 
-// play plays one day and writes its report and plot.
+// play simulates one day, writes its report and plot, and prints a summary.
 func play(o options, site *model.Site, d *model.Day) error {
 	r, err := model.NewReport(site, d, o.Seed, o.Policy)
 	if err != nil {
@@ -89,7 +89,8 @@
 	if err := write(base+".svg", r.Plot); err != nil {
 		return err
 	}
-	fmt.Printf("%s %s: bound %.3f, with fixed stages %.3f, with %.3f held %.3f", site.Name, d.Name, r.Bound.Share(), r.FixedStagesBound.Share(), r.BestHitRate, r.HitRateBound.Share())
+	fmt.Printf("%s %s: bound %.3f, with fixed stages %.3f, with %.3f held %.3f", site.Name, d.Name,
+		r.Bound.Share(), r.FixedStagesBound.Share(), r.BestHitRate, r.HitRateBound.Share())
 	for _, run := range r.Runs {
 		t := run.Result.Total()
 		fmt.Printf(", %s %.3f (own bound %.3f)", run.Policy, t.Worth/t.OfferedWorth, run.Bound.Share())
--- a/cmd/garnet-model/write.go
+++ b/cmd/garnet-model/write.go
@@ -7,14 +7,14 @@
 	"github.com/pkg/errors"
 )
 
-// write makes a file of what f writes.
+// write creates the file at path with the output of f.
 func write(path string, f func(io.Writer) error) error {
 	out, err := os.Create(path)
 	if err != nil {
-		return errors.Wrap(err, "make file")
+		return errors.Wrap(err, "create file")
 	}
 	if err := f(out); err != nil {
-		_ = out.Close() // the write's error comes first
+		_ = out.Close() // the error of the write matters more
 		return err
 	}
 	return errors.Wrap(out.Close(), "close file")
--- a/cmd/garnet-node/main.go
+++ b/cmd/garnet-node/main.go
@@ -1,5 +1,4 @@
-// Command garnet-node is the one program that runs on each VM of the users'
-// platform.
+// Command garnet-node is the program that runs on each VM of the users' platform.
 package main
 
 import (
@@ -15,8 +14,8 @@
 	"garnethoist.org/garnethoist/platform"
 )
 
-// memoryShare is the part of the VM's memory that the heap may fill; the rest
-// is for stacks, code and what the runtime needs beside.
+// memoryShare is the share of the VM's memory that the heap may fill; it sets the runtime's memory
+// limit. The rest is for stacks, code and other needs of the runtime.
 const memoryShare = 0.6
 
 func main() {
--- a/cmd/garnet-soak/main.go
+++ b/cmd/garnet-soak/main.go
@@ -72,8 +72,9 @@
 		return 0, errors.Wrap(err, "create directory")
 	}
 	r, err := soak.Run(context.Background(), soak.Config{
-		Seed: seed, Length: o.Length, VMs: o.VMs, Engines: o.Engines, PlainTargets: o.Plains, Callers: o.Callers,
-		Bin: o.Bin, Dir: dir, Ports: ports,
+		Seed: seed, Length: o.Length, VMs: o.VMs, Engines: o.Engines, PlainTargets: o.Plains,
+		Callers: o.Callers,
+		Bin:     o.Bin, Dir: dir, Ports: ports,
 	})
 	if err != nil {
 		return 0, errors.Wrapf(err, "seed %d", seed)
--- a/cmd/garnet-standin/main.go
+++ b/cmd/garnet-standin/main.go
@@ -1,5 +1,5 @@
-// Command garnet-standin is a stand-in for an outside system, for tests and
-// the demo: the platform, a model engine or a plain service.
+// Command garnet-standin is a stand-in for an outside system, for tests and the demo: the platform,
+// a model engine or a plain service.
 package main
 
 import (
--- a/cmd/garnet-steward/main.go
+++ b/cmd/garnet-steward/main.go
@@ -1,5 +1,5 @@
-// Command garnet-steward is the control side: the operators' table, leases,
-// orders to engines, load and membership, and the feed of the entries.
+// Command garnet-steward is the control plane: the operators' table, leases, orders to engines,
+// load and membership, and the feed to the entries.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"garnethoist.org/garnethoist/internal/steward"
 )
 
-// stopTimeout bounds releasing leases and ending feeds.
+// stopTimeout bounds the time to release leases and end the feeds.
 const stopTimeout = 15 * time.Second
 
 func main() {
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -1,45 +1,45 @@
-// Package burn computes how fast a service spends its error budget: the share
-// of bad answers over a window, divided by the share that the objective
-// allows. A rate of 1 spends the budget exactly. It is pure.
+// Package burn computes the burn rate of a service's error budget: the share of bad answers in a
+// window, divided by the share that the objective allows. A rate of 1 uses up the budget exactly.
+// The package has no clock and does no I/O.
 package burn
 
 import "time"
 
-// Sample is the cumulative counters of a service at one moment.
+// Sample holds the cumulative counters of a service at one moment.
 type Sample struct {
 	At   time.Duration
 	Good uint64
 	Bad  uint64
 }
 
-// Series is a service's samples at a fixed spacing in bounded memory. It is
-// not safe for concurrent use.
+// Series holds a service's samples at a fixed spacing, in bounded memory. It is not safe for
+// concurrent use.
 type Series struct {
-	spacing time.Duration
-	keep    int
-	samples []Sample
+	spacing  time.Duration
+	capacity int
+	samples  []Sample
 }
 
-// NewSeries returns an empty series that keeps one sample for each spacing and
-// as many as cover window.
+// NewSeries returns an empty series that keeps one sample per spacing, and enough samples to cover
+// window.
 func NewSeries(spacing, window time.Duration) *Series {
-	return &Series{spacing: spacing, keep: int(window/spacing) + 1}
+	return &Series{spacing: spacing, capacity: int(window/spacing) + 1}
 }
 
-// Add adds a sample; the last one is replaced until it is a spacing away from
-// the one before.
+// Add adds a sample. It replaces the last sample if that is less than a spacing after the one
+// before it.
 func (s *Series) Add(x Sample) {
 	if n := len(s.samples); n > 1 && s.samples[n-1].At-s.samples[n-2].At < s.spacing {
 		s.samples[n-1] = x
 		return
 	}
 	s.samples = append(s.samples, x)
-	if len(s.samples) > s.keep+1 {
+	if len(s.samples) > s.capacity+1 {
 		s.samples = append(s.samples[:0], s.samples[1:]...)
 	}
 }
 
-// Last returns when the last sample was taken; false for none.
+// Last returns the time of the last sample, or false if there is none.
 func (s *Series) Last() (time.Duration, bool) {
 	if len(s.samples) == 0 {
 		return 0, false
@@ -47,8 +47,7 @@
 	return s.samples[len(s.samples)-1].At, true
 }
 
-// Counts returns the good and bad answers in the window that ends with the
-// last sample.
+// Counts returns the numbers of good and bad answers in the window that ends with the last sample.
 func (s *Series) Counts(window time.Duration) (good, bad uint64) {
 	if len(s.samples) == 0 {
 		return 0, 0
@@ -63,8 +62,7 @@
 	return last.Good - first.Good, last.Bad - first.Bad
 }
 
-// Rate returns the burn rate of counts against an objective such as 0.99.
-// Without any answer it is zero.
+// Rate returns the burn rate for an objective such as 0.99. It is 0 if there were no answers.
 func Rate(good, bad uint64, objective float64) float64 {
 	if good+bad == 0 {
 		return 0
--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -11,13 +11,13 @@
 	is := is.New(t)
 	s := NewSeries(10*time.Second, time.Hour)
 	s.Add(Sample{})
-	for i := 1; i <= 7200; i++ { // two hours, one answer a second, bad for the last minute
+	for i := 1; i <= 7200; i++ { // two hours with one answer per second, which are bad in the last minute
 		bad := max(0, i-7140)
 		s.Add(Sample{At: time.Duration(i) * time.Second, Good: uint64(i - bad), Bad: uint64(bad)})
 	}
 	good, bad := s.Counts(5 * time.Minute)
 	is.Equal(bad, uint64(60))
-	is.True(good >= 240 && good <= 260) // to the spacing of the samples
+	is.True(good >= 240 && good <= 260) // accurate to the spacing of the samples
 	good, bad = s.Counts(time.Hour)
 	is.Equal(bad, uint64(60))
 	is.True(good >= 3540 && good <= 3560)
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is the operators' command line: the table, status, decisions and
-// burn, by way of any steward.
+// Package ctl is the operators' command line. It shows and edits the table and shows the status,
+// decisions and burn rates, through any steward.
 package ctl
 
 import (
@@ -21,17 +21,17 @@
 	"garnethoist.org/garnethoist/internal/table"
 )
 
-// options are common to all commands.
+// options are the options that all commands share.
 type options struct {
 	Steward string        `long:"steward" value-name:"ADDRESS" default:"127.0.0.1:7100" description:"address of any steward"`
 	Timeout time.Duration `long:"timeout" default:"15s" description:"time limit of the whole command"`
 	Version bool          `long:"version" description:"print the version and exit"`
 }
 
-// exitConflict is the exit code of an edit refused as a conflict.
+// exitConflict is the exit code when an edit conflicts with another one.
 const exitConflict = 3
 
-// exitError carries an exit code out of a command.
+// exitError is an error that sets the exit code of the program.
 type exitError struct {
 	code int
 	err  error
@@ -39,14 +39,14 @@
 
 func (e *exitError) Error() string { return e.err.Error() }
 
-// app is one run of garnetctl.
+// app is one invocation of garnetctl.
 type app struct {
 	opts   options
 	stdout io.Writer
 }
 
-// Main runs garnetctl and returns its exit code: 0 done, 1 failed, 2 wrong
-// command line or table file, 3 the edit conflicts with another.
+// Main runs garnetctl and returns its exit code: 0 for success, 1 for a failure, 2 for an invalid
+// command line or table file, 3 if the edit conflicts with another one.
 func Main(args []string, stdout, stderr io.Writer) int {
 	a := &app{stdout: stdout}
 	p := flags.NewNamedParser("garnetctl", flags.HelpFlag|flags.PassDoubleDash)
@@ -75,7 +75,7 @@
 		fmt.Fprintf(stdout, "garnetctl %s\n", daemon.Version)
 		return daemon.ExitOK
 	case p.Active == nil:
-		fmt.Fprintf(stderr, "garnetctl: a command is needed; see --help\n")
+		fmt.Fprintf(stderr, "garnetctl: a command is required; see --help\n")
 		return daemon.ExitUsage
 	case len(rest) > 0:
 		fmt.Fprintf(stderr, "garnetctl: unexpected argument %q\n", rest[0])
@@ -84,11 +84,13 @@
 	return daemon.ExitOK
 }
 
+// addCommands registers the options and commands of garnetctl.
 func (a *app) addCommands(p *flags.Parser) error {
 	if _, err := p.AddGroup("Options", "", &a.opts); err != nil {
 		return err
 	}
-	t, err := p.AddCommand("table", "the operators' table", "Reads, compares and applies the operators' table.", &struct{}{})
+	t, err := p.AddCommand("table", "the operators' table",
+		"Reads, compares and applies the operators' table.", &struct{}{})
 	if err != nil {
 		return err
 	}
@@ -123,8 +125,9 @@
 	return nil
 }
 
-// with calls f with a client of the steward at address.
-func (a *app) with(address string, f func(context.Context, api.StewardClient) error) error {
+// withSteward calls f with a client for the steward at address, within the time limit of the
+// command.
+func (a *app) withSteward(address string, f func(context.Context, api.StewardClient) error) error {
 	ctx, cancel := context.WithTimeout(context.Background(), a.opts.Timeout)
 	defer cancel()
 	conn, err := grpc.NewClient(address, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -138,7 +141,7 @@
 // table fetches the table from the steward.
 func (a *app) table() (table.Table, error) {
 	var t table.Table
-	err := a.with(a.opts.Steward, func(ctx context.Context, c api.StewardClient) error {
+	err := a.withSteward(a.opts.Steward, func(ctx context.Context, c api.StewardClient) error {
 		resp, err := c.TableGet(ctx, &api.TableGetRequest{})
 		if err != nil {
 			return errors.Wrap(err, "get table")
@@ -148,6 +151,7 @@
 	return t, err
 }
 
+// readTable reads a CSV file. Its errors carry the exit code for invalid input.
 func readTable(path string) (table.Table, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -160,8 +164,8 @@
 	return t, nil
 }
 
-// whoAmI names the operator for the history.
-func whoAmI() string {
+// loginName returns the operator's login name, for the history.
+func loginName() string {
 	u, err := user.Current()
 	if err != nil {
 		return "unknown"
--- a/internal/ctl/table.go
+++ b/internal/ctl/table.go
@@ -39,8 +39,8 @@
 	File string `positional-arg-name:"FILE" description:"edited CSV file"`
 }
 
-// checkCommand checks a file by itself. What it cannot see is a conflict with
-// what others have applied meanwhile; diff and apply do.
+// checkCommand checks a file without a steward. It cannot detect conflicts with edits that others
+// have applied meanwhile; diff and apply do.
 type checkCommand struct {
 	app  *app
 	Args fileArg `positional-args:"yes" required:"yes"`
@@ -81,6 +81,7 @@
 	return nil
 }
 
+// printChanges prints one line for each added or removed row and for each changed cell.
 func (a *app) printChanges(changes []table.Change) {
 	if len(changes) == 0 {
 		fmt.Fprintln(a.stdout, "no changes")
@@ -96,15 +97,16 @@
 			continue
 		}
 		for _, cell := range ch.Cells() {
-			fmt.Fprintf(a.stdout, "row %s: %s: %q -> %q\n", ch.Service, cell.Column, cell.Before, cell.After)
+			fmt.Fprintf(a.stdout, "row %s: %s: %q -> %q\n", ch.Service, cell.Column, cell.Before,
+				cell.After)
 		}
 	}
 }
 
 type applyCommand struct {
 	app   *app
-	Who   string  `long:"who" value-name:"NAME" description:"name for the history; default the login name"`
-	Token string  `long:"token" value-name:"TOKEN" description:"token of an earlier apply whose answer was lost"`
+	Who   string  `long:"who" value-name:"NAME" description:"name for the history; default: login name"`
+	Token string  `long:"token" value-name:"TOKEN" description:"token of an earlier apply whose response was lost"`
 	Args  fileArg `positional-args:"yes" required:"yes"`
 }
 
@@ -123,9 +125,9 @@
 		req.Token = rand.Text()
 	}
 	if req.Who == "" {
-		req.Who = whoAmI()
+		req.Who = loginName()
 	}
-	return c.app.with(c.app.opts.Steward, func(ctx context.Context, s api.StewardClient) error {
+	return c.app.withSteward(c.app.opts.Steward, func(ctx context.Context, s api.StewardClient) error {
 		resp, err := s.TableApply(ctx, req)
 		if err != nil {
 			return errors.Wrapf(err, "the edit may or may not be in force; apply it again with --token %s", req.GetToken())
@@ -134,6 +136,7 @@
 	})
 }
 
+// report prints the result of an apply, or returns it as an error with its exit code.
 func (c *applyCommand) report(req *api.TableApplyRequest, resp *api.TableApplyResponse) error {
 	switch errkind.Kind(resp.GetKind()) {
 	case "":
@@ -151,12 +154,12 @@
 
 type historyCommand struct {
 	app   *app
-	Limit uint32 `long:"limit" default:"20" description:"most edits to show"`
+	Limit uint32 `long:"limit" default:"20" description:"maximum number of edits to show"`
 }
 
 // Execute implements flags.Commander.
 func (c *historyCommand) Execute([]string) error {
-	return c.app.with(c.app.opts.Steward, func(ctx context.Context, s api.StewardClient) error {
+	return c.app.withSteward(c.app.opts.Steward, func(ctx context.Context, s api.StewardClient) error {
 		resp, err := s.TableHistory(ctx, &api.TableHistoryRequest{Limit: c.Limit})
 		if err != nil {
 			return errors.Wrap(err, "read history")
--- a/internal/ctl/watch.go
+++ b/internal/ctl/watch.go
@@ -38,8 +38,8 @@
 	}
 	fmt.Fprintln(w, "\nTARGET\tSERVICE\tDATA CENTRE\tSTATE\tROLE\tVERSION\tRUNNING\tWAITING")
 	for _, t := range s.GetTargets() {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\n", t.GetName(), t.GetService(), t.GetDataCentre(),
-			t.GetState(), t.GetRole(), t.GetVersion(), t.GetRunning(), t.GetWaiting())
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\n", t.GetName(), t.GetService(),
+			t.GetDataCentre(), t.GetState(), t.GetRole(), t.GetVersion(), t.GetRunning(), t.GetWaiting())
 	}
 	fmt.Fprintln(w, "\nLEASE\tHOLDER\tFENCE")
 	for _, l := range s.GetLeases() {
@@ -48,9 +48,10 @@
 	return errors.Wrap(w.Flush(), "write status")
 }
 
+// status fetches the status from the steward.
 func (a *app) status() (*api.StatusResponse, error) {
 	var s *api.StatusResponse
-	err := a.with(a.opts.Steward, func(ctx context.Context, c api.StewardClient) error {
+	err := a.withSteward(a.opts.Steward, func(ctx context.Context, c api.StewardClient) error {
 		var err error
 		s, err = c.Status(ctx, &api.StatusRequest{})
 		return errors.Wrap(err, "status")
@@ -58,9 +59,9 @@
 	return s, err
 }
 
-// everySteward calls f for each steward that the named one knows, several at
-// once, and returns how many could not be asked.
-func (a *app) everySteward(f func(context.Context, api.StewardClient) error) (int, error) {
+// forEachSteward calls f in parallel for each steward that the one named in the options knows. It
+// returns the number of calls that failed.
+func (a *app) forEachSteward(f func(context.Context, api.StewardClient) error) (int, error) {
 	s, err := a.status()
 	if err != nil {
 		return 0, err
@@ -70,7 +71,7 @@
 	missing := 0
 	for _, p := range s.GetPeers() {
 		wg.Go(func() {
-			if err := a.with(p.GetAddress(), f); err != nil {
+			if err := a.withSteward(p.GetAddress(), f); err != nil {
 				mu.Lock()
 				missing++
 				mu.Unlock()
@@ -81,7 +82,8 @@
 	return missing, nil
 }
 
-func (a *app) noteMissing(missing int) {
+// printUnreachable prints how many stewards the output lacks, if any.
+func (a *app) printUnreachable(missing int) {
 	if missing > 0 {
 		fmt.Fprintf(a.stdout, "(%d stewards could not be asked)\n", missing)
 	}
@@ -89,7 +91,7 @@
 
 type explainCommand struct {
 	app   *app
-	Limit uint32 `long:"limit" default:"20" description:"most decisions to show"`
+	Limit uint32 `long:"limit" default:"20" description:"maximum number of decisions to show"`
 	Args  struct {
 		Service string `positional-arg-name:"SERVICE"`
 	} `positional-args:"yes" required:"yes"`
@@ -100,7 +102,7 @@
 	var mu sync.Mutex
 	var all []*api.Decision
 	unknown := false
-	missing, err := c.app.everySteward(func(ctx context.Context, s api.StewardClient) error {
+	missing, err := c.app.forEachSteward(func(ctx context.Context, s api.StewardClient) error {
 		resp, err := s.Explain(ctx, &api.ExplainRequest{Service: c.Args.Service, Limit: c.Limit})
 		mu.Lock()
 		defer mu.Unlock()
@@ -115,18 +117,20 @@
 		return err
 	}
 	if unknown && len(all) == 0 {
-		return &exitError{daemon.ExitUsage, errors.Errorf("there is no service called %q", c.Args.Service)}
+		return &exitError{daemon.ExitUsage, errors.Errorf("there is no service called %q",
+			c.Args.Service)}
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].GetUnixMs() > all[j].GetUnixMs() })
 	for _, d := range all[:min(int(c.Limit), len(all))] {
 		c.print(d)
 	}
-	c.app.noteMissing(missing)
+	c.app.printUnreachable(missing)
 	return nil
 }
 
 func (c *explainCommand) print(d *api.Decision) {
-	fmt.Fprintf(c.app.stdout, "%s %s %s: %s (%s)\n", time.UnixMilli(d.GetUnixMs()).UTC().Format(time.RFC3339),
+	fmt.Fprintf(c.app.stdout, "%s %s %s: %s (%s)\n",
+		time.UnixMilli(d.GetUnixMs()).UTC().Format(time.RFC3339),
 		d.GetId(), d.GetWhat(), d.GetChoice(), d.GetCause())
 	for _, in := range d.GetInputs() {
 		fmt.Fprintf(c.app.stdout, "    %s = %s\n", in.GetName(), in.GetValue())
@@ -142,7 +146,7 @@
 func (c *burnCommand) Execute([]string) error {
 	var mu sync.Mutex
 	sum := map[string]*api.BurnLine{}
-	missing, err := c.app.everySteward(func(ctx context.Context, s api.StewardClient) error {
+	missing, err := c.app.forEachSteward(func(ctx context.Context, s api.StewardClient) error {
 		resp, err := s.Burn(ctx, &api.BurnRequest{})
 		mu.Lock()
 		defer mu.Unlock()
@@ -169,10 +173,11 @@
 	if err := w.Flush(); err != nil {
 		return errors.Wrap(err, "write burn")
 	}
-	c.app.noteMissing(missing)
+	c.app.printUnreachable(missing)
 	return nil
 }
 
+// addBurn adds the counts of l to those of its service in sum.
 func addBurn(sum map[string]*api.BurnLine, l *api.BurnLine) {
 	total, ok := sum[l.GetService()]
 	if !ok {
@@ -185,6 +190,7 @@
 	total.LongBad += l.GetLongBad()
 }
 
+// printBurn prints the counts and the burn rate of one window.
 func printBurn(w *tabwriter.Writer, l *api.BurnLine, seconds uint32, good, bad uint64) {
 	fmt.Fprintf(w, "%s\t%g\t%s\t%d\t%d\t%.2f\n", l.GetService(), l.GetObjective(),
 		time.Duration(seconds)*time.Second, good, bad, burn.Rate(good, bad, l.GetObjective()))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is what the garnethoist daemons have in common: the command
-// line, the check of the settings and the run until a signal.
+// Package daemon contains what the garnethoist daemons have in common: the command line, the check
+// of the settings, and running until a signal arrives.
 package daemon
 
 import (
@@ -22,43 +22,43 @@
 // Version is the release that --version prints.
 const Version = "0.1.0"
 
-// The exit codes of every program.
+// The exit codes of all programs.
 const (
 	ExitOK = 0
-	// ExitFailed: the program could not do what it was asked to.
+	// ExitFailed: the program failed to do what it was asked to do.
 	ExitFailed = 1
-	// ExitUsage: the command line or the settings are wrong; nothing was
-	// started.
+	// ExitUsage: the command line or the settings are invalid, and nothing was started.
 	ExitUsage = 2
 )
 
-// startTimeout bounds the start of all modules.
+// startTimeout bounds the start of all modules together.
 const startTimeout = 15 * time.Second
 
 // Options is the command line of a daemon.
 type Options struct {
-	Settings string `long:"settings" value-name:"FILE" description:"settings file, JSON with comments"`
+	Settings string `long:"settings" value-name:"FILE" description:"settings file in JSON with comments"`
 	Check    bool   `long:"check" description:"check the settings and exit"`
 	Version  bool   `long:"version" description:"print the version and exit"`
 }
 
-// Daemon describes one program.
+// Daemon describes a daemon program.
 type Daemon struct {
 	Name string
-	// Read reads the settings file.
+	// Read reads the settings file at path. It returns settings.Problems if the settings are
+	// invalid.
 	Read func(path string) error
-	// Register adds the modules; it is called after Read.
+	// Register registers the modules. It is called after Read.
 	Register func(k *kernel.Kernel, logs io.Writer)
-	// Roots names the modules that the program is there for.
+	// Roots lists the modules to start; their dependencies are started with them.
 	Roots []string
-	// StopTimeout returns how long the modules may take to stop.
+	// StopTimeout returns the time that all modules together have to stop. It is called after Read.
 	StopTimeout func() time.Duration
 }
 
-// Main runs the daemon and returns its exit code.
+// Main runs the daemon until it receives SIGTERM or SIGINT and returns its exit code.
 func (d Daemon) Main(args []string, stdout, stderr io.Writer) int {
-	// A program that reads its settings again listens for SIGHUP itself; here
-	// the signal is only kept from ending the process, from the first moment on.
+	// Programs that reload their settings install a SIGHUP handler of their own. This one only
+	// keeps the signal from ending the process before that.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -71,7 +71,7 @@
 		return ExitOK
 	}
 	if opts.Settings == "" {
-		fmt.Fprintf(stderr, "%s: --settings FILE is needed\n", d.Name)
+		fmt.Fprintf(stderr, "%s: --settings FILE is required\n", d.Name)
 		return ExitUsage
 	}
 	if err := d.Read(opts.Settings); err != nil {
@@ -89,8 +89,8 @@
 	return ExitOK
 }
 
-// Parse reads the command line into opts. done is true when the program is to
-// end with code, after --help or a wrong command line.
+// Parse reads the command line into opts. done is true if the program must exit with code, after
+// --help or an invalid command line.
 func Parse(name string, opts any, args []string, stdout, stderr io.Writer) (code int, done bool) {
 	p := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := p.AddGroup("Options", "", opts); err != nil {
@@ -113,7 +113,7 @@
 	return ExitOK, false
 }
 
-// PrintProblems prints what is wrong with a settings file, one problem a line.
+// PrintProblems prints the problems of a settings file, one per line.
 func PrintProblems(w io.Writer, file string, err error) {
 	var ps settings.Problems
 	if !errors.As(err, &ps) {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -13,8 +13,8 @@
 	"garnethoist.org/garnethoist/internal/daemon"
 )
 
-// SIGHUP to a process that has not read its settings yet does not end it: they
-// are about to be read anyway.
+// SIGHUP does not end a process that has not read its settings yet: it is about to read them
+// anyway.
 func TestHangupWhileStarting(t *testing.T) {
 	d := daemon.Daemon{Name: "garnet-test", Read: func(string) error {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -13,14 +13,16 @@
 	"garnethoist.org/garnethoist/internal/proc/proctest"
 )
 
-// binDir holds the program that is shown.
+// binDir is the directory of the garnet-node binary.
 var binDir string
 
 func TestMain(m *testing.M) {
-	os.Exit(proctest.Main("garnethoist.org/garnethoist/cmd/garnet-node", func(dir string) { binDir = dir }, m.Run))
+	os.Exit(proctest.Main("garnethoist.org/garnethoist/cmd/garnet-node",
+		func(dir string) { binDir = dir }, m.Run))
 }
 
-// Every phase of the demonstration is served whole, and the failed request is explained.
+// Every request of each phase is answered completely, and the log line of the failed request is
+// printed.
 func TestDemo(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -10,41 +10,43 @@
 	"garnethoist.org/garnethoist/platform/platformtest"
 )
 
-// tally counts answers by what callers got.
-type tally struct {
-	mu     sync.Mutex
-	counts map[string]int
-	took   []time.Duration
+// outcomes counts answers by status and collects the durations of successful requests. It is safe
+// for concurrent use.
+type outcomes struct {
+	mu        sync.Mutex
+	counts    map[string]int
+	durations []time.Duration
 }
 
-func newTally() *tally { return &tally{counts: make(map[string]int)} }
+func newOutcomes() *outcomes { return &outcomes{counts: make(map[string]int)} }
 
-func (t *tally) add(r platformtest.Reply, took time.Duration) {
+// add counts one answer, which came after the given duration.
+func (o *outcomes) add(r platformtest.Reply, took time.Duration) {
 	what := fmt.Sprint(r.Status)
 	if r.Err != nil {
 		what = "no whole answer"
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.counts[what]++
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.counts[what]++
 	if r.Status == 200 && r.Err == nil {
-		t.took = append(t.took, took)
+		o.durations = append(o.durations, took)
 	}
 }
 
-// String returns the counts, and the median time of the whole answers.
-func (t *tally) String() string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// String returns the counts, and the median duration of the successful requests.
+func (o *outcomes) String() string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	var parts []string
-	for what, n := range t.counts {
+	for what, n := range o.counts {
 		parts = append(parts, fmt.Sprintf("%s: %d", what, n))
 	}
 	slices.Sort(parts)
 	out := strings.Join(parts, ", ")
-	if len(t.took) > 0 {
-		slices.Sort(t.took)
-		out += fmt.Sprintf(" (median %.1f ms)", t.took[len(t.took)/2].Seconds()*1e3)
+	if len(o.durations) > 0 {
+		slices.Sort(o.durations)
+		out += fmt.Sprintf(" (median %.1f ms)", o.durations[len(o.durations)/2].Seconds()*1e3)
 	}
 	return out
 }
--- a/internal/proc/cluster.go
+++ b/internal/proc/cluster.go
@@ -15,14 +15,13 @@
 	"garnethoist.org/garnethoist/internal/settings"
 )
 
-// Cluster is a set of processes on loopback.
+// Cluster is a set of processes on loopback. It is safe for concurrent use.
 type Cluster struct {
-	// Dir holds settings and logs.
+	// Dir is the directory for settings and logs.
 	Dir string
-	// Bin holds the programs.
+	// Bin is the directory of the programs.
 	Bin string
-	// Env returns further environment of the process called name; nil for
-	// none.
+	// Env, if not nil, returns additional environment variables for the process called name.
 	Env func(name string) []string
 
 	ports *Ports
@@ -31,13 +30,12 @@
 	processes []*Process
 }
 
-// NewCluster returns an empty cluster that runs the programs in bin at
-// addresses from ports.
+// NewCluster returns an empty cluster that runs the programs in bin, at addresses taken from ports.
 func NewCluster(dir, bin string, ports *Ports) *Cluster {
 	return &Cluster{Dir: dir, Bin: bin, ports: ports}
 }
 
-// Run starts a program with a settings file made of cfg.
+// Run writes cfg as the settings file of the process called name and starts the program with it.
 func (c *Cluster) Run(program, name string, cfg any) (*Process, error) {
 	if err := c.Write(name, cfg); err != nil {
 		return nil, err
@@ -54,19 +52,19 @@
 	return errors.Wrap(os.WriteFile(filepath.Join(c.Dir, name+".json"), data, 0o644), "write settings")
 }
 
-// Rerun starts a program with the settings file of an earlier Run.
+// Rerun starts a program with the settings file that an earlier Run or Write wrote.
 func (c *Cluster) Rerun(program, name string) (*Process, error) {
 	path := filepath.Join(c.Dir, name+".json")
 	return c.Exec(name, filepath.Join(c.Bin, program), "--settings", path)
 }
 
-// Exec starts any program of the project as part of the cluster.
+// Exec starts any binary as a process of the cluster.
 func (c *Cluster) Exec(name, binary string, args ...string) (*Process, error) {
 	var env []string
 	if c.Env != nil {
 		env = c.Env(name)
 	}
-	p, err := start(c.Dir, name, env, binary, args...)
+	p, err := startProcess(c.Dir, name, env, binary, args...)
 	if err != nil {
 		return nil, err
 	}
@@ -79,18 +77,17 @@
 // Addrs returns n addresses on which nothing listens.
 func (c *Cluster) Addrs(n int) ([]settings.Addr, error) { return c.ports.Take(n) }
 
-// StopAll stops every process, newest first: those that do not end within
-// grace are killed.
+// StopAll stops every process, the newest first. It kills those that do not exit within grace.
 func (c *Cluster) StopAll(grace time.Duration) {
 	c.mu.Lock()
 	processes := append([]*Process(nil), c.processes...)
 	c.mu.Unlock()
 	for i := len(processes) - 1; i >= 0; i-- {
-		stop(processes[i], grace)
+		stopProcess(processes[i], grace)
 	}
 }
 
-func stop(p *Process, grace time.Duration) {
+func stopProcess(p *Process, grace time.Duration) {
 	if p.Exited() || p.Terminate() != nil {
 		return
 	}
@@ -99,12 +96,13 @@
 	select {
 	case <-p.done:
 	case <-timer.C:
-		// It is about to be gone either way.
+		// An error means that the process has exited meanwhile.
 		_ = p.Kill()
 	}
 }
 
-// Until calls ok again and again until it returns nil or ctx ends.
+// Until calls ok repeatedly until it returns nil or ctx ends. The error says what was awaited and
+// wraps the last error of ok.
 func Until(ctx context.Context, what string, ok func(context.Context) error) error {
 	const pause = 20 * time.Millisecond
 	for {
@@ -114,13 +112,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrapf(err, "waited for %s", what)
+			return errors.Wrapf(err, "waiting for %s", what)
 		case <-time.After(pause):
 		}
 	}
 }
 
-// Ready returns a check that url answers 200.
+// Ready returns a function that checks that url answers 200.
 func Ready(url string) func(context.Context) error {
 	return func(ctx context.Context) error {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -129,7 +127,7 @@
 		}
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
-			return errors.Wrap(err, "ask")
+			return errors.Wrap(err, "request")
 		}
 		defer resp.Body.Close()
 		if resp.StatusCode != http.StatusOK {
--- a/internal/proc/ctl_test.go
+++ b/internal/proc/ctl_test.go
@@ -14,7 +14,7 @@
 	"garnethoist.org/garnethoist/internal/proc"
 )
 
-// exitCode is the exit code behind the error of a finished command.
+// exitCode returns the exit code of a finished command from its error.
 func exitCode(err error) int {
 	var e *exec.ExitError
 	if errors.As(err, &e) {
@@ -23,15 +23,15 @@
 	return 0
 }
 
-// An operator's day: take the table, see the difference, apply it, meet a
-// conflict, a wrong cell and an unknown service, and look at the reports.
+// Runs the commands that an operator uses: get the table, diff and apply an edit, run into a
+// conflict, an invalid cell and an unknown service, and read the reports.
 func TestOperatorsCommandLine(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, proc.Shape{Engines: 1, Plains: 1, VMs: 2})
-	w.serve("v1", "checked")
-	is.NoErr(stream(w.ctx, w.VMs[0].Callers, 5))
-	path := filepath.Join(w.Dir, "edit.csv")
-	_, err := w.ctl(0, "table", "get", "--out", path)
+	h := newHarness(t, proc.Shape{Engines: 1, PlainTargets: 1, VMs: 2})
+	h.awaitServing("v1", "checked")
+	is.NoErr(stream(h.ctx, h.VMs[0].Callers, 5))
+	path := filepath.Join(h.Dir, "edit.csv")
+	_, err := h.ctl(0, "table", "get", "--out", path)
 	is.NoErr(err)
 	taken, err := os.ReadFile(path)
 	is.NoErr(err)
@@ -42,35 +42,35 @@
 	}
 
 	edit(",30s,", ",20s,")
-	out, err := w.ctl(0, "table", "diff", path)
+	out, err := h.ctl(0, "table", "diff", path)
 	is.NoErr(err)
 	is.True(strings.Contains(out, `row hints: deadline: "30s" -> "20s"`))
-	out, err = w.ctl(0, "table", "check", path)
+	out, err = h.ctl(0, "table", "check", path)
 	is.NoErr(err)
 	is.True(strings.Contains(out, "row hints: ok"))
-	_, err = w.ctl(0, "table", "apply", "--who", "asha", path)
+	_, err = h.ctl(0, "table", "apply", "--who", "asha", path)
 	is.NoErr(err)
 
-	edit(",30s,", ",10s,") // from the old version, at another steward
-	out, err = w.ctl(1, "table", "apply", "--who", "ravi", path)
+	edit(",30s,", ",10s,") // edits the old version, at another steward
+	out, err = h.ctl(1, "table", "apply", "--who", "ravi", path)
 	is.Equal(exitCode(err), 3)
 	is.True(strings.Contains(out, `column "deadline": theirs "20s", yours "10s"`))
 
 	edit("v1,1,", "v1,-1,")
-	out, err = w.ctl(0, "table", "apply", path)
+	out, err = h.ctl(0, "table", "apply", path)
 	is.Equal(exitCode(err), 2)
 	is.True(strings.Contains(out, `line 3, row "hints" column "weight"`) || strings.Contains(out, `row "hints" column "weight"`))
 
-	out, err = w.ctl(0, "table", "history")
+	out, err = h.ctl(0, "table", "history")
 	is.NoErr(err)
 	is.True(strings.Contains(out, "version 2 by asha"))
-	is.True(!strings.Contains(out, "ravi")) // nothing of it was applied
+	is.True(!strings.Contains(out, "ravi")) // no part of the conflicting edit was applied
 
-	out, err = w.ctl(0, "explain", "nosuch")
+	out, err = h.ctl(0, "explain", "nosuch")
 	is.Equal(exitCode(err), 2)
 	is.True(strings.Contains(out, `no service called "nosuch"`))
-	w.until("the stream in the burn report", func(context.Context) error {
-		out, err := w.ctl(1, "burn")
+	h.await("the stream in the burn report", func(context.Context) error {
+		out, err := h.ctl(1, "burn")
 		if err != nil || !lineHas(out, "hints", "0.99", "5m0s", "1", "0", "0.00") {
 			return errors.Errorf("%v: %s", err, out)
 		}
@@ -78,11 +78,12 @@
 	})
 }
 
-// A wrong settings file starts nothing: every problem is told, exit code 2.
+// With invalid settings nothing is started, every problem is printed, and the exit code is 2.
 func TestWrongSettings(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "bad.jsonc")
-	is.NoErr(os.WriteFile(path, []byte("{\n\"vm\": 7,\n\"listen\": \"nowhere\",\n\"wat\": 1\n}"), 0o644))
+	is.NoErr(os.WriteFile(path, []byte("{\n\"vm\": 7,\n\"listen\": \"nowhere\",\n\"wat\": 1\n}"),
+		0o644))
 	for _, program := range []string{"garnet-entry", "garnet-steward", "garnet-standin"} {
 		for _, args := range [][]string{{"--settings", path}, {"--settings", path, "--check"}} {
 			out, err := exec.Command(filepath.Join(binDir, program), args...).CombinedOutput()
--- a/internal/proc/flow_test.go
+++ b/internal/proc/flow_test.go
@@ -11,10 +11,10 @@
 	"garnethoist.org/garnethoist/internal/settings"
 )
 
-// flow is callers that keep asking: two in three for a stream, the others for
-// a keyed call that may not be repeated. Every answer is checked.
-type flow struct {
-	w    *world
+// load is a number of callers that send requests continuously: two in three callers read streams,
+// the others make keyed calls that may not be repeated. Every answer is checked.
+type load struct {
+	h    *harness
 	stop context.CancelFunc
 	done sync.WaitGroup
 
@@ -23,19 +23,19 @@
 	failures []error
 }
 
-// startFlow starts callers that ask for streams of a number of tokens.
-func (w *world) startFlow(callers, tokens int) *flow {
-	vms := append([]proc.VM(nil), w.VMs...) // the addresses stay, the processes change
-	ctx, stop := context.WithCancel(w.ctx)
-	f := &flow{w: w, stop: stop}
+// startLoad starts callers, whose streams have the given number of tokens.
+func (h *harness) startLoad(callers, tokens int) *load {
+	vms := append([]proc.VM(nil), h.VMs...) // stays valid: restarts change processes, not addresses
+	ctx, stop := context.WithCancel(h.ctx)
+	f := &load{h: h, stop: stop}
 	for caller := range callers {
 		f.done.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
-				f.note(balanced(w.ctx, vms, caller+i, func(entry settings.Addr) error {
+				f.record(sendToReadyVM(h.ctx, vms, caller+i, func(entry settings.Addr) error {
 					if caller%3 != 0 {
-						return stream(w.ctx, entry, tokens)
+						return stream(h.ctx, entry, tokens)
 					}
-					return renewOnce(w.ctx, entry, fmt.Sprintf("renew-%d-%d", caller, i))
+					return checkRenew(h.ctx, entry, fmt.Sprintf("renew-%d-%d", caller, i))
 				}))
 			}
 		})
@@ -43,15 +43,16 @@
 	return f
 }
 
-func renewOnce(ctx context.Context, entry settings.Addr, body string) error {
-	a, err := renew(ctx, entry, body, body)
+// checkRenew makes a keyed call and returns an error unless it was run.
+func checkRenew(ctx context.Context, entry settings.Addr, body string) error {
+	a, err := callRenew(ctx, entry, body, body)
 	if err == nil && a.status != 201 {
 		return errors.Errorf("%+v", a)
 	}
 	return err
 }
 
-func (f *flow) note(err error) {
+func (f *load) record(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.served++
@@ -60,42 +61,43 @@
 	}
 }
 
-func (f *flow) count() int {
+func (f *load) servedCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.served
 }
 
-func (f *flow) untilServed(n int) {
-	f.w.t.Helper()
-	f.w.until(fmt.Sprintf("%d requests", n), func(context.Context) error {
-		if got := f.count(); got < n {
+// awaitServed waits until at least n requests were answered.
+func (f *load) awaitServed(n int) {
+	f.h.t.Helper()
+	f.h.await(fmt.Sprintf("%d requests", n), func(context.Context) error {
+		if got := f.servedCount(); got < n {
 			return errors.Errorf("%d served", got)
 		}
 		return nil
 	})
 }
 
-// end waits for the last answers: at least this many came, none failed, and no
-// engine was ordered while it served.
-func (f *flow) end(least int) {
-	f.w.t.Helper()
-	f.untilServed(least)
+// finish waits until at least this many requests were answered, stops the callers and checks that
+// no request failed and that no engine received an order while it served.
+func (f *load) finish(minServed int) {
+	f.h.t.Helper()
+	f.awaitServed(minServed)
 	f.stop()
 	f.done.Wait()
 	for _, err := range f.failures {
-		f.w.t.Errorf("a request failed: %v", err)
+		f.h.t.Errorf("a request failed: %v", err)
 	}
-	for i := range f.w.Engines {
-		if n := f.w.counts(i).Cut; n != 0 {
-			f.w.t.Errorf("%s: an order cut %d streams", f.w.Engines[i].Name, n)
+	for i := range f.h.Engines {
+		if n := f.h.engineCounts(i).Cut; n != 0 {
+			f.h.t.Errorf("%s: an order cut %d streams", f.h.Engines[i].Name, n)
 		}
 	}
 }
 
-// balanced does what the platform's balancer does: it sends a request to an
-// entry that shows itself ready.
-func balanced(ctx context.Context, vms []proc.VM, first int, send func(settings.Addr) error) error {
+// sendToReadyVM sends a request to an entry that reports itself ready, as the platform's load
+// balancer does.
+func sendToReadyVM(ctx context.Context, vms []proc.VM, first int, send func(settings.Addr) error) error {
 	for i := 0; ctx.Err() == nil; i++ {
 		vm := vms[(first+i)%len(vms)]
 		if proc.Ready("http://"+string(vm.EntryAdmin)+"/readyz")(ctx) == nil {
--- a/internal/proc/harness_test.go
+++ b/internal/proc/harness_test.go
@@ -24,7 +24,7 @@
 	"garnethoist.org/garnethoist/internal/standin"
 )
 
-// binDir holds the programs, built once; ports serves all tests.
+// binDir is the directory of the programs, which are built once. ports is shared by all tests.
 var (
 	binDir string
 	ports  = proc.NewPorts()
@@ -35,34 +35,40 @@
 		serveReverseProxy(backend, os.Getenv(envProxyListen))
 		return
 	}
-	os.Exit(proctest.Main("garnethoist.org/garnethoist/cmd/...", func(dir string) { binDir = dir }, m.Run))
+	os.Exit(proctest.Main("garnethoist.org/garnethoist/cmd/...", func(dir string) { binDir = dir },
+		m.Run))
 }
 
 const tableHeader = "service,kind,engines,model,adapters,version,weight,rate_per_s,in_flight,account_rate_per_s,deadline,repeatable,change_cost,fencing,objective\n"
 
-// rows is the table's rows at a model version.
-func rows(engines, plains int, version, fencing string) string {
+// tableRows returns the rows of the table with the given model version.
+func tableRows(engines, plains int, version, fencing string) string {
 	return fmt.Sprintf("hints,language,kakkanad=%d,crossword-8b,,%s,1,0,0,0,30s,yes,1,%s,0.99\n"+
-		"renewals,plain,kakkanad=%d,,,,1,0,0,0,10s,no,0,checked,0.999\n", engines, version, fencing, plains)
+		"renewals,plain,kakkanad=%d,,,,1,0,0,0,10s,no,0,checked,0.999\n", engines, version, fencing,
+		plains)
 }
 
-// world is a layout with what tests do to it.
-type world struct {
+// harness is a layout with helpers for tests.
+type harness struct {
 	*proc.Layout
 	t   testing.TB
 	ctx context.Context
 }
 
-func newWorld(t *testing.T, shape proc.Shape) *world {
+// newHarness starts a layout for a test that runs in parallel with others. It skips the test in
+// short mode.
+func newHarness(t *testing.T, shape proc.Shape) *harness {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	t.Parallel()
-	return startWorld(t, shape, nil)
+	return startHarness(t, shape, nil)
 }
 
-func startWorld(t testing.TB, shape proc.Shape, env func(string) []string) *world {
+// startHarness starts a layout and stops it at the end of the test. env, if not nil, returns
+// additional environment variables for the process with a name.
+func startHarness(t testing.TB, shape proc.Shape, env func(string) []string) *harness {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 4*time.Minute)
 	c := proc.NewCluster(t.TempDir(), binDir, ports)
@@ -81,84 +87,86 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{Layout: l, t: t, ctx: ctx}
+	h := &harness{Layout: l, t: t, ctx: ctx}
 	t.Cleanup(func() {
 		if t.Failed() {
-			w.dumpLogs()
+			h.dumpLogs()
 		}
 	})
-	return w
+	return h
 }
 
-func (w *world) dumpLogs() {
-	for _, vm := range w.VMs {
-		w.t.Logf("%s\n%s\n%s\n%s", vm.Steward.Name, tail(vm.Steward.Log()), vm.Entry.Name, tail(vm.Entry.Log()))
+func (h *harness) dumpLogs() {
+	for _, vm := range h.VMs {
+		h.t.Logf("%s\n%s\n%s\n%s", vm.Steward.Name, tail(vm.Steward.Log()), vm.Entry.Name,
+			tail(vm.Entry.Log()))
 	}
 }
 
 func tail(s string) string {
-	const most = 3000
-	if len(s) > most {
-		return s[len(s)-most:]
+	const limit = 3000
+	if len(s) > limit {
+		return s[len(s)-limit:]
 	}
 	return s
 }
 
-// until waits for an event.
-func (w *world) until(what string, ok func(context.Context) error) {
-	w.t.Helper()
-	if err := proc.Until(w.ctx, what, ok); err != nil {
-		w.t.Fatal(err)
+// await waits until ok returns nil, and fails the test at the timeout.
+func (h *harness) await(what string, ok func(context.Context) error) {
+	h.t.Helper()
+	if err := proc.Until(h.ctx, what, ok); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
-// serve applies the first table and waits until every engine serves.
-func (w *world) serve(version, fencing string) {
-	w.t.Helper()
-	for _, vm := range w.VMs {
-		w.until("steward of "+vm.Name, proc.Ready("http://"+string(vm.StewardAdmin)+"/healthz"))
+// awaitServing applies the first table and waits until every engine serves.
+func (h *harness) awaitServing(version, fencing string) {
+	h.t.Helper()
+	for _, vm := range h.VMs {
+		h.await("steward of "+vm.Name, proc.Ready("http://"+string(vm.StewardAdmin)+"/healthz"))
 	}
-	w.apply(0, version, fencing)
-	for _, vm := range w.VMs {
-		w.until("entry of "+vm.Name, proc.Ready("http://"+string(vm.EntryAdmin)+"/readyz"))
+	h.apply(0, version, fencing)
+	for _, vm := range h.VMs {
+		h.await("entry of "+vm.Name, proc.Ready("http://"+string(vm.EntryAdmin)+"/readyz"))
 	}
-	w.untilVersion(version)
+	h.awaitVersion(version)
 }
 
-func (w *world) apply(base int, version, fencing string) {
-	w.t.Helper()
-	path := filepath.Join(w.Dir, "table.csv")
-	text := fmt.Sprintf("# version %d\n", base) + tableHeader + rows(len(w.Engines), len(w.Plains), version, fencing)
+func (h *harness) apply(base int, version, fencing string) {
+	h.t.Helper()
+	path := filepath.Join(h.Dir, "table.csv")
+	text := fmt.Sprintf("# version %d\n", base) + tableHeader + tableRows(len(h.Engines),
+		len(h.PlainTargets), version, fencing)
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	// The last VM: tests cut off or stop the first.
-	if out, err := w.ctl(len(w.VMs)-1, "table", "apply", path); err != nil {
-		w.t.Fatalf("apply: %v\n%s", err, out)
+	// Apply at the last VM: tests cut off or stop the first one.
+	if out, err := h.ctl(len(h.VMs)-1, "table", "apply", path); err != nil {
+		h.t.Fatalf("apply: %v\n%s", err, out)
 	}
 }
 
-func (w *world) ctl(vm int, args ...string) (string, error) {
-	args = append([]string{"--steward", string(w.VMs[vm].StewardGRPC)}, args...)
-	out, err := exec.CommandContext(w.ctx, filepath.Join(w.Bin, "garnetctl"), args...).CombinedOutput()
+func (h *harness) ctl(vm int, args ...string) (string, error) {
+	args = append([]string{"--steward", string(h.VMs[vm].StewardGRPC)}, args...)
+	out, err := exec.CommandContext(h.ctx, filepath.Join(h.Bin, "garnetctl"), args...).CombinedOutput()
 	return string(out), err
 }
 
-// untilVersion waits until every engine runs a version and is live.
-func (w *world) untilVersion(version string) {
-	w.t.Helper()
-	w.until("engines at "+version, func(context.Context) error {
-		for i := range w.VMs {
-			out, err := w.ctl(i, "status")
+// awaitVersion waits until every engine runs a version, and all targets are live.
+func (h *harness) awaitVersion(version string) {
+	h.t.Helper()
+	h.await("engines at "+version, func(context.Context) error {
+		for i := range h.VMs {
+			out, err := h.ctl(i, "status")
 			if err != nil {
 				return errors.Errorf("%v: %s", err, out)
 			}
-			for _, e := range w.Engines {
+			for _, e := range h.Engines {
 				if !lineHas(out, e.Name, "live", version) {
 					return errors.Errorf("%s is not at %s:\n%s", e.Name, version, out)
 				}
 			}
-			for _, p := range w.Plains {
+			for _, p := range h.PlainTargets {
 				if !lineHas(out, p.Name, "live") {
 					return errors.Errorf("%s is not live:\n%s", p.Name, out)
 				}
@@ -168,7 +176,7 @@
 	})
 }
 
-// lineHas reports whether a line begins with name and has all the words.
+// lineHas reports whether out has a line that begins with name and contains all the words.
 func lineHas(out, name string, words ...string) bool {
 	for _, line := range strings.Split(out, "\n") {
 		fields := strings.Fields(line)
@@ -176,8 +184,8 @@
 			continue
 		}
 		all := true
-		for _, w := range words {
-			all = all && strings.Contains(" "+strings.Join(fields, " ")+" ", " "+w+" ")
+		for _, word := range words {
+			all = all && strings.Contains(" "+strings.Join(fields, " ")+" ", " "+word+" ")
 		}
 		if all {
 			return true
@@ -186,7 +194,7 @@
 	return false
 }
 
-// getJSON reads a stand-in's counters.
+// getJSON decodes the counters of a stand-in into dst.
 func getJSON(t testing.TB, url string, dst any) {
 	t.Helper()
 	resp, err := http.Get(url)
@@ -199,39 +207,41 @@
 	}
 }
 
-func (w *world) counts(i int) standin.Counts {
-	w.t.Helper()
+func (h *harness) engineCounts(i int) standin.Counts {
+	h.t.Helper()
 	var c standin.Counts
-	getJSON(w.t, "http://"+string(w.Engines[i].Address)+standin.PathCounts, &c)
+	getJSON(h.t, "http://"+string(h.Engines[i].Address)+standin.PathCounts, &c)
 	return c
 }
 
-// ran is how often a call with the body ran on all plain services.
-func (w *world) ran(body string) int {
-	w.t.Helper()
+// runCount returns how often a call with this body ran, summed over all plain services that are
+// running.
+func (h *harness) runCount(body string) int {
+	h.t.Helper()
 	sum := 0
-	for _, p := range w.Plains {
+	for _, p := range h.PlainTargets {
 		if p.Process.Exited() {
 			continue
 		}
 		n := 0
-		getJSON(w.t, "http://"+string(p.Address)+standin.PathRan+"?body="+url.QueryEscape(body), &n)
+		getJSON(h.t, "http://"+string(p.Address)+standin.PathRan+"?body="+url.QueryEscape(body), &n)
 		sum += n
 	}
 	return sum
 }
 
-func (w *world) platformFault(mode string) {
-	w.t.Helper()
-	resp, err := http.Post("http://"+string(w.Platform)+"/fault?mode="+mode, "", nil)
+func (h *harness) platformFault(mode string) {
+	h.t.Helper()
+	resp, err := http.Post("http://"+string(h.Platform)+"/fault?mode="+mode, "", nil)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	resp.Body.Close()
 }
 
-// reader reads one stream event by event.
-type reader struct {
+// streamReader reads a stream event by event. text is the answer so far, and last the id of the
+// last event.
+type streamReader struct {
 	resp *http.Response
 	in   *bufio.Scanner
 	text string
@@ -239,15 +249,16 @@
 	done bool
 }
 
-const question = `[{"role":"user","content":"7 across?"}]`
+const chatMessages = `[{"role":"user","content":"7 across?"}]`
 
-// expected is the right answer's first n tokens.
-func expected(n int) string { return standin.Answer(standin.PromptHash(`user"7 across?"`), n) }
+// expectedAnswer returns the first n tokens of the correct answer.
+func expectedAnswer(n int) string { return standin.Answer(standin.PromptHash(`user"7 across?"`), n) }
 
-// openStream begins a stream at an entry.
-func openStream(ctx context.Context, entry settings.Addr, tokens int, last string) (*reader, error) {
-	body := fmt.Sprintf(`{"messages":%s,"stream":true,"max_tokens":%d}`, question, tokens)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+string(entry)+"/services/hints/v1/chat/completions", strings.NewReader(body))
+// openStream starts a stream at an entry, or resumes one after the event with id last.
+func openStream(ctx context.Context, entry settings.Addr, tokens int, last string) (*streamReader, error) {
+	body := fmt.Sprintf(`{"messages":%s,"stream":true,"max_tokens":%d}`, chatMessages, tokens)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost,
+		"http://"+string(entry)+"/services/hints/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -263,7 +274,7 @@
 		resp.Body.Close()
 		return nil, errors.Errorf("status %d: %s %v", resp.StatusCode, data, err)
 	}
-	return &reader{resp: resp, in: bufio.NewScanner(resp.Body)}, nil
+	return &streamReader{resp: resp, in: bufio.NewScanner(resp.Body)}, nil
 }
 
 type chunk struct {
@@ -277,8 +288,8 @@
 	} `json:"error"`
 }
 
-// next reads until n more tokens have come, or to the end for 0.
-func (r *reader) next(n int) error {
+// next reads n more tokens, or to the end of the stream if n is 0.
+func (r *streamReader) next(n int) error {
 	for got := 0; !r.done && (n == 0 || got < n); {
 		if !r.in.Scan() {
 			return errors.Errorf("the stream broke off after %q: %v", r.last, r.in.Err())
@@ -308,9 +319,9 @@
 	return nil
 }
 
-func (r *reader) close() { r.resp.Body.Close() }
+func (r *streamReader) close() { r.resp.Body.Close() }
 
-// stream reads a whole stream and checks it.
+// stream reads a whole stream and checks its text.
 func stream(ctx context.Context, entry settings.Addr, tokens int) error {
 	r, err := openStream(ctx, entry, tokens, "")
 	if err != nil {
@@ -320,13 +331,13 @@
 	if err := r.next(0); err != nil {
 		return err
 	}
-	if r.text != expected(tokens) {
+	if r.text != expectedAnswer(tokens) {
 		return errors.Errorf("got %q", r.text)
 	}
 	return nil
 }
 
-// answer is a plain call's answer.
+// answer is the answer to a plain call. retry is its Retry-After header.
 type answer struct {
 	status  int
 	body    string
@@ -334,9 +345,10 @@
 	retry   string
 }
 
-// renew makes a keyed call that may not be repeated.
-func renew(ctx context.Context, entry settings.Addr, key, body string) (answer, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+string(entry)+"/services/renewals/confirm", strings.NewReader(body))
+// callRenew makes a call that may not be repeated, with an idempotency key unless key is empty.
+func callRenew(ctx context.Context, entry settings.Addr, key, body string) (answer, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost,
+		"http://"+string(entry)+"/services/renewals/confirm", strings.NewReader(body))
 	if err != nil {
 		return answer{}, err
 	}
@@ -355,7 +367,7 @@
 	}, err
 }
 
-// postJSON posts a body and expects success.
+// postJSON posts a body and returns an error unless it succeeds.
 func postJSON(ctx context.Context, url string, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(string(body)))
 	if err != nil {
@@ -372,7 +384,7 @@
 	return nil
 }
 
-// metric reads one number from a scrape endpoint, summed over its labels.
+// metric reads one metric from a /metrics endpoint, summed over its labels.
 func metric(ctx context.Context, admin, name string) (float64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/metrics", nil)
 	if err != nil {
--- a/internal/proc/layout.go
+++ b/internal/proc/layout.go
@@ -9,55 +9,56 @@
 	"garnethoist.org/garnethoist/internal/settings"
 )
 
-// Layout is the usual set-up: stand-ins of the outside systems and a number of
-// VMs with an entry and a steward each.
+// Layout is the usual deployment: stand-ins for the outside systems, and VMs with an entry and a
+// steward each.
 type Layout struct {
 	*Cluster
-	DataCentre string
-	Platform   settings.Addr
-	Engines    []Target
-	Plains     []Target
-	VMs        []VM
+	DataCentre   string
+	Platform     settings.Addr
+	Engines      []Target
+	PlainTargets []Target
+	VMs          []VM
 }
 
-// Target is a stand-in target.
+// Target is a stand-in target: an engine or a plain service.
 type Target struct {
 	Name    string
 	Address settings.Addr
 	Process *Process
 }
 
-// VM is one entry VM.
+// VM is one VM with an entry and a steward.
 type VM struct {
 	Name    string
 	Entry   *Process
 	Steward *Process
-	// Callers, EntryAdmin, StewardGRPC and StewardAdmin are its addresses.
+	// Callers is the address for callers; the others are addresses of the entry and the steward.
 	Callers      settings.Addr
 	EntryAdmin   settings.Addr
 	StewardGRPC  settings.Addr
 	StewardAdmin settings.Addr
 }
 
-// Shape says how large a layout is and how its parts are set up.
+// Shape sets the size of a layout and the settings of its parts.
 type Shape struct {
-	Engines int
-	Plains  int
-	VMs     int
-	// NoEntries leaves the entries out.
+	Engines      int
+	PlainTargets int
+	VMs          int
+	// NoEntries starts stewards only.
 	NoEntries bool
-	// Engine, Steward and Entry may change the settings of each part.
+	// Engine, Steward and Entry, if not nil, change the settings of part i before it starts.
 	Engine  func(i int, s *settings.Standin)
 	Steward func(i int, s *settings.Steward)
 	Entry   func(i int, s *settings.Entry)
 }
 
-// addrsPerVM is the addresses that one VM needs.
+// addrsPerVM is the number of addresses that one VM needs.
 const addrsPerVM = 4
 
-// NewLayout starts every process of a layout, in one data centre.
+// NewLayout starts every process of a layout, in one data centre. If it returns an error, processes
+// that were already started go on running until the cluster is stopped.
 func NewLayout(c *Cluster, shape Shape) (*Layout, error) {
-	addrs, err := c.ports.Take(1 + shape.Engines + shape.Plains + addrsPerVM*shape.VMs)
+	addrs, err := c.ports.Take(1 + shape.Engines + shape.PlainTargets + addrsPerVM*shape.VMs)
 	if err != nil {
 		return nil, err
 	}
@@ -67,13 +68,15 @@
 		l.Engines = append(l.Engines, Target{Name: fmt.Sprintf("engine-%d", i+1), Address: addrs[i]})
 	}
 	addrs = addrs[shape.Engines:]
-	for i := range shape.Plains {
-		l.Plains = append(l.Plains, Target{Name: fmt.Sprintf("desk-%d", i+1), Address: addrs[i]})
+	for i := range shape.PlainTargets {
+		l.PlainTargets = append(l.PlainTargets,
+			Target{Name: fmt.Sprintf("desk-%d", i+1), Address: addrs[i]})
 	}
-	addrs = addrs[shape.Plains:]
+	addrs = addrs[shape.PlainTargets:]
 	for i := range shape.VMs {
 		a := addrs[addrsPerVM*i:]
-		l.VMs = append(l.VMs, VM{Name: fmt.Sprintf("vm-%d", i+1), Callers: a[0], EntryAdmin: a[1], StewardGRPC: a[2], StewardAdmin: a[3]})
+		l.VMs = append(l.VMs, VM{Name: fmt.Sprintf("vm-%d", i+1), Callers: a[0], EntryAdmin: a[1],
+			StewardGRPC: a[2], StewardAdmin: a[3]})
 	}
 	return l, l.start(shape)
 }
@@ -90,14 +93,17 @@
 	return nil
 }
 
+// startStandins starts the platform, the engines and the plain services.
 func (l *Layout) startStandins(shape Shape) error {
 	p := settings.DefaultStandin()
 	p.Kind, p.Name, p.Listen = "platform", "platform", l.Platform
 	for _, t := range l.Engines {
-		p.VMs = append(p.VMs, settings.StandinVM{Name: t.Name, DataCentre: l.DataCentre, Address: t.Address, Kind: "engine"})
+		p.VMs = append(p.VMs, settings.StandinVM{Name: t.Name, DataCentre: l.DataCentre,
+			Address: t.Address, Kind: "engine"})
 	}
-	for _, t := range l.Plains {
-		p.VMs = append(p.VMs, settings.StandinVM{Name: t.Name, DataCentre: l.DataCentre, Address: t.Address, Kind: "plain"})
+	for _, t := range l.PlainTargets {
+		p.VMs = append(p.VMs, settings.StandinVM{Name: t.Name, DataCentre: l.DataCentre,
+			Address: t.Address, Kind: "plain"})
 	}
 	if _, err := l.Run("garnet-standin", "platform", p); err != nil {
 		return err
@@ -112,10 +118,10 @@
 			return err
 		}
 	}
-	for i := range l.Plains {
+	for i := range l.PlainTargets {
 		s := settings.DefaultStandin()
-		s.Kind, s.Name, s.Listen = "plain", l.Plains[i].Name, l.Plains[i].Address
-		if err := l.runTarget(&l.Plains[i], s); err != nil {
+		s.Kind, s.Name, s.Listen = "plain", l.PlainTargets[i].Name, l.PlainTargets[i].Address
+		if err := l.runTarget(&l.PlainTargets[i], s); err != nil {
 			return err
 		}
 	}
@@ -128,10 +134,13 @@
 	return err
 }
 
+// startVM starts the steward and the entry of VM i. Their intervals are much shorter than the
+// defaults, so that tests need not wait for long.
 func (l *Layout) startVM(i int, shape Shape) error {
 	vm := &l.VMs[i]
 	st := settings.DefaultSteward()
-	st.VM, st.DataCentre, st.Listen, st.AdminListen = vm.Name, l.DataCentre, vm.StewardGRPC, vm.StewardAdmin
+	st.VM, st.DataCentre, st.Listen, st.AdminListen =
+		vm.Name, l.DataCentre, vm.StewardGRPC, vm.StewardAdmin
 	st.Platform.Address = l.Platform
 	st.GossipInterval = settings.Duration(200 * time.Millisecond)
 	st.PollInterval = settings.Duration(200 * time.Millisecond)
@@ -146,7 +155,8 @@
 	for j := range l.VMs {
 		peer := l.VMs[(i+j)%len(l.VMs)]
 		en.Stewards = append(en.Stewards, peer.StewardGRPC)
-		st.Peers = append(st.Peers, settings.Peer{VM: peer.Name, DataCentre: l.DataCentre, Address: peer.StewardGRPC})
+		st.Peers = append(st.Peers, settings.Peer{VM: peer.Name, DataCentre: l.DataCentre,
+			Address: peer.StewardGRPC})
 	}
 	if shape.Steward != nil {
 		shape.Steward(i, st)
--- a/internal/proc/ports.go
+++ b/internal/proc/ports.go
@@ -11,34 +11,33 @@
 	"garnethoist.org/garnethoist/internal/settings"
 )
 
-// The ports handed out lie below the range from which the kernel takes ports
-// for outgoing connections, so that none is taken between being found free and
-// being listened on.
+// The ports are below the range from which the kernel takes ports for outgoing connections, so that
+// no port is taken between the check that it is free and the start of its listener.
 const (
 	firstPort = 12000
 	portCount = 18000
-	// blockPorts is how many ports a source claims at once.
-	blockPorts = 100
-	blockCount = portCount / blockPorts
+	// portsPerBlock is the number of ports that a Ports claims at once.
+	portsPerBlock = 100
+	blockCount    = portCount / portsPerBlock
 )
 
-// Ports hands out loopback addresses, none of them twice. It claims blocks of them,
-// so that programs which run side by side have none in common: what the processes of
-// one still ask for would come to those of another. It is safe for concurrent use.
+// Ports hands out loopback addresses, never the same one twice. It claims ports in blocks, so that
+// programs that run in parallel have no ports in common: requests to a process that has ended would
+// otherwise reach a process of another program. It is safe for concurrent use.
 type Ports struct {
 	mu sync.Mutex
-	// next and end bound what is left of the block claimed last.
+	// next and end are the bounds of the unused rest of the current block.
 	next, end int
 }
 
-// claims holds a listener on the first port of each block that this program has
-// claimed. It outlives the sources, whose processes may not have ended with them.
-var claims struct {
+// claimedBlocks holds a listener on the first port of each block that this program has claimed. The
+// blocks remain claimed after their Ports is gone, since its processes may still run.
+var claimedBlocks struct {
 	sync.Mutex
 	held []net.Listener
 }
 
-// NewPorts returns a source that has claimed nothing.
+// NewPorts returns a Ports that has not claimed a block yet.
 func NewPorts() *Ports { return &Ports{} }
 
 // Take returns n addresses on which nothing listens.
@@ -48,42 +47,41 @@
 	out := make([]settings.Addr, 0, n)
 	for len(out) < n {
 		if p.next == p.end {
-			if err := p.claim(); err != nil {
+			if err := p.claimBlock(); err != nil {
 				return nil, err
 			}
 		}
-		addr := address(p.next)
+		addr := loopbackAddr(p.next)
 		p.next++
-		if free(addr) {
+		if isFree(addr) {
 			out = append(out, settings.Addr(addr))
 		}
 	}
 	return out, nil
 }
 
-// claim takes a block that no other source has; the caller holds p.mu.
-func (p *Ports) claim() error {
+// claimBlock claims a block that no other Ports has. The caller must hold p.mu.
+func (p *Ports) claimBlock() error {
 	first := os.Getpid() % blockCount
 	for i := range blockCount {
-		port := firstPort + (first+i)%blockCount*blockPorts
-		l, err := net.Listen("tcp", address(port))
+		port := firstPort + (first+i)%blockCount*portsPerBlock
+		l, err := net.Listen("tcp", loopbackAddr(port))
 		if err != nil {
 			continue
 		}
-		claims.Lock()
-		claims.held = append(claims.held, l)
-		claims.Unlock()
-		p.next, p.end = port+1, port+blockPorts
+		claimedBlocks.Lock()
+		claimedBlocks.held = append(claimedBlocks.held, l)
+		claimedBlocks.Unlock()
+		p.next, p.end = port+1, port+portsPerBlock
 		return nil
 	}
 	return errors.New("no block of ports is free")
 }
 
-func address(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
+func loopbackAddr(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// free reports whether nothing listens on the address, for connections or for
-// datagrams.
-func free(addr string) bool {
+// isFree reports whether nothing listens on the address, neither for TCP nor for UDP.
+func isFree(addr string) bool {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return false
--- a/internal/proc/ports_test.go
+++ b/internal/proc/ports_test.go
@@ -9,8 +9,8 @@
 	"garnethoist.org/garnethoist/internal/settings"
 )
 
-// An address on which another process listens for datagrams alone is not handed
-// out: a VM that is to exchange reports there could not start.
+// An address on which another process listens for UDP only is not handed out: a VM could not start
+// that is to exchange reports there.
 func TestPortsLeaveOutAddressesTakenForDatagrams(t *testing.T) {
 	is := is.New(t)
 	p := NewPorts()
@@ -25,12 +25,12 @@
 	is.True(next[0] != free[0])
 }
 
-// Two sources, as in two programs that run side by side, hand out no address twice,
-// also where nothing listens yet or any more: what one program's processes still ask
-// for must not come to another's.
+// Two Ports, as in two programs that run in parallel, never hand out the same address, even if
+// nothing listens on it yet or any more: requests of one program's processes must not reach those
+// of the other.
 func TestPortsOfTwoSourcesAreDisjoint(t *testing.T) {
 	is := is.New(t)
-	const each = 2 * blockPorts
+	const each = 2 * portsPerBlock
 	handed := make(map[settings.Addr]bool)
 	for range 2 {
 		addrs, err := NewPorts().Take(each)
--- a/internal/proc/process.go
+++ b/internal/proc/process.go
@@ -1,6 +1,5 @@
-// Package proc runs garnethoist's programs as separate processes on loopback,
-// for the demo and for tests with real processes. The daemons themselves never
-// use it: they start no other process.
+// Package proc runs garnethoist's programs as separate processes on loopback, for the demo and for
+// tests. The daemons themselves never use it, as they start no processes.
 package proc
 
 import (
@@ -13,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// Process is one running program.
+// Process is one started program.
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
@@ -23,8 +22,8 @@
 	err  error
 }
 
-// start runs binary with args; its output goes to a file in dir.
-func start(dir, name string, env []string, binary string, args ...string) (*Process, error) {
+// startProcess starts binary with args. Its output is appended to the file name.log in dir.
+func startProcess(dir, name string, env []string, binary string, args ...string) (*Process, error) {
 	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, errors.Wrap(err, "open log")
@@ -51,7 +50,7 @@
 	return errors.Wrapf(p.cmd.Process.Signal(sig), "signal %s", p.Name)
 }
 
-// Kill ends the process at once and waits for it.
+// Kill sends SIGKILL to the process and waits until it has exited.
 func (p *Process) Kill() error {
 	if p.Exited() {
 		return nil
@@ -63,16 +62,16 @@
 	return nil
 }
 
-// Terminate asks the process to stop.
+// Terminate sends SIGTERM to the process and does not wait.
 func (p *Process) Terminate() error { return p.Signal(syscall.SIGTERM) }
 
-// Wait waits for the process to end and returns its error, if any.
+// Wait waits until the process has exited and returns its error, if any.
 func (p *Process) Wait() error {
 	<-p.done
 	return p.err
 }
 
-// Exited reports whether the process has ended.
+// Exited reports whether the process has exited.
 func (p *Process) Exited() bool {
 	select {
 	case <-p.done:
@@ -82,10 +81,10 @@
 	}
 }
 
-// PID is the process id.
+// PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Log returns what the process has written so far.
+// Log returns the output of the process so far, or an empty string if it cannot be read.
 func (p *Process) Log() string {
 	f, err := os.Open(p.log.Name())
 	if err != nil {
--- a/internal/proc/proctest/build.go
+++ b/internal/proc/proctest/build.go
@@ -8,9 +8,9 @@
 	"path/filepath"
 )
 
-// Main builds the programs of a package pattern into a folder, tells the folder,
-// runs the tests and removes it again. It returns the tests' exit code; a
-// TestMain passes it to os.Exit.
+// Main builds the programs of a package pattern into a temporary directory, passes the directory to
+// bin, runs the tests and removes the directory. It returns the exit code of the tests, for a
+// TestMain to pass to os.Exit.
 func Main(pattern string, bin func(dir string), run func() int) int {
 	dir, err := os.MkdirTemp("", "garnet-test-")
 	if err != nil {
--- a/internal/proc/relay.go
+++ b/internal/proc/relay.go
@@ -9,85 +9,86 @@
 	"golang.org/x/sys/unix"
 )
 
-// Disturbance is what a relay does to the connections through it.
+// Disturbance is a network fault that a relay applies to its connections.
 type Disturbance int
 
-// The disturbances. Silent, OneWay and Delayed hold bytes back, as a lost packet
-// does: what was held goes on when the link is sound again.
+// The disturbances. Silent, OneWay and Delayed hold data back, as after a lost packet: it is passed
+// on once the link is healed.
 const (
-	// Sound passes everything on.
+	// Sound passes all data on: there is no fault.
 	Sound Disturbance = iota
-	// Refuse breaks every connection and refuses new ones.
+	// Refuse resets every connection and refuses new ones.
 	Refuse
-	// Reset resets every connection once; new ones pass.
+	// Reset resets every open connection once. New ones work.
 	Reset
-	// Silent holds everything, both ways.
+	// Silent holds all data back, in both directions.
 	Silent
-	// OneWay holds what comes back and passes what goes out.
+	// OneWay holds back the data to the client and passes on that to the destination.
 	OneWay
-	// Delayed holds each piece for the relay's delay.
+	// Delayed delays all data by addedDelay.
 	Delayed
-	// Lost silences every open connection for good: no packet that its ends send
-	// is acknowledged or passed on. New connections pass.
+	// Lost silences every open connection for good: packets that its ends send are neither
+	// acknowledged nor passed on. New connections work.
 	Lost
-	// Swallowed silences every open connection for good as well, but what its ends
-	// send is acknowledged. New connections pass.
+	// Swallowed silences every open connection for good as well, but data that its ends send is
+	// acknowledged before it is discarded. New connections work.
 	Swallowed
 )
 
-// String returns the disturbance as it appears in reports.
+// String returns the name of the disturbance in reports.
 func (d Disturbance) String() string {
-	return [...]string{"sound", "refuse", "reset", "silent", "one_way", "delayed", "lost", "swallowed"}[d]
+	return [...]string{"sound", "refuse", "reset", "silent", "one_way", "delayed", "lost",
+		"swallowed"}[d]
 }
 
 const (
-	// delay is what Delayed adds to each piece.
-	delay = 60 * time.Millisecond
-	// holdPoll is how often a held piece looks whether it may go on.
-	holdPoll = 5 * time.Millisecond
-	// silentPoll is the same for the end of a connection that is silent for good.
-	silentPoll = 50 * time.Millisecond
-	// pieceBytes is the size of one read.
-	pieceBytes = 16 << 10
+	// addedDelay is the delay that Delayed adds to each read.
+	addedDelay = 60 * time.Millisecond
+	// heldPollInterval is how often held data is checked for whether it may be passed on.
+	heldPollInterval = 5 * time.Millisecond
+	// silentPollInterval is the same for the close of a connection that is silent for good.
+	silentPollInterval = 50 * time.Millisecond
+	// bufferBytes is the size of the read buffer.
+	bufferBytes = 16 << 10
 )
 
-// Relay is a small TCP relay that can be disturbed: the network between two
-// processes.
+// Relay is a TCP relay that simulates faults of the network between two processes. It is safe for
+// concurrent use.
 type Relay struct {
-	listener net.Listener
-	backend  string
-	served   sync.WaitGroup
+	listener    net.Listener
+	destination string
+	background  sync.WaitGroup
 
 	mu     sync.Mutex
 	state  Disturbance
 	closed bool
-	// conns holds the open connections; the value says that what comes on one is
-	// swallowed.
+	// conns holds the open connections. The value is true if data that arrives on the connection is
+	// discarded.
 	conns map[net.Conn]bool
 }
 
-// NewRelay listens on a loopback address for connections to backend.
+// NewRelay starts a relay that listens on a loopback address and forwards to destination.
 func NewRelay(backend string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
-	r := &Relay{listener: l, backend: backend, conns: map[net.Conn]bool{}}
-	r.served.Go(r.serve)
+	r := &Relay{listener: l, destination: backend, conns: map[net.Conn]bool{}}
+	r.background.Go(r.serve)
 	return r, nil
 }
 
-// Addr is where the relay listens.
+// Addr returns the address on which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Cut breaks every connection and refuses new ones.
+// Cut resets every connection and refuses new ones.
 func (r *Relay) Cut() { r.Disturb(Refuse) }
 
-// Heal lets connections through again.
+// Heal ends a lasting disturbance. Connections that were silenced for good stay silent.
 func (r *Relay) Heal() { r.Disturb(Sound) }
 
-// Disturb disturbs the link until it is called again; Lost and Swallowed leave it
-// as it is.
+// Disturb applies a disturbance until the next call. Lost and Swallowed affect only open
+// connections and leave the lasting disturbance as it is.
 func (r *Relay) Disturb(d Disturbance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,8 +107,8 @@
 	}
 }
 
-// dropPackets makes the kernel drop every packet that arrives for c, before it
-// acknowledges any. A connection that is closed already needs nothing.
+// dropPackets makes the kernel drop every packet that arrives for c before acknowledging it. A
+// connection that is already closed needs no filter, so errors are ignored.
 func dropPackets(c net.Conn) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -117,21 +118,22 @@
 	if err != nil {
 		return
 	}
-	accept := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0} // no byte of any packet
+	accept := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0} // accepts 0 bytes of each packet
 	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: 1, Filter: &accept})
+		_ = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER,
+			&unix.SockFprog{Len: 1, Filter: &accept})
 	})
 }
 
-// swallows reports whether what comes on a connection is dropped.
-func (r *Relay) swallows(c net.Conn) bool {
+// discards reports whether data that arrives on a connection is discarded.
+func (r *Relay) discards(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.conns[c]
 }
 
-// reset closes a connection with a reset. A connection that is closed already
-// needs none.
+// reset closes a connection with a TCP reset. Errors are ignored: they mean that it is already
+// closed.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -139,14 +141,14 @@
 	_ = c.Close()
 }
 
-// Close ends the relay and waits for it.
+// Close stops the relay, resets its connections and waits for its goroutines.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
 	r.Cut()
-	r.served.Wait()
+	r.background.Wait()
 }
 
 func (r *Relay) serve() {
@@ -155,12 +157,12 @@
 		if err != nil {
 			return
 		}
-		r.served.Go(func() { r.pass(in) })
+		r.background.Go(func() { r.forward(in) })
 	}
 }
 
-// hold notes a connection, unless the relay is cut.
-func (r *Relay) hold(c net.Conn) bool {
+// addConn registers a connection. It returns false if the relay refuses connections.
+func (r *Relay) addConn(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state == Refuse {
@@ -170,26 +172,27 @@
 	return true
 }
 
-func (r *Relay) release(c net.Conn) {
+func (r *Relay) removeConn(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, c)
 	c.Close()
 }
 
-func (r *Relay) pass(in net.Conn) {
-	defer r.release(in)
-	if !r.hold(in) {
+// forward connects to the destination and copies data in both directions.
+func (r *Relay) forward(in net.Conn) {
+	defer r.removeConn(in)
+	if !r.addConn(in) {
 		reset(in)
 		return
 	}
-	out, err := net.Dial("tcp", r.backend)
+	out, err := net.Dial("tcp", r.destination)
 	if err != nil {
 		reset(in)
 		return
 	}
-	defer r.release(out)
-	if !r.hold(out) {
+	defer r.removeConn(out)
+	if !r.addConn(out) {
 		return
 	}
 	var back sync.WaitGroup
@@ -202,16 +205,16 @@
 	back.Wait()
 }
 
-// copy passes pieces on until either end closes.
+// copy forwards data from src to dst until either is closed. back is true for data to the client.
 func (r *Relay) copy(dst, src net.Conn, back bool) {
-	buf := make([]byte, pieceBytes)
+	buf := make([]byte, bufferBytes)
 	for {
 		n, err := src.Read(buf)
 		if n > 0 {
-			if !r.await(back) {
+			if !r.awaitPassing(back) {
 				return
 			}
-			if r.swallows(src) {
+			if r.discards(src) {
 				continue
 			}
 			if _, werr := dst.Write(buf[:n]); werr != nil {
@@ -225,17 +228,16 @@
 	}
 }
 
-// keepSilent holds back the end of a connection whose bytes are swallowed until
-// the relay closes.
+// keepSilent delays the close of a connection whose data is discarded until the relay is closed, so
+// that the other end does not notice it.
 func (r *Relay) keepSilent(c net.Conn) {
-	for r.swallows(c) && r.await(false) {
-		time.Sleep(silentPoll)
+	for r.discards(c) && r.awaitPassing(false) {
+		time.Sleep(silentPollInterval)
 	}
 }
 
-// await holds a piece as long as the link is disturbed. It returns false when
-// the relay closes.
-func (r *Relay) await(back bool) bool {
+// awaitPassing blocks while the link holds data back. It returns false if the relay is closed.
+func (r *Relay) awaitPassing(back bool) bool {
 	for {
 		r.mu.Lock()
 		state, closed := r.state, r.closed
@@ -244,10 +246,10 @@
 		case closed:
 			return false
 		case state == Delayed:
-			time.Sleep(delay)
+			time.Sleep(addedDelay)
 			return true
 		case state == Silent, state == OneWay && back:
-			time.Sleep(holdPoll)
+			time.Sleep(heldPollInterval)
 		default:
 			return true
 		}
--- a/internal/proc/relay_bench_test.go
+++ b/internal/proc/relay_bench_test.go
@@ -23,8 +23,8 @@
 	"garnethoist.org/garnethoist/internal/settings"
 )
 
-// The environment by which this test binary serves as the baseline: the
-// standard library's reverse proxy in a process of its own.
+// The environment variables that make this test binary serve as the baseline: the standard
+// library's reverse proxy in a process of its own.
 const (
 	envProxyBackend = "GARNET_BENCH_PROXY_BACKEND"
 	envProxyListen  = "GARNET_BENCH_PROXY_LISTEN"
@@ -43,21 +43,21 @@
 	os.Exit(1)
 }
 
-// relayWorld is an entry on one core and the baseline on one core, in front of
-// the same engine.
-type relayWorld struct {
-	*world
+// relayBench is a layout with an entry and, as the baseline, a reverse proxy on one core, in front
+// of the same engine. direct, entry and proxy are the URLs of the three ways to the engine.
+type relayBench struct {
+	*harness
 	direct, entry, proxy string
 	entryProc, proxyProc *proc.Process
 }
 
-func newRelayWorld(b *testing.B, interval time.Duration) *relayWorld {
+func newRelayBench(b *testing.B, interval time.Duration) *relayBench {
 	b.Helper()
-	return newRelayWorldOn(b, interval, "1")
+	return newRelayBenchOn(b, interval, "1")
 }
 
-// newRelayWorldOn gives the entry a number of cores.
-func newRelayWorldOn(b *testing.B, interval time.Duration, cores string) *relayWorld {
+// newRelayBenchOn starts a relayBench whose entry uses the given number of cores.
+func newRelayBenchOn(b *testing.B, interval time.Duration, cores string) *relayBench {
 	b.Helper()
 	env := func(name string) []string {
 		if strings.HasSuffix(name, "-entry") || name == "proxy" {
@@ -65,38 +65,40 @@
 		}
 		return nil
 	}
-	w := startWorld(b, proc.Shape{Engines: 1, VMs: 1, Engine: func(_ int, s *settings.Standin) {
+	h := startHarness(b, proc.Shape{Engines: 1, VMs: 1, Engine: func(_ int, s *settings.Standin) {
 		s.TokenInterval = settings.Duration(interval)
 		s.PrefillPerToken = 0
 		s.RoleChange = settings.Duration(100 * time.Millisecond)
 	}}, env)
-	w.serve("v1", "checked")
-	addrs, err := w.Addrs(1)
+	h.awaitServing("v1", "checked")
+	addrs, err := h.Addrs(1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := &relayWorld{world: w, entryProc: w.VMs[0].Entry}
-	w.Env = func(string) []string {
-		return []string{"GOMAXPROCS=1", envProxyBackend + "=" + string(w.Engines[0].Address), envProxyListen + "=" + string(addrs[0])}
+	r := &relayBench{harness: h, entryProc: h.VMs[0].Entry}
+	h.Env = func(string) []string {
+		return []string{"GOMAXPROCS=1", envProxyBackend + "=" + string(h.Engines[0].Address),
+			envProxyListen + "=" + string(addrs[0])}
 	}
-	if r.proxyProc, err = w.Exec("proxy", os.Args[0]); err != nil {
+	if r.proxyProc, err = h.Exec("proxy", os.Args[0]); err != nil {
 		b.Fatal(err)
 	}
-	r.direct = "http://" + string(w.Engines[0].Address) + "/v1/chat/completions"
-	r.entry = "http://" + string(w.VMs[0].Callers) + "/services/hints/v1/chat/completions"
+	r.direct = "http://" + string(h.Engines[0].Address) + "/v1/chat/completions"
+	r.entry = "http://" + string(h.VMs[0].Callers) + "/services/hints/v1/chat/completions"
 	r.proxy = "http://" + string(addrs[0]) + "/v1/chat/completions"
-	w.until("the proxy", proc.Ready("http://"+string(addrs[0])+"/status"))
+	h.await("the proxy", proc.Ready("http://"+string(addrs[0])+"/status"))
 	return r
 }
 
-var benchClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000, DisableCompression: true}}
+var benchClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000,
+	DisableCompression: true}}
 
 var eventEnd = []byte("\n\n")
 
-// consume reads one stream, counts its events, and notes the time of the first
-// and the gaps between reads.
-func consume(ctx context.Context, url string, tokens int, note func(first bool, d time.Duration)) (int, error) {
-	body := fmt.Sprintf(`{"messages":%s,"stream":true,"max_tokens":%d}`, question, tokens)
+// readStream reads one stream and returns the number of its events. It passes the time to the first
+// read and the gaps between reads to note, unless note is nil.
+func readStream(ctx context.Context, url string, tokens int, note func(first bool, d time.Duration)) (int, error) {
+	body := fmt.Sprintf(`{"messages":%s,"stream":true,"max_tokens":%d}`, chatMessages, tokens)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		return 0, err
@@ -126,8 +128,8 @@
 	}
 }
 
-// saturate keeps streams going and returns the tokens a second.
-func saturate(b *testing.B, url string, streams int, d time.Duration) float64 {
+// measureThroughput keeps this many streams running and returns the tokens per second.
+func measureThroughput(b *testing.B, url string, streams int, d time.Duration) float64 {
 	b.Helper()
 	ctx, cancel := context.WithCancel(b.Context())
 	var total atomic.Int64
@@ -135,8 +137,8 @@
 	for range streams {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				// A stream that the end of the run breaks off still counts.
-				n, _ := consume(ctx, url, 2000, nil)
+				// The events of a stream that the end of the run cuts off still count.
+				n, _ := readStream(ctx, url, 2000, nil)
 				total.Add(int64(n))
 			}
 		})
@@ -148,8 +150,7 @@
 	return float64(total.Load()) / time.Since(start).Seconds()
 }
 
-// BenchmarkRelay prints the figures of the relay for "make bench".
-
+// BenchmarkRelay prints the performance figures of the relay, for "make bench".
 func BenchmarkRelay(b *testing.B) {
 	for b.Loop() {
 		relaySaturated(b)
@@ -158,16 +159,17 @@
 	}
 }
 
-// relayPeak drives one entry, on as many cores as it likes, at ten times the
-// plan's peak of a node: 340 requests and 93,000 tokens a second.
+// relayPeak measures one entry on up to eight cores at 340 requests and 93,000 tokens per second,
+// which is ten times the planned peak load of a VM.
 func relayPeak(b *testing.B) {
 	const interval, streams, tokens, rounds = 10 * time.Millisecond, 930, 274, 3
-	w := newRelayWorldOn(b, interval, "8")
-	run := func(url string) (paced, float64) {
-		sum := paced{first: hdrhistogram.New(1, 60_000_000, 3), gap: hdrhistogram.New(1, 60_000_000, 3)}
+	h := newRelayBenchOn(b, interval, "8")
+	run := func(url string) (pacedResult, float64) {
+		sum := pacedResult{first: hdrhistogram.New(1, 60_000_000, 3),
+			gap: hdrhistogram.New(1, 60_000_000, 3)}
 		start := time.Now()
 		for range rounds {
-			p := runPaced(b, url, w.entryProc, streams, tokens)
+			p := runPaced(b, url, h.entryProc, streams, tokens)
 			sum.first.Merge(p.first)
 			sum.gap.Merge(p.gap)
 			sum.tokens += p.tokens
@@ -175,25 +177,28 @@
 		}
 		return sum, time.Since(start).Seconds()
 	}
-	direct, _ := run(w.direct)
-	entry, took := run(w.entry)
+	direct, _ := run(h.direct)
+	entry, took := run(h.entry)
 	fmt.Printf("figure peak_tokens_per_s %.0f tokens/s\n", float64(entry.tokens)/took)
 	fmt.Printf("figure peak_requests_per_s %.0f 1/s\n", float64(entry.tokens)/tokens/took)
 	fmt.Printf("figure peak_entry_cores %.2f cores\n", entry.cpu/took)
 	fmt.Printf("figure peak_cpu_per_token %.2f us\n", entry.cpu/float64(entry.tokens)*1e6)
-	fmt.Printf("figure peak_added_first_token_p50 %.3f ms\n", float64(entry.first.ValueAtQuantile(50)-direct.first.ValueAtQuantile(50))/1000)
-	fmt.Printf("figure peak_added_between_tokens_p99 %.3f ms\n", float64(entry.gap.ValueAtQuantile(99)-direct.gap.ValueAtQuantile(99))/1000)
+	fmt.Printf("figure peak_added_first_token_p50 %.3f ms\n",
+		float64(entry.first.ValueAtQuantile(50)-direct.first.ValueAtQuantile(50))/1000)
+	fmt.Printf("figure peak_added_between_tokens_p99 %.3f ms\n",
+		float64(entry.gap.ValueAtQuantile(99)-direct.gap.ValueAtQuantile(99))/1000)
 }
 
+// relaySaturated compares the throughput of the entry and of the baseline on one core each.
 func relaySaturated(b *testing.B) {
-	w := newRelayWorld(b, 0)
+	h := newRelayBench(b, 0)
 	const streams, rounds = 32, 5
-	saturate(b, w.entry, streams, time.Second)
-	saturate(b, w.proxy, streams, time.Second)
+	measureThroughput(b, h.entry, streams, time.Second)
+	measureThroughput(b, h.proxy, streams, time.Second)
 	var entry, proxy, ratios []float64
 	for range rounds {
-		e := saturate(b, w.entry, streams, 2*time.Second)
-		p := saturate(b, w.proxy, streams, 2*time.Second)
+		e := measureThroughput(b, h.entry, streams, 2*time.Second)
+		p := measureThroughput(b, h.proxy, streams, 2*time.Second)
 		entry, proxy, ratios = append(entry, e), append(proxy, p), append(ratios, e/p)
 	}
 	fmt.Printf("figure relay_tokens_per_s_one_core %.0f tokens/s\n", median(entry))
@@ -206,29 +211,31 @@
 	return s[len(s)/2]
 }
 
-// paced is what paced streams met.
-type paced struct {
+// pacedResult holds the measurements of paced streams: the times to the first read and the gaps
+// between reads in microseconds, and the processor time in seconds.
+type pacedResult struct {
 	first, gap *hdrhistogram.Histogram
 	tokens     int
 	cpu        float64
 }
 
-// runPaced runs streams side by side, each of tokens tokens.
-func runPaced(b *testing.B, url string, p *proc.Process, streams, tokens int) paced {
+// runPaced runs this many streams in parallel, with this many tokens each.
+func runPaced(b *testing.B, url string, p *proc.Process, streams, tokens int) pacedResult {
 	b.Helper()
-	out := paced{first: hdrhistogram.New(1, 60_000_000, 3), gap: hdrhistogram.New(1, 60_000_000, 3)}
+	out := pacedResult{first: hdrhistogram.New(1, 60_000_000, 3),
+		gap: hdrhistogram.New(1, 60_000_000, 3)}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	before := cpuSeconds(b, p)
 	for range streams {
 		wg.Go(func() {
 			first, gap := hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)
-			n, err := consume(b.Context(), url, tokens, func(isFirst bool, d time.Duration) {
+			n, err := readStream(b.Context(), url, tokens, func(isFirst bool, d time.Duration) {
 				h := gap
 				if isFirst {
 					h = first
 				}
-				// Out of range would be over a minute, which the test's limit ends.
+				// A value out of range would exceed a minute; the test's timeout comes first.
 				_ = h.RecordValue(d.Microseconds())
 			})
 			mu.Lock()
@@ -246,10 +253,10 @@
 	return out
 }
 
-// ticksPerSecond is the unit of /proc/PID/stat on Linux.
+// ticksPerSecond is the unit of times in /proc/PID/stat on Linux.
 const ticksPerSecond = 100
 
-// cpuSeconds is the processor time that a process has used.
+// cpuSeconds returns the processor time that a process has used, in seconds.
 func cpuSeconds(b testing.TB, p *proc.Process) float64 {
 	b.Helper()
 	if p == nil {
@@ -265,7 +272,7 @@
 	return float64(user+system) / ticksPerSecond
 }
 
-// rssMB is the memory that a process holds.
+// rssMB returns the resident memory of a process in MB.
 func rssMB(b testing.TB, p *proc.Process) float64 {
 	b.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.PID()))
@@ -276,30 +283,32 @@
 	return float64(pages) * float64(os.Getpagesize()) / (1 << 20)
 }
 
+// relayPaced measures the latency and the processor time that the entry and the baseline add to
+// streams at a fixed pace.
 func relayPaced(b *testing.B) {
 	const interval = 20 * time.Millisecond
-	w := newRelayWorld(b, interval)
+	h := newRelayBench(b, interval)
 	const streams, tokens = 100, 250
-	direct := runPaced(b, w.direct, nil, streams, tokens)
-	entry := runPaced(b, w.entry, w.entryProc, streams, tokens)
-	proxy := runPaced(b, w.proxy, w.proxyProc, streams, tokens)
-	added := func(name string, of func(paced) int64) {
+	direct := runPaced(b, h.direct, nil, streams, tokens)
+	entry := runPaced(b, h.entry, h.entryProc, streams, tokens)
+	proxy := runPaced(b, h.proxy, h.proxyProc, streams, tokens)
+	added := func(name string, of func(pacedResult) int64) {
 		fmt.Printf("figure relay_added_%s %.3f ms\n", name, float64(of(entry)-of(direct))/1000)
 		fmt.Printf("figure reverseproxy_added_%s %.3f ms\n", name, float64(of(proxy)-of(direct))/1000)
 	}
-	added("first_token_p50", func(p paced) int64 { return p.first.ValueAtQuantile(50) })
-	added("first_token_p99", func(p paced) int64 { return p.first.ValueAtQuantile(99) })
-	added("between_tokens_p50", func(p paced) int64 { return p.gap.ValueAtQuantile(50) })
-	added("between_tokens_p99", func(p paced) int64 { return p.gap.ValueAtQuantile(99) })
+	added("first_token_p50", func(p pacedResult) int64 { return p.first.ValueAtQuantile(50) })
+	added("first_token_p99", func(p pacedResult) int64 { return p.first.ValueAtQuantile(99) })
+	added("between_tokens_p50", func(p pacedResult) int64 { return p.gap.ValueAtQuantile(50) })
+	added("between_tokens_p99", func(p pacedResult) int64 { return p.gap.ValueAtQuantile(99) })
 	fmt.Printf("figure relay_cpu_per_paced_token %.2f us\n", entry.cpu/float64(entry.tokens)*1e6)
 	fmt.Printf("figure reverseproxy_cpu_per_paced_token %.2f us\n", proxy.cpu/float64(proxy.tokens)*1e6)
-	relayIdle(b, w)
+	relayIdle(b, h)
 }
 
-// relayIdle measures the memory of streams that are open and quiet.
-func relayIdle(b *testing.B, w *relayWorld) {
+// relayIdle measures the memory of streams that are open but idle.
+func relayIdle(b *testing.B, h *relayBench) {
 	const streams = 1000
-	before := rssMB(b, w.entryProc)
+	before := rssMB(b, h.entryProc)
 	ctx, cancel := context.WithCancel(b.Context())
 	var wg sync.WaitGroup
 	var open sync.WaitGroup
@@ -307,13 +316,14 @@
 		open.Add(1)
 		wg.Go(func() {
 			var once sync.Once
-			// The end of the measurement breaks the stream off.
-			_, _ = consume(ctx, w.entry, 100000, func(bool, time.Duration) { once.Do(open.Done) })
+			// The end of the measurement cuts the stream off.
+			_, _ = readStream(ctx, h.entry, 100000, func(bool, time.Duration) { once.Do(open.Done) })
 		})
 	}
 	open.Wait()
 	time.Sleep(2 * time.Second)
-	fmt.Printf("figure relay_memory_per_open_stream %.1f KB\n", (rssMB(b, w.entryProc)-before)*1024/streams)
+	fmt.Printf("figure relay_memory_per_open_stream %.1f KB\n",
+		(rssMB(b, h.entryProc)-before)*1024/streams)
 	cancel()
 	wg.Wait()
 }
--- a/internal/proc/relay_test.go
+++ b/internal/proc/relay_test.go
@@ -11,8 +11,8 @@
 	"garnethoist.org/garnethoist/internal/proc"
 )
 
-// echo answers every byte with itself.
-func echo(t *testing.T) string {
+// echoServer starts a server that sends back every byte, and returns its address.
+func echoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,7 +27,7 @@
 			}
 			go func() {
 				defer c.Close()
-				// It ends with the connection.
+				// The copy ends with the connection.
 				_, _ = io.Copy(c, c)
 			}()
 		}
@@ -35,8 +35,8 @@
 	return l.Addr().String()
 }
 
-// answered reports whether a byte comes back soon.
-func answered(t *testing.T, c net.Conn) bool {
+// roundTrips reports whether a byte that is sent on c comes back within 200 ms.
+func roundTrips(t *testing.T, c net.Conn) bool {
 	t.Helper()
 	is := is.New(t)
 	_, err := c.Write([]byte("x"))
@@ -46,13 +46,13 @@
 	return err == nil
 }
 
-// What silences the connections that are open is seen by these alone, and is not
-// healed with the link.
+// A disturbance that silences open connections affects only these, and healing the link does not
+// end it.
 func TestRelaySilencesOpenConnections(t *testing.T) {
 	for _, d := range []proc.Disturbance{proc.Lost, proc.Swallowed} {
 		t.Run(d.String(), func(t *testing.T) {
 			is := is.New(t)
-			r, err := proc.NewRelay(echo(t))
+			r, err := proc.NewRelay(echoServer(t))
 			is.NoErr(err)
 			defer r.Close()
 			dial := func() net.Conn {
@@ -62,14 +62,14 @@
 				return c
 			}
 			open := dial()
-			is.True(answered(t, open))
+			is.True(roundTrips(t, open))
 			r.Disturb(d)
-			is.True(!answered(t, open))
+			is.True(!roundTrips(t, open))
 			next := dial()
-			is.True(answered(t, next))
+			is.True(roundTrips(t, next))
 			r.Heal()
-			is.True(!answered(t, open))
-			is.True(answered(t, next))
+			is.True(!roundTrips(t, open))
+			is.True(roundTrips(t, next))
 		})
 	}
 }
