--- a/scripts/admission.awk
+++ b/scripts/admission.awk
@@ -1,9 +1,10 @@
-# Prints how the generations of each route were admitted, by second and by their size, from
-# the lines of garnet-node on standard input:
+# Prints how the generations of each route were admitted, by second and by size, from the logs
+# of garnet-node on standard input:
 #   cat vm-*.log | awk -v by=prompt_size -f scripts/admission.awk
-# by is prompt_size or answer_size, the bands in which the VMs place a request among the last
-# ones of its route. tries are those of callers; then the shares that were served, sent at once
-# or after a wait, refused at once and after a wait, failed, and each reason of a refusal.
+# by is prompt_size or answer_size: the size band that a VM gives a request, relative to the
+# recent requests of its route. The columns are the number of callers' attempts, and the shares
+# of these that were served and refused, each at once or after a wait, that failed, and that were
+# refused for each reason.
 function value(key,    i, s) {
 	i = index($0, " " key "=")
 	if (i == 0) return ""
--- a/scripts/figures.sh
+++ b/scripts/figures.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Turns the lines of Go benchmarks into figure lines.
+# Converts the output of Go benchmarks to lines of the form "figure NAME VALUE UNIT".
 awk '/^Benchmark/ {
 	name = $1
 	sub(/^Benchmark/, "", name)
--- a/scripts/losses.awk
+++ b/scripts/losses.awk
@@ -1,9 +1,9 @@
-# Prints how many requests of each route were lost, and why, from the lines of
+# Prints how many requests of each route were late, refused or failed, and why, from the logs of
 # garnet-node on standard input:
 #   cat vm-*.log | awk -f scripts/losses.awk
-# A request counts as on time, late by its first byte (late_first), late by a pause
-# between events (late_pause), refused, or failed, by its kind. Each try of a caller
-# is a request of its own.
+# A request counts as on time, as late because of its first byte (late_first) or of a pause between
+# events (late_pause), as refused, or as failed; the last two by kind. Each attempt of a caller
+# counts as a request.
 function value(key,    i, s) {
 	i = index($0, " " key "=")
 	if (i == 0) return ""
--- a/scripts/sizes.awk
+++ b/scripts/sizes.awk
@@ -1,8 +1,8 @@
-# Prints how the generations of each route ended by their size, largest tenth first, from
-# the lines of garnet-node on standard input:
+# Prints the outcomes of the generations of each route by size, the largest tenth first, from the
+# logs of garnet-node on standard input:
 #   cat vm-*.log | awk -f scripts/sizes.awk
-# By prompt tokens, and by the answer tokens that the caller expects. Each try of a caller is
-# a request of its own. served, refused and failed are shares of the tenth.
+# Sizes are prompt tokens, and answer tokens as the caller expects them. Each attempt of a caller
+# counts as a request. served, refused and failed are shares of the requests in the tenth.
 function value(key,    i, s) {
 	i = index($0, " " key "=")
 	if (i == 0) return ""
--- a/scripts/tenths.awk
+++ b/scripts/tenths.awk
@@ -1,5 +1,5 @@
-# Reads ROUTE, MEASURE, SIZE, EVENT, the largest of each route and measure first, and prints
-# each tenth's sizes and shares of events. Part of sizes.awk.
+# Reads lines of ROUTE, MEASURE, SIZE and EVENT, sorted by falling size within each route and
+# measure, and prints the range of sizes and the shares of events of each tenth. Used by sizes.awk.
 function flush_group(    t, i, from, to, c) {
 	for (t = 0; t < 10 && n > 0; t++) {
 		from = int(n * t / 10); to = int(n * (t + 1) / 10)
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs every test with the race detector. Fails unless all pass, but for those
-# that KNOWN-RED.txt lists (one line each: test, cause, issue), which it prints.
+# Runs all tests with the race detector. Fails if any test fails that KNOWN-RED.txt does not list
+# (one line each: test, cause, issue). Prints the listed tests that failed.
 set -uo pipefail
 out=$(mktemp)
 trap 'rm -f "$out"' EXIT
@@ -11,8 +11,8 @@
 failed=$(sed -n 's/^--- FAIL: \([^ ]*\).*/\1/p' "$out" | sort -u)
 known=$(sed -n 's/^\(Test[A-Za-z0-9_]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | sort -u)
 unknown=$(comm -23 <(echo "$failed") <(echo "$known"))
-# A package that did not build, panicked or ran out of time names no test, or not
-# all that it holds.
+# The output of a package that did not build, panicked or timed out names none or not all of its
+# tests, so that the failed tests are unknown.
 if [ -z "$failed" ] || [ -n "$unknown" ] || grep -qE '^panic:|\[build failed\]|\[setup failed\]|test timed out' "$out"; then
 	exit "$status"
 fi
