--- a/cmd/garnet-demo/main.go
+++ b/cmd/garnet-demo/main.go
@@ -85,7 +85,7 @@
 // status.
 func show(ctx context.Context, opts options, dir string, l *proc.Layout) error {
 	for _, vm := range l.VMs {
-		if err := proc.Until(ctx, "steward", proc.Ready("http://"+string(vm.StewardAdmin)+"/healthz")); err != nil {
+		if err := proc.WaitFor(ctx, "steward", proc.Ready("http://"+string(vm.StewardAdmin)+"/healthz")); err != nil {
 			return err
 		}
 	}
@@ -97,7 +97,7 @@
 		return err
 	}
 	for _, vm := range l.VMs {
-		if err := proc.Until(ctx, "entry", proc.Ready("http://"+string(vm.EntryAdmin)+"/readyz")); err != nil {
+		if err := proc.WaitFor(ctx, "entry", proc.Ready("http://"+string(vm.EntryAdmin)+"/readyz")); err != nil {
 			return err
 		}
 	}
@@ -115,7 +115,7 @@
 // call posts a body, repeatedly until it is served, and prints the answer, which must contain want.
 // A call with an idempotency key does not run again when it is repeated.
 func call(ctx context.Context, url, body, key, want string) error {
-	return proc.Until(ctx, url, func(ctx context.Context) error {
+	return proc.WaitFor(ctx, url, func(ctx context.Context) error {
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 		if err != nil {
 			return errors.Wrap(err, "build request")
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -127,7 +127,7 @@
 		h.vms = append(h.vms, v)
 	}
 	for _, v := range h.vms {
-		if err := proc.Until(ctx, v.name, func(context.Context) error {
+		if err := proc.WaitFor(ctx, v.name, func(context.Context) error {
 			if !platformtest.Ready(string(v.cfg.ReadyListen), dialTimeout) {
 				return errors.Errorf("%s is not ready", v.name)
 			}
@@ -194,7 +194,7 @@
 	began := time.Now()
 	h.store.Put(platformtest.TableOperator, platformtest.KeyConfig, platformtest.Config(2, "new"))
 	for _, v := range h.vms {
-		if err := proc.Until(ctx, "the new route", func(context.Context) error {
+		if err := proc.WaitFor(ctx, "the new route", func(context.Context) error {
 			if r := h.send(v, h.nextID(), "/new/x", 0); r.Status != 200 {
 				return errors.Errorf("%s answers %d", v.name, r.Status)
 			}
@@ -232,7 +232,7 @@
 	const id = "broken-stream"
 	v := h.vms[0]
 	h.send(v, id, "/once/x", shortPrompt)
-	return proc.Until(ctx, "the request's line", func(context.Context) error {
+	return proc.WaitFor(ctx, "the request's line", func(context.Context) error {
 		for line := range strings.Lines(v.process.Log()) {
 			if strings.Contains(line, "request="+id) {
 				fmt.Fprintf(h.out, "why a stream broke off, by its id (docs/OPERATIONS.md):\n  %s",
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -103,7 +103,7 @@
 			x := &exchange{g: g, r: httptest.NewRequest("GET", "/", nil), arrived: time.Now()}
 			x.noteSendFailure(context.Background(), target, c.Ticket, errors.New("unanswered"))
 			failed := 0
-			for _, u := range p.TakeUses() {
+			for _, u := range p.TakeSendRecords() {
 				if u.Failed {
 					failed++
 				}
--- a/internal/httpsend/silent_test.go
+++ b/internal/httpsend/silent_test.go
@@ -61,7 +61,7 @@
 	c := newClient()
 	_, _, err := timedSend(c, d)
 	is.NoErr(err)
-	r.Disturb(proc.Lost)
+	r.Inject(proc.Drop)
 	_, took, err := timedSend(c, d)
 	is.Equal(phaseOf(err), httpsend.Unanswered)
 	is.True(took < detectedWithin)
@@ -98,7 +98,7 @@
 	for range kept {
 		is.NoErr(<-done)
 	}
-	r.Disturb(proc.Lost)
+	r.Inject(proc.Drop)
 	_, _, err := timedSend(c, d)
 	is.Equal(phaseOf(err), httpsend.Unanswered)
 	body, _, err := timedSend(c, d)
@@ -131,7 +131,7 @@
 			go func() {
 				<-arrived
 				time.Sleep(50 * time.Millisecond)
-				r.Disturb(proc.Lost)
+				r.Inject(proc.Drop)
 			}()
 			_, took, err := timedSend(newClient(), d)
 			is.Equal(phaseOf(err), tc.phase)
@@ -159,7 +159,7 @@
 	c := newClient()
 	_, _, err := timedSend(c, d)
 	is.NoErr(err)
-	r.Disturb(proc.Swallowed)
+	r.Inject(proc.Discard)
 	ctx, cancel := context.WithTimeout(context.Background(), unackedTimeout)
 	defer cancel()
 	_, err = send(ctx, c, d)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -142,7 +142,7 @@
 	}{
 		{"store is down", store.FaultDown, true},
 		{"renewal is lost", store.FaultLostWrites, true},
-		{"response to the renewal is lost", store.FaultLostAnswers, true},
+		{"response to the renewal is lost", store.FaultLostResponses, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -170,7 +170,7 @@
 	is := is.New(t)
 	p, clock := store.NewMemory(), &fakeClock{}
 	a := candidate(p, "a", clock.read)
-	p.SetFault(store.FaultLostAnswers)
+	p.SetFault(store.FaultLostResponses)
 	is.True(errors.Is(a.Step(context.Background(), true), store.ErrUnknown))
 	is.True(!held(a))
 	p.SetFault(store.FaultNone)
@@ -203,7 +203,7 @@
 			leases[i] = candidate(p, fmt.Sprint(i), clocks[i].read)
 		}
 		highest := uint64(0)
-		faults := []store.Fault{store.FaultNone, store.FaultNone, store.FaultDown, store.FaultLostWrites, store.FaultLostAnswers}
+		faults := []store.Fault{store.FaultNone, store.FaultNone, store.FaultDown, store.FaultLostWrites, store.FaultLostResponses}
 		for range rapid.IntRange(1, 60).Draw(rt, "events") {
 			i := rapid.IntRange(0, n-1).Draw(rt, "who")
 			p.SetFault(rapid.SampledFrom(faults).Draw(rt, "fault"))
--- a/internal/live/world.go
+++ b/internal/live/world.go
@@ -138,7 +138,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	return proc.Until(ctx, "all VMs to be ready", func(context.Context) error {
+	return proc.WaitFor(ctx, "all VMs to be ready", func(context.Context) error {
 		for _, v := range h.vms {
 			if !platformtest.Ready(string(v.cfg.ReadyListen), readyCheckTimeout) {
 				return errors.Errorf("%s is not ready", v.cfg.VM)
--- a/internal/model/placed.go
+++ b/internal/model/placed.go
@@ -146,9 +146,9 @@
 func (p *placerPolicy) ExchangeReports(now time.Duration) {
 	total := make(map[string]place.Work)
 	own := make([]map[string]place.Work, len(p.placers))
-	uses := make([][]place.Use, len(p.placers))
+	uses := make([][]place.SendRecord, len(p.placers))
 	for i, placer := range p.placers {
-		own[i], uses[i] = placer.Own(), placer.TakeUses()
+		own[i], uses[i] = placer.Own(), placer.TakeSendRecords()
 		for id, w := range own[i] {
 			total[id] = total[id].Plus(w)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -75,7 +75,7 @@
 // Adapter supplies everything that depends on the platform: clients, protocols and names.
 type Adapter struct {
 	// NewStore returns a client of the store.
-	NewStore func(cfg settings.Platform) Store
+	NewStore func(cfg settings.Endpoint) Store
 	// Protocol translates the HTTP headers and bodies that the gateway exchanges with callers and
 	// targets.
 	Protocol gateway.Protocol
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -95,7 +95,7 @@
 		afterwards errkind.Kind
 	}{
 		{"down", store.FaultDown, false, ""},
-		{"claim written, answer lost", store.FaultLostAnswers, true, errkind.CallInProgress},
+		{"claim written, answer lost", store.FaultLostResponses, true, errkind.CallInProgress},
 		{"claim lost", store.FaultLostWrites, false, ""},
 	}
 	for _, c := range cases {
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -167,7 +167,7 @@
 	}{
 		{"effect without an answer", func(env *testEnv) { env.engine.loseAnswer = true }},
 		{"order lost", func(env *testEnv) { env.engine.loseOrder = true }},
-		{"journal write without an answer", func(env *testEnv) { env.platform.SetFault(store.FaultLostAnswers) }},
+		{"journal write without an answer", func(env *testEnv) { env.platform.SetFault(store.FaultLostResponses) }},
 		{"journal write lost", func(env *testEnv) { env.platform.SetFault(store.FaultLostWrites) }},
 		{"platform down", func(env *testEnv) { env.platform.SetFault(store.FaultDown) }},
 	}
@@ -313,7 +313,7 @@
 				env.engine.delayOrder = rapid.Bool().Draw(rt, "hold")
 			}
 			env.platform.SetFault(rapid.SampledFrom([]store.Fault{
-				store.FaultNone, store.FaultNone, store.FaultLostAnswers, store.FaultLostWrites, store.FaultDown,
+				store.FaultNone, store.FaultNone, store.FaultLostResponses, store.FaultLostWrites, store.FaultDown,
 			}).Draw(rt, "fault"))
 			// Errors are ignored: the test is about unknown outcomes.
 			switch rapid.IntRange(0, 4).Draw(rt, "event") {
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -100,7 +100,7 @@
 func (p *Peers) ownReport() *report {
 	r := &report{
 		From: p.self, Incarnation: p.incarnation, Work: encodeWork(p.placer.Own()),
-		Uses: encodeUses(p.placer.TakeUses(), originHash(p.self.VM)), Changing: p.orders.Open(),
+		Uses: encodeUses(p.placer.TakeSendRecords(), originHash(p.self.VM)), Changing: p.orders.OpenOrders(),
 	}
 	r.HoldsDuties = p.dutyFence != nil && p.dutyFence() != 0
 	var readTimes []time.Time
--- a/internal/peers/fan_test.go
+++ b/internal/peers/fan_test.go
@@ -75,7 +75,7 @@
 		w := place.Work{Prefill: time.Duration(i+1) * time.Millisecond, Prefills: 1}
 		want = want.Plus(w)
 		v.placer.set(map[string]place.Work{"e1": w},
-			place.Use{Target: "e1", Parts: []uint64{uint64(i)}, Missing: 5, Prefills: true})
+			place.SendRecord{Target: "e1", Parts: []uint64{uint64(i)}, Missing: 5, Prefills: true})
 	}
 	for i, v := range all {
 		others := want.Minus(place.Work{Prefill: time.Duration(i+1) * time.Millisecond, Prefills: 1})
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -9,7 +9,7 @@
 // relay also sends digests, see digestMinVMs. Reports are best effort: a lost report is replaced by
 // the next one, and an old report is ignored.
 //
-// A report also carries uses (place.Use). A use is one request that the VM has sent to a target, or
+// A report also carries uses (place.SendRecord). A use is one request that the VM has sent to a target, or
 // one failure of a target.
 //
 // A few VMs, the sentinels, read changes from the store promptly and, in a large group, forward
@@ -63,10 +63,10 @@
 type Placer interface {
 	// Own returns this VM's own work at each target.
 	Own() map[string]place.Work
-	// TakeUses returns this VM's uses since its last call.
-	TakeUses() []place.Use
+	// TakeSendRecords returns this VM's uses since its last call.
+	TakeSendRecords() []place.SendRecord
 	// Observe records uses that other VMs have reported.
-	Observe(uses []place.Use, now time.Time)
+	Observe(uses []place.SendRecord, now time.Time)
 }
 
 // FollowedTable is this VM's copy of a table in the store.
@@ -94,8 +94,8 @@
 
 // Orders keeps the stage changes of engines that this VM has ordered.
 type Orders interface {
-	// Open returns the new stage of each engine whose change is not finished.
-	Open() map[string]fleet.Stage
+	// OpenOrders returns the new stage of each engine whose change is not finished.
+	OpenOrders() map[string]fleet.Stage
 }
 
 // Peers exchanges reports with the other VMs. It is safe for concurrent use.
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -21,8 +21,8 @@
 type placer struct {
 	mu       sync.Mutex
 	own      map[string]place.Work
-	uses     []place.Use
-	observed []place.Use
+	uses     []place.SendRecord
+	observed []place.SendRecord
 }
 
 func (p *placer) Own() map[string]place.Work {
@@ -32,13 +32,13 @@
 }
 
 // set sets the work that Own returns and the uses that TakeUses returns next.
-func (p *placer) set(own map[string]place.Work, uses ...place.Use) {
+func (p *placer) set(own map[string]place.Work, uses ...place.SendRecord) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.own, p.uses = own, uses
 }
 
-func (p *placer) TakeUses() []place.Use {
+func (p *placer) TakeSendRecords() []place.SendRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := p.uses
@@ -46,7 +46,7 @@
 	return out
 }
 
-func (p *placer) Observe(uses []place.Use, _ time.Time) {
+func (p *placer) Observe(uses []place.SendRecord, _ time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.observed = append(p.observed, uses...)
@@ -62,7 +62,7 @@
 // orders holds the open stage changes of a VM.
 type orders map[string]fleet.Stage
 
-func (o orders) Open() map[string]fleet.Stage { return o }
+func (o orders) OpenOrders() map[string]fleet.Stage { return o }
 
 // followed is a fake FollowedTable. newerCalls counts the calls of NotifyNewer, and offers those of
 // Offer.
@@ -191,7 +191,7 @@
 	defer c.stop(t)
 	eventually(t, "all are counted", func() bool { return a.peers.Size() == 3 && b.peers.Size() == 3 && c.peers.Size() == 3 })
 	a.placer.set(map[string]place.Work{"e1": {Prefill: 30 * time.Millisecond, Running: 2,
-		Streams: 1, Tokens: 900}}, place.Use{Target: "e1", Parts: []uint64{1 << 63}, Missing: 5})
+		Streams: 1, Tokens: 900}}, place.SendRecord{Target: "e1", Parts: []uint64{1 << 63}, Missing: 5})
 	b.placer.set(map[string]place.Work{"e1": {Running: 1}})
 	want := place.Work{Prefill: 30 * time.Millisecond, Running: 3, Streams: 1, Tokens: 900}
 	eventually(t, "c knows the work of both", func() bool { return c.peers.Work("e1") == want })
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -39,7 +39,7 @@
 		eventually(t, "all are counted", func() bool { return v.peers.Size() == 4 })
 	}
 	a1.placer.set(map[string]place.Work{"e1": {Running: 2, Prefill: 5 * time.Millisecond}},
-		place.Use{Target: "e1", Parts: []uint64{7}, Missing: 5})
+		place.SendRecord{Target: "e1", Parts: []uint64{7}, Missing: 5})
 	a2.placer.set(map[string]place.Work{"e1": {Running: 1}})
 	b1.placer.set(map[string]place.Work{"e1": {Running: 4}})
 	for name, v := range map[string]*vm{"b1": b1, "b2": b2} {
--- a/internal/peers/report.go
+++ b/internal/peers/report.go
@@ -92,7 +92,7 @@
 // maxStoreTimeMS is the largest clock reading in ms that a time.Duration can hold.
 const maxStoreTimeMS = uint64(math.MaxInt64 / int64(time.Millisecond))
 
-// use is the wire form of place.Use.
+// use is the wire form of place.SendRecord.
 type use struct {
 	_        struct{} `cbor:",toarray"`
 	Target   string
@@ -139,7 +139,7 @@
 }
 
 // encodeUses returns the wire form of uses. origin is the originHash of this VM.
-func encodeUses(uses []place.Use, origin uint16) []use {
+func encodeUses(uses []place.SendRecord, origin uint16) []use {
 	out := make([]use, 0, len(uses))
 	for _, u := range uses {
 		out = append(out, use{Target: u.Target, Parts: u.Parts, Missing: u.Missing,
@@ -158,13 +158,13 @@
 }
 
 // decodeUses returns the uses whose Origin is not own, the originHash of this VM.
-func decodeUses(uses []use, own uint16) []place.Use {
-	out := make([]place.Use, 0, len(uses))
+func decodeUses(uses []use, own uint16) []place.SendRecord {
+	out := make([]place.SendRecord, 0, len(uses))
 	for _, u := range uses {
 		if u.Origin == own {
 			continue
 		}
-		out = append(out, place.Use{Target: u.Target, Parts: u.Parts, Missing: u.Missing,
+		out = append(out, place.SendRecord{Target: u.Target, Parts: u.Parts, Missing: u.Missing,
 			Failed: u.Failed, Prefills: u.Prefills})
 	}
 	return out
--- a/internal/peers/usage.go
+++ b/internal/peers/usage.go
@@ -11,10 +11,10 @@
 // Usage holds the run counts of client accounts: how many runs of their requests began in each
 // usage window.
 type Usage interface {
-	// Answer returns this VM's counts that q asks for.
-	Answer(q usage.Question) usage.Answer
-	// HandleAnswer records the counts of another VM.
-	HandleAnswer(vm string, a usage.Answer)
+	// Reply returns this VM's counts that q asks for.
+	Reply(q usage.Question) usage.Reply
+	// HandleReply records the counts of another VM.
+	HandleReply(vm string, a usage.Reply)
 }
 
 // SetUsage sets the run counts that are exchanged with other VMs. It must be called before Start.
@@ -33,12 +33,12 @@
 	Number      uint64 `cbor:"4,keyasint"`
 }
 
-// usageReply is the wire form of usage.Answer.
+// usageReply is the wire form of usage.Reply.
 type usageReply struct {
 	// From is the name of the VM that replies.
 	From        string `cbor:"1,keyasint"`
 	Incarnation int64  `cbor:"2,keyasint"`
-	// Since is usage.Answer.From: the counts are those that have changed after this revision.
+	// Since is usage.Reply.From: the counts are those that have changed after this revision.
 	Since    uint64       `cbor:"3,keyasint"`
 	Revision uint64       `cbor:"4,keyasint"`
 	Number   uint64       `cbor:"5,keyasint"`
@@ -89,7 +89,7 @@
 	if p.usage == nil {
 		return
 	}
-	a := p.usage.Answer(usage.Question{Incarnation: q.Incarnation, Revision: q.Revision,
+	a := p.usage.Reply(usage.Question{Incarnation: q.Incarnation, Revision: q.Revision,
 		Number: q.Number})
 	out := &usageReply{From: p.self.VM, Incarnation: a.Incarnation, Since: a.From,
 		Revision: a.Revision, Number: a.Number, More: a.More}
@@ -105,13 +105,13 @@
 	if p.usage == nil {
 		return
 	}
-	a := usage.Answer{Incarnation: in.Incarnation, From: in.Since, Revision: in.Revision,
+	a := usage.Reply{Incarnation: in.Incarnation, From: in.Since, Revision: in.Revision,
 		Number: in.Number, More: in.More}
 	for _, c := range in.Counts {
 		a.Counts = append(a.Counts, usage.Count{Window: usage.Window(c.Window), Account: c.Account,
 			Runs: c.Runs})
 	}
-	p.usage.HandleAnswer(in.From, a)
+	p.usage.HandleReply(in.From, a)
 }
 
 // Candidate implements duty.Group. It returns whether this VM may compete for the duties: in a
--- a/internal/place/cache.go
+++ b/internal/place/cache.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// Use records that a VM sent a request to a target or, if Failed is set, that a request of
+// SendRecord records that a VM sent a request to a target or, if Failed is set, that a request of
 // the VM to the target has failed. VMs report these records to each other.
-type Use struct {
+type SendRecord struct {
 	// Target is the id of the target's run.
 	Target string
 	// Parts holds the hashes of the prompt's parts that other prompts may share.
@@ -83,7 +83,7 @@
 
 // recordOwnPrompt fills in the parts of the prompt q in the record of a request that this VM sends,
 // and passes the record to recordOwn. The caller holds p.mu.
-func (p *Placer) recordOwnPrompt(r Use, q *Prompt, now time.Time) {
+func (p *Placer) recordOwnPrompt(r SendRecord, q *Prompt, now time.Time) {
 	for _, part := range q.sharedParts() {
 		r.Parts = append(r.Parts, part.Hash)
 	}
@@ -92,7 +92,7 @@
 
 // recordOwn updates the state of a target by a record of this VM, and keeps the record for the next
 // report to other VMs. It is not reported if maxSendRecords wait already. The caller holds p.mu.
-func (p *Placer) recordOwn(r Use, now time.Time) {
+func (p *Placer) recordOwn(r SendRecord, now time.Time) {
 	s := p.stateByID(r.Target)
 	s.addRecord(r, now)
 	p.noteInPlacePrefill(s, r, now)
@@ -103,7 +103,7 @@
 
 // addRecord updates the health and the cache model of a target by a record of any VM. The caller
 // holds Placer.mu.
-func (s *state) addRecord(r Use, now time.Time) {
+func (s *state) addRecord(r SendRecord, now time.Time) {
 	if r.Failed {
 		s.sends.addFailure(now)
 		return
@@ -114,7 +114,7 @@
 
 // noteInPlacePrefill updates the state of a decode target by the record of a prompt that it
 // prefills in place, which makes each step of its running requests longer. The caller holds p.mu.
-func (p *Placer) noteInPlacePrefill(s *state, r Use, now time.Time) {
+func (p *Placer) noteInPlacePrefill(s *state, r SendRecord, now time.Time) {
 	if !r.Prefills || s.stage == fleet.Prefill {
 		return
 	}
@@ -127,8 +127,8 @@
 // VMs.
 const maxSendRecords = 256
 
-// TakeUses returns this VM's records that are to be reported to other VMs, and clears them.
-func (p *Placer) TakeUses() []Use {
+// TakeSendRecords returns this VM's records that are to be reported to other VMs, and clears them.
+func (p *Placer) TakeSendRecords() []SendRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := p.sendRecords
@@ -137,7 +137,7 @@
 }
 
 // Observe updates the state of the targets by records that other VMs report.
-func (p *Placer) Observe(records []Use, now time.Time) {
+func (p *Placer) Observe(records []SendRecord, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range records {
--- a/internal/place/pick.go
+++ b/internal/place/pick.go
@@ -68,7 +68,7 @@
 	if best == nil {
 		return Choice{}, false
 	}
-	p.recordOwn(Use{Target: best.RunID()}, now)
+	p.recordOwn(SendRecord{Target: best.RunID()}, now)
 	ticket := p.begin(best, Work{Running: 1}, now)
 	ticket.task = taskPlain
 	return Choice{Target: best, Expected: lowest, Ticket: ticket}, true
@@ -182,7 +182,7 @@
 func (p *Placer) Commit(c Choice, q *Prompt, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.recordOwnPrompt(Use{Target: c.Target.RunID(), Missing: q.Tokens - c.Cached, Prefills: true}, q, now)
+	p.recordOwnPrompt(SendRecord{Target: c.Target.RunID(), Missing: q.Tokens - c.Cached, Prefills: true}, q, now)
 	p.occupyLink(q, now)
 }
 
@@ -262,7 +262,7 @@
 	if t == nil {
 		return Choice{}, false
 	}
-	p.recordOwnPrompt(Use{Target: t.RunID(), Missing: q.Tokens}, q, now)
+	p.recordOwnPrompt(SendRecord{Target: t.RunID(), Missing: q.Tokens}, q, now)
 	p.occupyLink(q, now)
 	ticket := p.begin(t, Work{Running: 1, Streams: est.longStreams(q), Tokens: q.Tokens + q.Output/2}, now)
 	ticket.task, ticket.prompt, ticket.waitedForSeat, ticket.span.running = taskDecode, q, s.wait > 0, p.totalWork(t.RunID()).Running-1
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -196,7 +196,7 @@
 	// profiles holds the estimated timing of each service's targets, by service.
 	profiles map[string]*profile.Profile
 	// sendRecords holds this VM's records that have not been reported to other VMs yet.
-	sendRecords []Use
+	sendRecords []SendRecord
 	// peerInflows holds the rate at which other VMs place prefill work, by service.
 	peerInflows map[string]*workRate
 	// stepLimits holds the longest decode step at which the longest answers end in time, by
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -70,7 +70,7 @@
 		run.Ticket.ObserveAnswer(longAnswerPrompt().Output/59, ms(35*float64(longAnswerPrompt().Output/59-1)))
 		run.Ticket.End(place.Good, now.Add(4*time.Second))
 	}
-	p.TakeUses()
+	p.TakeSendRecords()
 }
 
 // replaceableWork is the work of other VMs in a map that may be replaced while it is in use.
@@ -127,8 +127,8 @@
 	now := time.Now()
 	first, _ := a.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	a.Commit(first, sessionPrompt(5), now)
-	b.Observe(a.TakeUses(), now)
-	is.Equal(len(a.TakeUses()), 0)
+	b.Observe(a.TakeSendRecords(), now)
+	is.Equal(len(a.TakeSendRecords()), 0)
 	again, _ := b.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	is.Equal(again.Target.ID, first.Target.ID)
 	is.Equal(again.Cached, 6000)
@@ -379,7 +379,7 @@
 	first, ok := a.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
 	a.Commit(first, sessionPrompt(5), now)
-	b.Observe(a.TakeUses(), now)
+	b.Observe(a.TakeSendRecords(), now)
 	again := 0
 	for range 20 {
 		c, ok := b.Prefill(targets, spec, sessionPrompt(5), nil, now)
@@ -424,14 +424,14 @@
 		a.Commit(c, sessionPrompt(uint64(100)), now)
 		c.Ticket.End(place.Bad, now)
 	}
-	b.Observe(a.TakeUses(), now)
+	b.Observe(a.TakeSendRecords(), now)
 	is.Equal(choose(b, now).Target.ID, "busy")
 	is.Equal(choose(b, now.Add(30*time.Second)).Target.ID, "failing")
-	var records []place.Use
+	var records []place.SendRecord
 	for range 60 {
-		records = append(records, place.Use{Target: "failing"})
+		records = append(records, place.SendRecord{Target: "failing"})
 	}
-	records = append(records, place.Use{Target: "failing", Failed: true})
+	records = append(records, place.SendRecord{Target: "failing", Failed: true})
 	later := now.Add(time.Minute)
 	b.Observe(records, later)
 	is.Equal(choose(b, later).Target.ID, "failing")
--- a/internal/place/reborn_test.go
+++ b/internal/place/reborn_test.go
@@ -44,7 +44,7 @@
 	again.Ticket.End(place.Neutral, now)
 
 	first.Ticket.End(place.Bad, now)
-	p.Observe([]place.Use{{Target: before.RunID(), Parts: []uint64{1, 7}, Missing: 6000}, {Target: before.RunID(), Failed: true}}, now)
+	p.Observe([]place.SendRecord{{Target: before.RunID(), Parts: []uint64{1, 7}, Missing: 6000}, {Target: before.RunID(), Failed: true}}, now)
 	late := prefill(after)
 	is.Equal(late.Cached, 0)
 	is.Equal(late.Expected, again.Expected)
--- a/internal/place/seats_test.go
+++ b/internal/place/seats_test.go
@@ -264,7 +264,7 @@
 			q.Parts = []place.Part{{Hash: uint64(1000 + i), Tokens: q.Tokens}}
 			now = now.Add(10 * time.Millisecond)
 			// Every 10 ms, other VMs place 40 ms of prefill work at the prefill engine.
-			p.Observe([]place.Use{{Target: elsewhere.ID, Missing: 10000, Prefills: true}}, now)
+			p.Observe([]place.SendRecord{{Target: elsewhere.ID, Missing: 10000, Prefills: true}}, now)
 			c, _ := p.Prefill(both, spec, q, nil, now)
 			if c.Target == fast {
 				n++
--- a/internal/place/stale_test.go
+++ b/internal/place/stale_test.go
@@ -31,7 +31,7 @@
 	// ownWork holds the work of each VM, and sendRecords the records that it reported, both by step
 	// and VM.
 	ownWork     [][]map[string]place.Work
-	sendRecords [][][]place.Use
+	sendRecords [][][]place.SendRecord
 	// totalWork holds the work of all VMs together, by step.
 	totalWork []map[string]place.Work
 	// freeAt holds, by engine, when the engine will have prefilled all prompts that it was sent.
@@ -159,14 +159,14 @@
 func (f *fleetSim) exchange() {
 	sum := make(map[string]place.Work)
 	var own []map[string]place.Work
-	var records [][]place.Use
+	var records [][]place.SendRecord
 	for _, p := range f.placers {
 		o := p.Own()
 		for id, w := range o {
 			sum[id] = sum[id].Plus(w)
 		}
 		own = append(own, o)
-		records = append(records, p.TakeUses())
+		records = append(records, p.TakeSendRecords())
 	}
 	f.ownWork, f.totalWork, f.sendRecords = append(f.ownWork, own), append(f.totalWork, sum), append(f.sendRecords, records)
 	if at := f.step - int(f.reportAge/simStep); at >= 0 {
@@ -177,7 +177,7 @@
 }
 
 // deliver passes the records that one VM reported to the others.
-func (f *fleetSim) deliver(from int, reported []place.Use) {
+func (f *fleetSim) deliver(from int, reported []place.SendRecord) {
 	for vm, p := range f.placers {
 		if vm != from {
 			p.Observe(reported, f.now)
--- a/internal/place/ticket.go
+++ b/internal/place/ticket.go
@@ -134,7 +134,7 @@
 		s.noteRefusal(now)
 	case Bad:
 		s.failureRate += failureWeight * (1 - s.failureRate)
-		p.recordOwn(Use{Target: t.id, Failed: true}, now)
+		p.recordOwn(SendRecord{Target: t.id, Failed: true}, now)
 	case Unreachable:
 		s.noteConnectFailure(now)
 	}
--- a/internal/proc/cluster.go
+++ b/internal/proc/cluster.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// Until calls ok repeatedly until it returns nil or ctx ends. The error says what was awaited and
+// WaitFor calls ok repeatedly until it returns nil or ctx ends. The error says what was awaited and
 // wraps the last error of ok.
-func Until(ctx context.Context, what string, ok func(context.Context) error) error {
+func WaitFor(ctx context.Context, what string, ok func(context.Context) error) error {
 	const pause = 20 * time.Millisecond
 	for {
 		err := ok(ctx)
--- a/internal/proc/harness_test.go
+++ b/internal/proc/harness_test.go
@@ -114,7 +114,7 @@
 // await waits until ok returns nil, and fails the test at the timeout.
 func (h *harness) await(what string, ok func(context.Context) error) {
 	h.t.Helper()
-	if err := proc.Until(h.ctx, what, ok); err != nil {
+	if err := proc.WaitFor(h.ctx, what, ok); err != nil {
 		h.t.Fatal(err)
 	}
 }
--- a/internal/proc/relay.go
+++ b/internal/proc/relay.go
@@ -9,14 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Disturbance is a network fault that a relay applies to its connections.
-type Disturbance int
+// LinkFault is a network fault that a relay applies to its connections.
+type LinkFault int
 
 // The disturbances. Silent, OneWay and Delayed hold data back, as after a lost packet: it is passed
 // on once the link is healed.
 const (
 	// Sound passes all data on: there is no fault.
-	Sound Disturbance = iota
+	Sound LinkFault = iota
 	// Refuse resets every connection and refuses new ones.
 	Refuse
 	// Reset resets every open connection once. New ones work.
@@ -27,16 +27,16 @@
 	OneWay
 	// Delayed delays all data by addedDelay.
 	Delayed
-	// Lost silences every open connection for good: packets that its ends send are neither
+	// Drop silences every open connection for good: packets that its ends send are neither
 	// acknowledged nor passed on. New connections work.
-	Lost
-	// Swallowed silences every open connection for good as well, but data that its ends send is
+	Drop
+	// Discard silences every open connection for good as well, but data that its ends send is
 	// acknowledged before it is discarded. New connections work.
-	Swallowed
+	Discard
 )
 
 // String returns the name of the disturbance in reports.
-func (d Disturbance) String() string {
+func (d LinkFault) String() string {
 	return [...]string{"sound", "refuse", "reset", "silent", "one_way", "delayed", "lost",
 		"swallowed"}[d]
 }
@@ -60,7 +60,7 @@
 	background  sync.WaitGroup
 
 	mu     sync.Mutex
-	state  Disturbance
+	state  LinkFault
 	closed bool
 	// conns holds the open connections. The value is true if data that arrives on the connection is
 	// discarded.
@@ -82,26 +82,26 @@
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
 // Cut resets every connection and refuses new ones.
-func (r *Relay) Cut() { r.Disturb(Refuse) }
+func (r *Relay) Cut() { r.Inject(Refuse) }
 
 // Heal ends a lasting disturbance. Connections that were silenced for good stay silent.
-func (r *Relay) Heal() { r.Disturb(Sound) }
+func (r *Relay) Heal() { r.Inject(Sound) }
 
-// Disturb applies a disturbance until the next call. Lost and Swallowed affect only open
+// Inject applies a disturbance until the next call. Lost and Discard affect only open
 // connections and leave the lasting disturbance as it is.
-func (r *Relay) Disturb(d Disturbance) {
+func (r *Relay) Inject(d LinkFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if d != Lost && d != Swallowed {
+	if d != Drop && d != Discard {
 		r.state = d
 	}
 	for c := range r.conns {
 		switch d {
 		case Refuse, Reset:
 			reset(c)
-		case Lost:
+		case Drop:
 			dropPackets(c)
-		case Swallowed:
+		case Discard:
 			r.conns[c] = true
 		}
 	}
--- a/internal/proc/relay_test.go
+++ b/internal/proc/relay_test.go
@@ -49,7 +49,7 @@
 // A disturbance that silences open connections affects only these, and healing the link does not
 // end it.
 func TestRelaySilencesOpenConnections(t *testing.T) {
-	for _, d := range []proc.Disturbance{proc.Lost, proc.Swallowed} {
+	for _, d := range []proc.LinkFault{proc.Drop, proc.Discard} {
 		t.Run(d.String(), func(t *testing.T) {
 			is := is.New(t)
 			r, err := proc.NewRelay(echoServer(t))
@@ -63,7 +63,7 @@
 			}
 			open := dial()
 			is.True(roundTrips(t, open))
-			r.Disturb(d)
+			r.Inject(d)
 			is.True(!roundTrips(t, open))
 			next := dial()
 			is.True(roundTrips(t, next))
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -23,7 +23,7 @@
 	// VMs.
 	PeerAddress Addr `json:"peer_address"`
 	// Store is the address and timeout of the platform's store.
-	Store Platform `json:"store"`
+	Store Endpoint `json:"store"`
 	// Cloud configures the calls to the platform that one VM at a time makes on behalf of all.
 	Cloud Cloud `json:"cloud"`
 	// UsageWindow is the length of the time windows for which the usage of client accounts is
@@ -90,7 +90,7 @@
 // DefaultNode returns the default settings of garnet-node.
 func DefaultNode() *Node {
 	return &Node{
-		Store:        Platform{Timeout: Duration(700 * time.Millisecond)},
+		Store:        Endpoint{Timeout: Duration(700 * time.Millisecond)},
 		MemoryMB:     256,
 		Grace:        Duration(8 * time.Second),
 		LeaseGap:     Duration(3 * time.Second),
--- a/internal/settings/programs.go
+++ b/internal/settings/programs.go
@@ -16,8 +16,8 @@
 	Address Addr `json:"address"`
 }
 
-// Platform is the address and timeout of a service of the platform.
-type Platform struct {
+// Endpoint is the address and timeout of a service of the platform.
+type Endpoint struct {
 	// Address is the service's HTTP address.
 	Address Addr `json:"address"`
 	// Timeout limits each request to the service.
@@ -37,7 +37,7 @@
 	// Stewards lists the addresses of the stewards of this data centre, this VM's own first.
 	Stewards []Addr `json:"stewards"`
 	// Platform is the store in which entries claim the requests that must run at most once.
-	Platform Platform `json:"platform"`
+	Platform Endpoint `json:"platform"`
 	// MaxBodyBytes is the largest request body that is accepted.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
 	// BodyTimeout limits the time in which a caller must send its request body.
@@ -58,7 +58,7 @@
 // DefaultEntry returns the default settings of garnet-entry.
 func DefaultEntry() *Entry {
 	return &Entry{
-		Platform:     Platform{Timeout: Duration(2 * time.Second)},
+		Platform:     Endpoint{Timeout: Duration(2 * time.Second)},
 		MaxBodyBytes: 8 << 20,
 		BodyTimeout:  Duration(10 * time.Second),
 		MaxInFlight:  4000,
@@ -100,7 +100,7 @@
 	// Peers lists the stewards that are known from the start. It may include this one.
 	Peers []Peer `json:"peers"`
 	// Platform is the address and timeout of the platform.
-	Platform Platform `json:"platform"`
+	Platform Endpoint `json:"platform"`
 	// GossipInterval is the time between exchanges with peers.
 	GossipInterval Duration `json:"gossip_interval"`
 	// PollInterval is the time between polls of a target's status.
@@ -136,7 +136,7 @@
 // DefaultSteward returns the default settings of garnet-steward.
 func DefaultSteward() *Steward {
 	return &Steward{
-		Platform:          Platform{Timeout: Duration(2 * time.Second)},
+		Platform:          Endpoint{Timeout: Duration(2 * time.Second)},
 		GossipInterval:    Duration(time.Second),
 		PollInterval:      Duration(2 * time.Second),
 		PlatformInterval:  Duration(2 * time.Second),
--- a/internal/silence/silence_test.go
+++ b/internal/silence/silence_test.go
@@ -71,7 +71,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c, _, r := acceptThroughRelay(t)
-			r.Disturb(proc.Lost)
+			r.Inject(proc.Drop)
 			took, err := waitForError(t, func() error { return use(c) })
 			is.True(errors.Is(err, syscall.ETIMEDOUT))
 			is.True(took < maxDetection)
--- a/internal/soak/deal.go
+++ b/internal/soak/deal.go
@@ -19,8 +19,8 @@
 		platformtest.FaultReset,
 		platformtest.FaultLost, platformtest.FaultStale, platformtest.FaultSlow,
 	}
-	silenceFaults = []proc.Disturbance{proc.Lost, proc.Swallowed}
-	linkFaults    = []proc.Disturbance{proc.Refuse, proc.Reset, proc.Silent, proc.OneWay, proc.Delayed}
+	silenceFaults = []proc.LinkFault{proc.Drop, proc.Discard}
+	linkFaults    = []proc.LinkFault{proc.Refuse, proc.Reset, proc.Silent, proc.OneWay, proc.Delayed}
 	targetFaults  = []platformtest.EngineFault{
 		platformtest.EngineFull, platformtest.EngineHangs, platformtest.EngineResets,
 		platformtest.EngineCuts,
@@ -210,7 +210,7 @@
 // counts as disturbed.
 func (h *harness) injectLinkFault(ctx context.Context, r *proc.Relay, subject string, f Fault) {
 	h.check.Disturbed(subject, h.now(), h.now()+f.Duration)
-	r.Disturb(linkFaults[f.Variant%len(linkFaults)])
+	r.Inject(linkFaults[f.Variant%len(linkFaults)])
 	kernel.Sleep(ctx, f.Duration)
 	r.Heal()
 }
@@ -219,7 +219,7 @@
 // later ones have the full time to be answered.
 func (h *harness) silenceConnections(r *proc.Relay, subject string, f Fault) {
 	h.check.Disturbed(subject, h.now(), h.now())
-	r.Disturb(silenceFaults[f.Variant%len(silenceFaults)])
+	r.Inject(silenceFaults[f.Variant%len(silenceFaults)])
 }
 
 // targetID returns the id of a slot's current target.
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -385,7 +385,7 @@
 
 // awaitReady waits until every VM is ready, or ctx ends.
 func (h *harness) awaitReady(ctx context.Context) error {
-	return proc.Until(ctx, "all VMs to be ready", func(context.Context) error {
+	return proc.WaitFor(ctx, "all VMs to be ready", func(context.Context) error {
 		for _, v := range h.vms {
 			if !platformtest.Ready(string(v.cfg.ReadyListen), askTimeout) {
 				return errNotReady
--- a/internal/stages/controller.go
+++ b/internal/stages/controller.go
@@ -198,9 +198,9 @@
 	return o != nil && o.row.Stage != t.Stage && c.clock()-o.seenAt < unknownOrderTimeout
 }
 
-// Open returns the open orders that this VM has in memory: the ordered stage by run id of
+// OpenOrders returns the open orders that this VM has in memory: the ordered stage by run id of
 // the engine, or nil if there are none.
-func (c *Controller) Open() map[string]fleet.Stage {
+func (c *Controller) OpenOrders() map[string]fleet.Stage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.openOrders) == 0 {
--- a/internal/stages/stages_test.go
+++ b/internal/stages/stages_test.go
@@ -414,7 +414,7 @@
 	eventually(t, "two engines are ordered", func() bool { return len(e.executed()) == 2 })
 	time.Sleep(2 * time.Second)
 	is.Equal(len(e.executed()), 2)
-	is.Equal(len(c.Open()), 2)
+	is.Equal(len(c.OpenOrders()), 2)
 	is.True(c.Changing(engine("1", "a", fleet.Decode)))
 	is.True(!c.Changing(engine("1", "a", fleet.Prefill)))
 }
--- a/internal/store/contract_test.go
+++ b/internal/store/contract_test.go
@@ -104,7 +104,7 @@
 			is.True(errors.Is(err, store.ErrNotFound))
 		}},
 		{"effect, but response lost", func(is *is.I, ctx context.Context, s platformServices, m *store.Memory) {
-			m.SetFault(store.FaultLostAnswers)
+			m.SetFault(store.FaultLostResponses)
 			_, err := s.Commit(ctx, putTxn("k", "a", 0))
 			is.True(errors.Is(err, store.ErrUnknown))
 			is.True(errors.Is(s.PutObject(ctx, "o", []byte("x")), store.ErrUnknown))
--- a/internal/store/memory.go
+++ b/internal/store/memory.go
@@ -44,8 +44,8 @@
 	FaultDown Fault = "down"
 	// FaultLostWrites makes writes fail with ErrUnknown without effect.
 	FaultLostWrites Fault = "lost_writes"
-	// FaultLostAnswers makes writes take effect but fail with ErrUnknown.
-	FaultLostAnswers Fault = "lost_answers"
+	// FaultLostResponses makes writes take effect but fail with ErrUnknown.
+	FaultLostResponses Fault = "lost_answers"
 )
 
 // defaultBytesPerS is the initial value of Memory.bytesPerS.
@@ -163,7 +163,7 @@
 	for _, k := range txn.Deletes {
 		delete(m.records, k)
 	}
-	if m.fault == FaultLostAnswers {
+	if m.fault == FaultLostResponses {
 		return 0, ErrUnknown
 	}
 	return m.revision, nil
@@ -184,7 +184,7 @@
 		return ErrConflict
 	}
 	m.objects[name] = append([]byte(nil), data...)
-	if m.fault == FaultLostAnswers {
+	if m.fault == FaultLostResponses {
 		return ErrUnknown
 	}
 	return nil
--- a/internal/table/store_test.go
+++ b/internal/table/store_test.go
@@ -120,7 +120,7 @@
 		name  string
 		fault store.Fault
 	}{
-		{"effect without an answer", store.FaultLostAnswers},
+		{"effect without an answer", store.FaultLostResponses},
 		{"no effect and no answer", store.FaultLostWrites},
 	}
 	for _, c := range cases {
@@ -194,7 +194,7 @@
 func TestConcurrentOperatorsHistory(t *testing.T) {
 	p := &faultyStore{Memory: store.NewMemory()}
 	s, _ := newSeededStore(t, p)
-	p.remaining, p.fault = 8, store.FaultLostAnswers
+	p.remaining, p.fault = 8, store.FaultLostResponses
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	start := time.Now()
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -62,9 +62,9 @@
 	Number uint64
 }
 
-// Answer holds the counts with which a VM replies to a Question: those of one process that have
+// Reply holds the counts with which a VM replies to a Question: those of one process that have
 // changed after revision From, up to Revision.
-type Answer struct {
+type Reply struct {
 	// Incarnation identifies the process.
 	Incarnation int64
 	From        uint64
@@ -141,12 +141,12 @@
 	}
 }
 
-// Answer returns the reply to a question: the counts that have changed since the revision that the
+// Reply returns the reply to a question: the counts that have changed since the revision that the
 // sender of the question knows, the oldest changes first, and at most maxReplyCounts of them.
-func (c *Counter) Answer(q Question) Answer {
+func (c *Counter) Reply(q Question) Reply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := Answer{Incarnation: c.incarnation, Revision: c.revision, Number: q.Number}
+	a := Reply{Incarnation: c.incarnation, Revision: c.revision, Number: q.Number}
 	if q.Incarnation == c.incarnation {
 		a.From = q.Revision
 	}
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -103,9 +103,9 @@
 // SetGroup sets the group of VMs that are asked. It must be called before Start.
 func (r *Reporter) SetGroup(g Group) { r.group = g }
 
-// HandleAnswer merges another VM's reply into the counts. If the reply says that there is more, the
+// HandleReply merges another VM's reply into the counts. If the reply says that there is more, the
 // VM is asked again at once.
-func (r *Reporter) HandleAnswer(vm string, a Answer) {
+func (r *Reporter) HandleReply(vm string, a Reply) {
 	if r.tally.Merge(vm, a) && a.More {
 		r.group.AskUsage(vm, r.tally.NextQuestion(vm, a.Number))
 	}
@@ -155,7 +155,7 @@
 		r.group.AskUsage(vm, r.tally.NextQuestion(vm, number))
 	}
 	for more := true; more; {
-		a := r.Answer(r.tally.NextQuestion(r.cfg.VM, number))
+		a := r.Reply(r.tally.NextQuestion(r.cfg.VM, number))
 		r.tally.Merge(r.cfg.VM, a)
 		more = a.More
 	}
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -68,7 +68,7 @@
 }
 
 // Merge merges a VM's reply into the tally and reports whether the reply contained anything new.
-func (t *Tally) Merge(vm string, a Answer) bool {
+func (t *Tally) Merge(vm string, a Reply) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	key := process{vm, a.Incarnation}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -30,12 +30,12 @@
 // group is a fake Group of all VMs but the reporter's own. It passes replies to deliver.
 type group struct {
 	vms     map[string]*vm
-	deliver func(vm string, a Answer)
+	deliver func(vm string, a Reply)
 }
 
 func (g *group) AskUsage(name string, q Question) {
 	if v := g.vms[name]; !v.unreachable {
-		g.deliver(name, v.Answer(q))
+		g.deliver(name, v.Reply(q))
 	}
 }
 
@@ -128,13 +128,13 @@
 	h := &holder{fence: fence}
 	r := NewReporter(Config{VM: "own", Length: length}, NewCounter(length, 1), s.table, s.platform, h, telemetry.NewLogger(&bytes.Buffer{}, "test", "own"))
 	r.SetGroup(s.group)
-	s.group.deliver = r.HandleAnswer
+	s.group.deliver = r.HandleReply
 	return r, h
 }
 
 // run calls the reporter's step at its usual interval for a span of simulated time.
 func (s *fixture) run(r *Reporter, span time.Duration) {
-	s.group.deliver = r.HandleAnswer
+	s.group.deliver = r.HandleReply
 	for range int(span / stepInterval) {
 		s.time.Suspend(stepInterval)
 		r.step(context.Background())
@@ -299,9 +299,9 @@
 		now := time.UnixMilli(1e12)
 		c.Ran("a", now)
 		c.Ran("a", now.Add(retention))
-		is.Equal(len(c.Answer(Question{}).Counts), 2)
+		is.Equal(len(c.Reply(Question{}).Counts), 2)
 		c.Ran("a", now.Add(retention+2*length))
-		is.Equal(len(c.Answer(Question{}).Counts), 2) // the first window has been dropped
+		is.Equal(len(c.Reply(Question{}).Counts), 2) // the first window has been dropped
 	}
 }
 
@@ -330,17 +330,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c, tally := NewCounter(length, 1), NewTally()
 		now := time.UnixMilli(0)
-		var replies []Answer
+		var replies []Reply
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			for range rapid.IntRange(0, 3).Draw(t, "runs") {
 				c.Ran("a", now)
 			}
-			replies = append(replies, c.Answer(tally.NextQuestion("vm", tally.BeginRound(now))))
+			replies = append(replies, c.Reply(tally.NextQuestion("vm", tally.BeginRound(now))))
 			if i := rapid.IntRange(-1, len(replies)-1).Draw(t, "answer"); i >= 0 {
 				tally.Merge("vm", replies[i])
 			}
 		}
-		tally.Merge("vm", c.Answer(tally.NextQuestion("vm", tally.BeginRound(now))))
+		tally.Merge("vm", c.Reply(tally.NextQuestion("vm", tally.BeginRound(now))))
 		if want, got := c.counts[countKey{0, "a"}], tally.Sums(0)["a"]; want != nil && got != want.runs {
 			t.Fatalf("counted %d runs, tally has %d", want.runs, got)
 		}
