--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -32,15 +32,15 @@
 	lastAt time.Time
 }
 
-// due returns whether r must be sent now: if it contains uses, if it differs from the last report
-// or if that is heartbeatInterval old. If so, it assigns r the next number. Ages and store times
-// change all the time and are not compared.
+// due returns whether r must be sent now: if it contains send records, if it differs from the last
+// report or if that is heartbeatInterval old. If so, it assigns r the next number. Ages and store
+// times change all the time and are not compared.
 func (s *sender) due(r *report) bool {
-	uses, ages, storeTimes := r.Uses, r.AgesMS, r.StoreTimesMS
-	r.Uses, r.AgesMS, r.StoreTimesMS = nil, nil, nil
+	records, ages, storeTimes := r.SendRecords, r.AgesMS, r.StoreTimesMS
+	r.SendRecords, r.AgesMS, r.StoreTimesMS = nil, nil, nil
 	body := string(encode(r))
-	r.Uses, r.AgesMS, r.StoreTimesMS = uses, ages, storeTimes
-	if len(uses) == 0 && body == s.last && clock.Since(s.lastAt) < heartbeatInterval {
+	r.SendRecords, r.AgesMS, r.StoreTimesMS = records, ages, storeTimes
+	if len(records) == 0 && body == s.last && clock.Since(s.lastAt) < heartbeatInterval {
 		return false
 	}
 	s.last, s.lastAt = body, clock.Now()
@@ -61,12 +61,12 @@
 		r := p.ownReport()
 		relay, digests := p.isRelay(), p.sendsDigests()
 		p.selectSource(!relay && (digests || p.receivesDigests()))
-		p.queueOwnUses(r.Uses, relay)
+		p.queueOwnSendRecords(r.SendRecords, relay)
 		now := clock.Now()
 		if relay && !now.Before(nextSummary) {
 			if s := p.summary(r); summary.due(s) {
 				if !p.sendSummary(s) {
-					p.requeueUses(s.Uses)
+					p.requeueSendRecords(s.SendRecords)
 				}
 				nextSummary = now.Add(p.summaryPause(s))
 			}
@@ -95,12 +95,13 @@
 	p.sendTo(datagram{Report: r}, p.reportAddrs(heartbeat))
 }
 
-// ownReport returns this VM's report, without a number. It takes the uses since the last report
-// from the placer.
+// ownReport returns this VM's report, without a number. It takes the send records since the
+// last report from the placer.
 func (p *Peers) ownReport() *report {
 	r := &report{
 		From: p.self, Incarnation: p.incarnation, Work: encodeWork(p.placer.Own()),
-		Uses: encodeUses(p.placer.TakeSendRecords(), originHash(p.self.VM)), Changing: p.orders.OpenOrders(),
+		SendRecords: encodeSendRecords(p.placer.TakeSendRecords(), originHash(p.self.VM)),
+		Changing:    p.orders.OpenOrders(),
 	}
 	r.HoldsDuties = p.dutyFence != nil && p.dutyFence() != 0
 	var readTimes []time.Time
@@ -183,8 +184,8 @@
 			p.handleHello(*d.Hello)
 		case d.Delta != nil:
 			p.handleDelta(d.Delta)
-		case d.UsageQuery != nil:
-			p.handleUsageQuery(d.UsageQuery)
+		case d.UsageQuestion != nil:
+			p.handleUsageQuestion(d.UsageQuestion)
 		case d.UsageReply != nil:
 			p.handleUsageReply(d.UsageReply)
 		case d.Suspects != nil:
@@ -195,9 +196,9 @@
 	}
 }
 
-// handleReport stores a report, passes its uses to the placer and its versions to the followed
-// tables, and forwards a summary of another data centre within this one. It ignores a report that
-// is older than one already stored.
+// handleReport stores a report, passes its send records to the placer and its versions to the
+// followed tables, and forwards a summary of another data centre within this one. It ignores a
+// report that is older than one already stored.
 func (p *Peers) handleReport(r *report) {
 	addr, err := netip.ParseAddrPort(r.From.Address)
 	if err != nil {
@@ -214,7 +215,7 @@
 		return
 	}
 	if included {
-		p.placer.Observe(decodeUses(r.Uses, originHash(p.self.VM)), clock.Now())
+		p.placer.Observe(decodeSendRecords(r.SendRecords, originHash(p.self.VM)), clock.Now())
 	}
 	p.addMember(r.From, addr)
 	p.compareVersions(r)
@@ -267,7 +268,7 @@
 		p.recordRelay(r, addr)
 		next.work = p.subtractOwn(next.work)
 	} else {
-		p.queueUses(r.Uses, !r.Summary)
+		p.queueSendRecords(r.SendRecords, !r.Summary)
 	}
 	p.maxKnownVMs = max(p.maxKnownVMs, r.KnownVMs)
 	if p.inSums(next) {
--- a/internal/peers/fan_test.go
+++ b/internal/peers/fan_test.go
@@ -53,8 +53,8 @@
 	for _, v := range append(large, small...) {
 		eventually(t, "all are counted", func() bool { return v.peers.Size() == largeVMs+2 })
 	}
-	// Uses that are sent while the VMs disagree about their relay may arrive twice or not at all,
-	// so wait until they agree.
+	// Send records that are sent while the VMs disagree about their relay may arrive twice or not
+	// at all, so wait until they agree.
 	eventually(t, "the large data centre has two sentinels",
 		func() bool { return countSentinels(large) == 2 })
 	time.Sleep(settleTime)
@@ -62,7 +62,7 @@
 }
 
 // The relay of a large data centre sends digests with the work of all VMs. Each VM subtracts its
-// own work and receives each use of another VM once.
+// own work and receives each send record of another VM once.
 func TestRelayOfALargeDataCentreSendsDigests(t *testing.T) {
 	is := is.New(t)
 	large, small := startLarge(t, store.NewMemory())
@@ -81,8 +81,8 @@
 		others := want.Minus(place.Work{Prefill: time.Duration(i+1) * time.Millisecond, Prefills: 1})
 		eventually(t, fmt.Sprintf("VM %d knows the others' work", i),
 			func() bool { return v.peers.Work("e1") == others })
-		eventually(t, fmt.Sprintf("VM %d receives the others' uses", i),
-			func() bool { return v.placer.observedUses() == len(all)-1 })
+		eventually(t, fmt.Sprintf("VM %d receives the others' send records", i),
+			func() bool { return v.placer.observedCount() == len(all)-1 })
 		is.True(v.peers.Age() < 200*time.Millisecond)
 	}
 	_, changing := large[largeVMs-1].peers.Changing("e9")
@@ -96,7 +96,7 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	for _, v := range all {
-		is.Equal(v.placer.observedUses(), len(all)-1) // each use arrived once
+		is.Equal(v.placer.observedCount(), len(all)-1) // each send record arrived once
 	}
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -9,8 +9,8 @@
 // relay also sends digests, see digestMinVMs. Reports are best effort: a lost report is replaced by
 // the next one, and an old report is ignored.
 //
-// A report also carries uses (place.SendRecord). A use is one request that the VM has sent to a target, or
-// one failure of a target.
+// A report also carries send records (place.SendRecord). Each records one request that the VM has
+// sent to a target, or one that has failed there.
 //
 // A few VMs, the sentinels, read changes from the store promptly and, in a large group, forward
 // them to the others.
@@ -58,15 +58,15 @@
 	LinkMbps float64 `json:"link_mbps,omitempty"`
 }
 
-// Placer provides the work and uses of this VM and takes in the uses of other VMs. place.Placer
-// implements it.
+// Placer provides the work and send records of this VM and takes in the send records of other VMs.
+// place.Placer implements it.
 type Placer interface {
 	// Own returns this VM's own work at each target.
 	Own() map[string]place.Work
-	// TakeSendRecords returns this VM's uses since its last call.
+	// TakeSendRecords returns this VM's send records since its last call.
 	TakeSendRecords() []place.SendRecord
-	// Observe records uses that other VMs have reported.
-	Observe(uses []place.SendRecord, now time.Time)
+	// Observe takes in send records that other VMs have reported.
+	Observe(records []place.SendRecord, now time.Time)
 }
 
 // FollowedTable is this VM's copy of a table in the store.
@@ -139,10 +139,10 @@
 	// sums is the total work of all other VMs at each target. Each report that arrives updates it,
 	// because it is read for every target on every request.
 	sums map[string]place.Work
-	// pendingUses are the uses to send in the next summary, and digestUses those to send in the
-	// next digest.
-	pendingUses []use
-	digestUses  []use
+	// summarySendRecords are the send records for the next summary, and digestSendRecords those for
+	// the next digest.
+	summarySendRecords []sendRecord
+	digestSendRecords  []sendRecord
 	// usesDigests is true while the other VMs' work is taken from the relay's digests, and
 	// sentReports holds the latest reports of this VM.
 	usesDigests bool
@@ -212,7 +212,7 @@
 // hold any member record yet. It must be called before Start.
 func (p *Peers) SetFirstStart() { p.firstStart = true }
 
-// SetPlacer sets the source of this VM's work and uses. It must be called before Start.
+// SetPlacer sets the source of this VM's work and send records. It must be called before Start.
 func (p *Peers) SetPlacer(placer Placer) { p.placer = placer }
 
 // Follow sets the followed tables, whose versions are reported and whose changes are forwarded. It
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -17,12 +17,13 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// placer is a fake Placer that holds the work and uses of one VM.
+// placer is a fake Placer that holds the work and send records of one VM. observed holds those
+// that other VMs have reported.
 type placer struct {
-	mu       sync.Mutex
-	own      map[string]place.Work
-	uses     []place.SendRecord
-	observed []place.SendRecord
+	mu          sync.Mutex
+	own         map[string]place.Work
+	sendRecords []place.SendRecord
+	observed    []place.SendRecord
 }
 
 func (p *placer) Own() map[string]place.Work {
@@ -31,29 +32,29 @@
 	return p.own
 }
 
-// set sets the work that Own returns and the uses that TakeUses returns next.
-func (p *placer) set(own map[string]place.Work, uses ...place.SendRecord) {
+// set sets the work that Own returns and the send records that TakeSendRecords returns next.
+func (p *placer) set(own map[string]place.Work, records ...place.SendRecord) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.own, p.uses = own, uses
+	p.own, p.sendRecords = own, records
 }
 
 func (p *placer) TakeSendRecords() []place.SendRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := p.uses
-	p.uses = nil
+	out := p.sendRecords
+	p.sendRecords = nil
 	return out
 }
 
-func (p *placer) Observe(uses []place.SendRecord, _ time.Time) {
+func (p *placer) Observe(records []place.SendRecord, _ time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.observed = append(p.observed, uses...)
+	p.observed = append(p.observed, records...)
 }
 
-// observedUses returns the number of uses that other VMs have reported.
-func (p *placer) observedUses() int {
+// observedCount returns the number of send records that other VMs have reported.
+func (p *placer) observedCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.observed)
@@ -179,7 +180,7 @@
 	t.Fatal(condition)
 }
 
-// The VMs of a data centre receive each other's work, uses and open stage changes.
+// The VMs of a data centre receive each other's work, send records and open stage changes.
 func TestReportsReachOtherVMs(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
@@ -195,8 +196,8 @@
 	b.placer.set(map[string]place.Work{"e1": {Running: 1}})
 	want := place.Work{Prefill: 30 * time.Millisecond, Running: 3, Streams: 1, Tokens: 900}
 	eventually(t, "c knows the work of both", func() bool { return c.peers.Work("e1") == want })
-	eventually(t, "uses reach all others", func() bool { return b.placer.observedUses() == 1 && c.placer.observedUses() == 1 })
-	is.Equal(a.placer.observedUses(), 0)
+	eventually(t, "send records reach all others", func() bool { return b.placer.observedCount() == 1 && c.placer.observedCount() == 1 })
+	is.Equal(a.placer.observedCount(), 0)
 	stage, ok := c.peers.Changing("e1")
 	is.True(ok)
 	is.Equal(stage, fleet.Prefill)
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -13,9 +13,10 @@
 )
 
 const (
-	// maxPendingUses is the length from which no more uses are added to the queues for the next
-	// summary and digest. It covers about half a second of uses at fully grown installations.
-	maxPendingUses = 512
+	// maxQueuedSendRecords is the length from which no more send records are added to the queues for
+	// the next summary and digest. It covers about half a second of them at fully grown
+	// installations.
+	maxQueuedSendRecords = 512
 	// sentinelCount is the intended number of sentinels in all data centres together.
 	sentinelCount = 4
 	// summaryLinkShare is the fraction of the bandwidth of a relay's link that forwarding the
@@ -93,28 +94,28 @@
 	return n
 }
 
-// queueUses adds uses to the next digest and, if local is true, to the next summary. local means
-// that they are uses of VMs of this data centre. The caller must hold p.mu.
-func (p *Peers) queueUses(uses []use, local bool) {
-	if local && len(p.pendingUses) < maxPendingUses {
-		p.pendingUses = append(p.pendingUses, uses...)
+// queueSendRecords adds send records to the next digest and, if local is true, to the next
+// summary. local means that they come from VMs of this data centre. The caller must hold p.mu.
+func (p *Peers) queueSendRecords(records []sendRecord, local bool) {
+	if local && len(p.summarySendRecords) < maxQueuedSendRecords {
+		p.summarySendRecords = append(p.summarySendRecords, records...)
 	}
-	if len(p.digestUses) < maxPendingUses {
-		p.digestUses = append(p.digestUses, uses...)
+	if len(p.digestSendRecords) < maxQueuedSendRecords {
+		p.digestSendRecords = append(p.digestSendRecords, records...)
 	}
 }
 
-// queueOwnUses queues this VM's uses for the next summary and digest if relay is true, that is, if
-// this VM is the relay. Otherwise it drops all queued uses, because the relay has received them
-// too.
-func (p *Peers) queueOwnUses(uses []use, relay bool) {
+// queueOwnSendRecords queues this VM's send records for the next summary and digest if relay is
+// true, that is, if this VM is the relay. Otherwise it drops all queued ones, because the relay has
+// received them too.
+func (p *Peers) queueOwnSendRecords(records []sendRecord, relay bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !relay {
-		p.pendingUses, p.digestUses = nil, nil
+		p.summarySendRecords, p.digestSendRecords = nil, nil
 		return
 	}
-	p.queueUses(uses, true)
+	p.queueSendRecords(records, true)
 }
 
 // summaryPause returns how long to wait after sending summary r. The relay of another data centre
@@ -126,12 +127,12 @@
 // linkPause returns the time that sending r to all VMs of this data centre takes with the given
 // fraction of the bandwidth of this VM's link, at most maxSummaryPause. It is 0 if the bandwidth is
 // unknown.
-func (p *Peers) linkPause(r *report, share float64) time.Duration {
+func (p *Peers) linkPause(r *report, fraction float64) time.Duration {
 	if p.self.LinkMbps <= 0 {
 		return 0
 	}
 	bits := 8 * float64(len(encode(r))) * float64(p.localVMs())
-	us := bits / (share * p.self.LinkMbps)
+	us := bits / (fraction * p.self.LinkMbps)
 	return min(time.Duration(us*float64(time.Microsecond)), maxSummaryPause)
 }
 
@@ -140,8 +141,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.aggregate(own, slices.Collect(maps.Values(p.vmReports)))
-	r.Summary, r.Uses = true, p.pendingUses
-	p.pendingUses = nil
+	r.Summary, r.SendRecords = true, p.summarySendRecords
+	p.summarySendRecords = nil
 	return r
 }
 
@@ -211,13 +212,14 @@
 	return sent
 }
 
-// requeueUses queues the uses of a summary that was not sent for the next summary. Each use is sent
-// only once, so it must not be lost while no relay of another data centre is known.
-func (p *Peers) requeueUses(uses []use) {
+// requeueSendRecords queues the send records of a summary that was not sent for the next
+// summary. Each is sent only once, so it must not be lost while no relay of another data centre is
+// known.
+func (p *Peers) requeueSendRecords(records []sendRecord) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.pendingUses) < maxPendingUses {
-		p.pendingUses = append(p.pendingUses, uses...)
+	if len(p.summarySendRecords) < maxQueuedSendRecords {
+		p.summarySendRecords = append(p.summarySendRecords, records...)
 	}
 }
 
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -22,8 +22,8 @@
 		LinkMbps: link}, 1, table, o)
 }
 
-// The VMs of a data centre learn the work, uses and open stage changes of another data centre
-// through the relays' summaries.
+// The VMs of a data centre learn the work, send records and open stage changes of another data
+// centre through the relays' summaries.
 func TestSummariesReachOtherDataCentres(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
@@ -49,7 +49,7 @@
 		}
 		eventually(t, name+" knows the other data centre's work, counted once",
 			func() bool { return v.peers.Work("e1") == want })
-		eventually(t, name+" receives uses", func() bool { return v.placer.observedUses() > 0 })
+		eventually(t, name+" receives send records", func() bool { return v.placer.observedCount() > 0 })
 	}
 	eventually(t, "a1 knows b1's work", func() bool { return a1.peers.Work("e1").Running == 5 })
 	stage, ok := b2.peers.Changing("e1")
--- a/internal/peers/report.go
+++ b/internal/peers/report.go
@@ -19,9 +19,9 @@
 	Delta *tableDelta `cbor:"2,keyasint,omitempty"`
 	// Hello announces the sender to a VM whose member record it has just read.
 	Hello *Member `cbor:"3,keyasint,omitempty"`
-	// UsageQuery asks a VM for its run counts of client accounts, and UsageReply returns them.
-	UsageQuery *usageQuery `cbor:"5,keyasint,omitempty"`
-	UsageReply *usageReply `cbor:"6,keyasint,omitempty"`
+	// UsageQuestion asks a VM for its run counts of client accounts, and UsageReply returns them.
+	UsageQuestion *usageQuestion `cbor:"5,keyasint,omitempty"`
+	UsageReply    *usageReply    `cbor:"6,keyasint,omitempty"`
 	// Suspects describes requests that are suspected of crashing their targets.
 	Suspects *suspectsMessage `cbor:"4,keyasint,omitempty"`
 }
@@ -43,8 +43,9 @@
 	// Forwarded is true if a VM of the receiver's data centre has forwarded the summary.
 	Forwarded bool       `cbor:"5,keyasint,omitempty"`
 	Work      []workItem `cbor:"6,keyasint"`
-	// Uses are the requests sent to targets, and the failures of targets, since the last report.
-	Uses []use `cbor:"7,keyasint,omitempty"`
+	// SendRecords records the requests sent to targets, and those that failed there, since the
+	// last report.
+	SendRecords []sendRecord `cbor:"7,keyasint,omitempty"`
 	// Newest is the highest applied row version of each followed table.
 	Newest []uint64 `cbor:"8,keyasint"`
 	// Changing holds the engines that have been ordered to change their stage.
@@ -92,8 +93,8 @@
 // maxStoreTimeMS is the largest clock reading in ms that a time.Duration can hold.
 const maxStoreTimeMS = uint64(math.MaxInt64 / int64(time.Millisecond))
 
-// use is the wire form of place.SendRecord.
-type use struct {
+// sendRecord is the wire form of place.SendRecord.
+type sendRecord struct {
 	_        struct{} `cbor:",toarray"`
 	Target   string
 	Parts    []uint64
@@ -101,7 +102,7 @@
 	Failed   bool
 	Prefills bool
 	// Origin is the originHash of the VM that sent the request. A digest also contains the
-	// receiver's own uses, which it recognises by this hash and skips.
+	// receiver's own send records, which it recognises by this hash and skips.
 	Origin uint16
 }
 
@@ -138,18 +139,18 @@
 	return work
 }
 
-// encodeUses returns the wire form of uses. origin is the originHash of this VM.
-func encodeUses(uses []place.SendRecord, origin uint16) []use {
-	out := make([]use, 0, len(uses))
-	for _, u := range uses {
-		out = append(out, use{Target: u.Target, Parts: u.Parts, Missing: u.Missing,
-			Failed: u.Failed, Prefills: u.Prefills, Origin: origin})
+// encodeSendRecords returns the wire form of send records. origin is the originHash of this VM.
+func encodeSendRecords(records []place.SendRecord, origin uint16) []sendRecord {
+	out := make([]sendRecord, 0, len(records))
+	for _, r := range records {
+		out = append(out, sendRecord{Target: r.Target, Parts: r.Parts, Missing: r.Missing,
+			Failed: r.Failed, Prefills: r.Prefills, Origin: origin})
 	}
 	return out
 }
 
 // originHash returns a short hash of a VM's name. Two VMs whose hashes collide do not see each
-// other's uses in digests.
+// other's send records in digests.
 func originHash(vm string) uint16 {
 	h := fnv.New32a()
 	// Write of a hash.Hash never returns an error.
@@ -157,15 +158,15 @@
 	return uint16(h.Sum32())
 }
 
-// decodeUses returns the uses whose Origin is not own, the originHash of this VM.
-func decodeUses(uses []use, own uint16) []place.SendRecord {
-	out := make([]place.SendRecord, 0, len(uses))
-	for _, u := range uses {
-		if u.Origin == own {
+// decodeSendRecords returns the send records whose Origin is not own, the originHash of this VM.
+func decodeSendRecords(records []sendRecord, own uint16) []place.SendRecord {
+	out := make([]place.SendRecord, 0, len(records))
+	for _, r := range records {
+		if r.Origin == own {
 			continue
 		}
-		out = append(out, place.SendRecord{Target: u.Target, Parts: u.Parts, Missing: u.Missing,
-			Failed: u.Failed, Prefills: u.Prefills})
+		out = append(out, place.SendRecord{Target: r.Target, Parts: r.Parts, Missing: r.Missing,
+			Failed: r.Failed, Prefills: r.Prefills})
 	}
 	return out
 }
--- a/internal/peers/usage.go
+++ b/internal/peers/usage.go
@@ -24,8 +24,8 @@
 // (see package duty), and 0 otherwise. It must be called before Start.
 func (p *Peers) SetDutyFence(fence func() uint64) { p.dutyFence = fence }
 
-// usageQuery is the wire form of usage.Question.
-type usageQuery struct {
+// usageQuestion is the wire form of usage.Question.
+type usageQuestion struct {
 	// From is the name of the VM that asks.
 	From        string `cbor:"1,keyasint"`
 	Incarnation int64  `cbor:"2,keyasint"`
@@ -54,9 +54,9 @@
 	Runs    int
 }
 
-// AskUsage implements usage.Group. It sends a usage query to a VM.
+// AskUsage implements usage.Group. It sends a usage question to a VM.
 func (p *Peers) AskUsage(vm string, q usage.Question) {
-	p.sendToVM(vm, datagram{UsageQuery: &usageQuery{From: p.self.VM,
+	p.sendToVM(vm, datagram{UsageQuestion: &usageQuestion{From: p.self.VM,
 		Incarnation: q.Incarnation, Revision: q.Revision, Number: q.Number}})
 }
 
@@ -84,8 +84,8 @@
 	}
 }
 
-// handleUsageQuery replies to a usage query with this VM's run counts.
-func (p *Peers) handleUsageQuery(q *usageQuery) {
+// handleUsageQuestion replies to a usage question with this VM's run counts.
+func (p *Peers) handleUsageQuestion(q *usageQuestion) {
 	if p.usage == nil {
 		return
 	}
