--- a/internal/place/apart_test.go
+++ b/internal/place/apart_test.go
@@ -29,7 +29,7 @@
 func TestSuspectRequestsGetDifferentTargets(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(peerWork{})
-	targets := []*fleet.Target{engine("read", fleet.Prefill), engine("tried", fleet.Decode), engine("down", fleet.Decode)}
+	targets := []*fleet.Target{engine("prefill", fleet.Prefill), engine("tried", fleet.Decode), engine("down", fleet.Decode)}
 	leaving := engine("leaving", fleet.Decode)
 	leaving.Leaving = true
 	targets = append(targets, leaving)
--- a/internal/place/cache.go
+++ b/internal/place/cache.go
@@ -76,12 +76,12 @@
 	// set if the target prefills them itself; otherwise their KV cache is transferred to it.
 	Missing  int
 	Prefills bool
-	// Failed is set if the record tells of the failure of a request, and not of a request sent.
-	// Only Target is set besides.
+	// Failed is set if the record is of a request that has failed, and not of one that was sent.
+	// Such a record has no other field than Target set.
 	Failed bool
 }
 
-// recordOwnPrompt fills in the parts of the prompt q in the record of a request that this VM sends,
+// recordOwnPrompt adds the parts of the prompt q to the record of a request that this VM sends,
 // and passes the record to recordOwn. The caller holds p.mu.
 func (p *Placer) recordOwnPrompt(r SendRecord, q *Prompt, now time.Time) {
 	for _, part := range q.sharedParts() {
@@ -91,7 +91,8 @@
 }
 
 // recordOwn updates the state of a target by a record of this VM, and keeps the record for the next
-// report to other VMs. It is not reported if maxSendRecords wait already. The caller holds p.mu.
+// report to other VMs. It is not kept if maxSendRecords wait to be reported already. The caller
+// holds p.mu.
 func (p *Placer) recordOwn(r SendRecord, now time.Time) {
 	s := p.stateByID(r.Target)
 	s.addRecord(r, now)
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -195,7 +195,7 @@
 	states map[string]*state
 	// profiles holds the estimated timing of each service's targets, by service.
 	profiles map[string]*profile.Profile
-	// sendRecords holds this VM's records that have not been reported to other VMs yet.
+	// sendRecords holds this VM's send records that have not been reported to other VMs yet.
 	sendRecords []SendRecord
 	// peerInflows holds the rate at which other VMs place prefill work, by service.
 	peerInflows map[string]*workRate
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -54,9 +54,9 @@
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	for i := range 40 {
 		q := sessionPrompt(uint64(1000 + i))
-		choice, ok := p.Prefill([]*fleet.Target{engine("teacher", fleet.Prefill), engine("pupil", fleet.Decode)}, spec, q, place.Tried{"pupil": true}, now)
+		choice, ok := p.Prefill([]*fleet.Target{engine("trained-prefill", fleet.Prefill), engine("trained-decode", fleet.Decode)}, spec, q, place.Tried{"trained-decode": true}, now)
 		if !ok {
-			choice, _ = p.Prefill([]*fleet.Target{engine("pupil", fleet.Decode)}, spec, q, nil, now)
+			choice, _ = p.Prefill([]*fleet.Target{engine("trained-decode", fleet.Decode)}, spec, q, nil, now)
 		}
 		took := 2 + float64(q.Tokens)/300
 		if choice.InPlace {
@@ -65,7 +65,7 @@
 			took += 4000
 		}
 		choice.Ticket.End(place.Good, now.Add(ms(took)))
-		run, _ := p.Decode([]*fleet.Target{engine("pupil", fleet.Decode)}, spec, longAnswerPrompt(), "a", nil, now)
+		run, _ := p.Decode([]*fleet.Target{engine("trained-decode", fleet.Decode)}, spec, longAnswerPrompt(), "a", nil, now)
 		run.Ticket.FirstEvent(now.Add(ms(8)))
 		run.Ticket.ObserveAnswer(longAnswerPrompt().Output/59, ms(35*float64(longAnswerPrompt().Output/59-1)))
 		run.Ticket.End(place.Good, now.Add(4*time.Second))
--- a/internal/place/seats_test.go
+++ b/internal/place/seats_test.go
@@ -357,9 +357,9 @@
 		first = prefill(again)
 	}
 	is.Equal(place.Admit(first, admission).Verdict, place.Send)
-	newcomer := prefill(longAnswerPrompt())
-	is.Equal(newcomer.Target.ID, "fast")
-	is.True(newcomer.SeatWait > 0)
+	newChoice := prefill(longAnswerPrompt())
+	is.Equal(newChoice.Target.ID, "fast")
+	is.True(newChoice.SeatWait > 0)
 	// A request that is short enough for the slower target does not wait.
 	short := longAnswerPrompt()
 	short.Output, short.MaxOutput = 500, 500
--- a/internal/place/ways_test.go
+++ b/internal/place/ways_test.go
@@ -22,8 +22,8 @@
 	selectEngines engineSelector
 }
 
-// policies returns the policies to compare. The policies of each call compute the engines of the
-// sessions anew, since they remember them.
+// policies returns the policies to compare. It must be called for each simulation, because a
+// selector that sessionEngines returns remembers the targets of one simulation.
 func policies() []policy {
 	return []policy{
 		{name: "cheapest"},
