--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -10,8 +10,8 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// fakeFreshness is the ConfigFreshness of a VM that has the newest configuration. current says
-// whether it may accept the keys.
+// fakeFreshness is the ConfigFreshness of a VM that has the newest configuration. current is what
+// KeysCurrent returns.
 type fakeFreshness struct {
 	upToDate
 	current bool
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -37,9 +37,10 @@
 	return in
 }
 
-// addQueueState adds the state of the queue of requests that are deferred on all VMs. For a new
-// request this is the time that all engines together need for the queue. For a request that is
-// deferred itself it is the total prefill time of the queue, its own included.
+// addQueueState sets the fields of in that depend on the requests deferred on all VMs. For a new
+// request this is QueueTime, the time that all engines together need for them. For a request that
+// is deferred itself they are QueuedPrefill, the total prefill time of all these requests, and the
+// other fields by which place.Admit decides whether it is this request's turn.
 func (x *exchange) addQueueState(in *place.AdmissionInput, c place.Choice) {
 	waiting := x.g.placer.DeferredWork(x.service).Prefill
 	if x.queueTicket == nil {
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -28,8 +28,8 @@
 // testSpan is the retry window of test budgets.
 const testSpan = 10 * time.Second
 
-// newTestBudgets returns budgets with a burst of 54 retries per testSpan and a clock that reads
-// now.
+// newTestBudgets returns budgets with a burst allowance of 54 retries per testSpan and a clock that
+// reads now.
 func newTestBudgets(group Group, firstStart bool, now *time.Duration) *retryBudgets {
 	var limits atomic.Pointer[Limits]
 	limits.Store(&Limits{RetryBurst: 54, RetryWindow: testSpan})
--- a/internal/gateway/callerconn_test.go
+++ b/internal/gateway/callerconn_test.go
@@ -142,12 +142,12 @@
 // closed.
 func TestCallerConnDetectsClose(t *testing.T) {
 	ways := map[string]func(c *net.TCPConn) error{
-		"open":      func(*net.TCPConn) error { return nil },
-		"closed":    (*net.TCPConn).Close,
-		"half":      (*net.TCPConn).CloseWrite,
-		"with data": func(c *net.TCPConn) error { _, err := io.WriteString(c, "x"); return errors.Join(err, c.Close()) },
-		"data only": func(c *net.TCPConn) error { _, err := io.WriteString(c, "x"); return err },
-		"reset":     func(c *net.TCPConn) error { return errors.Join(c.SetLinger(0), c.Close()) },
+		"open":        func(*net.TCPConn) error { return nil },
+		"closed":      (*net.TCPConn).Close,
+		"half-closed": (*net.TCPConn).CloseWrite,
+		"with data":   func(c *net.TCPConn) error { _, err := io.WriteString(c, "x"); return errors.Join(err, c.Close()) },
+		"data only":   func(c *net.TCPConn) error { _, err := io.WriteString(c, "x"); return err },
+		"reset":       func(c *net.TCPConn) error { return errors.Join(c.SetLinger(0), c.Close()) },
 	}
 	for name, leave := range ways {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -109,7 +109,7 @@
 func (cs *callerConns) markIdle(c *callerConn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.unlistLocked(c)
+	cs.removeIdleLocked(c)
 	if !c.removed {
 		c.idleElem, c.idleSince, c.unused = cs.idle.PushBack(c), clock.Now(), false
 	}
@@ -119,7 +119,7 @@
 func (cs *callerConns) markActive(c *callerConn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.unlistLocked(c)
+	cs.removeIdleLocked(c)
 }
 
 // remove unregisters a closed connection. Repeated calls have no effect.
@@ -131,15 +131,15 @@
 
 // removeLocked is remove for a caller that holds mu.
 func (cs *callerConns) removeLocked(c *callerConn) {
-	cs.unlistLocked(c)
+	cs.removeIdleLocked(c)
 	if !c.removed {
 		c.removed = true
 		cs.open--
 	}
 }
 
-// unlistLocked takes c off the idle list. The caller must hold mu.
-func (cs *callerConns) unlistLocked(c *callerConn) {
+// removeIdleLocked removes c from the idle list. The caller must hold mu.
+func (cs *callerConns) removeIdleLocked(c *callerConn) {
 	if c.idleElem != nil {
 		cs.idle.Remove(c.idleElem)
 		c.idleElem = nil
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -18,16 +18,16 @@
 	now := time.Now()
 	cases := []struct {
 		name string
-		// longest is the time until the request's deadline, and left the time until the gateway
-		// ends.
-		longest time.Duration
-		left    time.Duration
-		taken   bool
+		// needed is the time until the request's deadline, and remaining the time until the
+		// gateway ends.
+		needed    time.Duration
+		remaining time.Duration
+		accepted  bool
 	}{
 		{"plain, early", 600 * time.Millisecond, 7 * time.Second, true},
 		{"plain, at the end", 600 * time.Millisecond, 300 * time.Millisecond, false},
 		{"short stream", 2 * time.Second, 2 * time.Second, true},
-		{"short stream, a little too late", 2 * time.Second, 1999 * time.Millisecond, false},
+		{"short stream, one ms too long", 2 * time.Second, 1999 * time.Millisecond, false},
 		{"long stream, right after the signal", 15 * time.Second, 7600 * time.Millisecond, false},
 		{"long stream, long grace", 15 * time.Second, 20 * time.Second, true},
 		{"after the end", 10 * time.Millisecond, -time.Millisecond, false},
@@ -36,11 +36,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			d := &drainState{}
-			is.NoErr(d.newStopCheck(tc.longest, now).check()) // a gateway that is not stopping accepts all
-			end := now.Add(tc.left)
+			is.NoErr(d.newStopCheck(tc.needed, now).check()) // a gateway that is not stopping accepts all
+			end := now.Add(tc.remaining)
 			d.end.Store(&end)
-			err := d.newStopCheck(tc.longest, now).check()
-			is.Equal(err == nil, tc.taken)
+			err := d.newStopCheck(tc.needed, now).check()
+			is.Equal(err == nil, tc.accepted)
 			if err != nil {
 				is.True(errkind.Is(err, errkind.Stopping))
 			}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -90,7 +90,7 @@
 	stop *stopCheck
 
 	mu sync.Mutex
-	// trace lists the attempts and their results for the log line. Guarded by mu.
+	// trace holds the attempts and their results for the log line; see addTrace. Guarded by mu.
 	trace strings.Builder
 }
 
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -103,8 +103,8 @@
 			x := &exchange{g: g, r: httptest.NewRequest("GET", "/", nil), arrived: time.Now()}
 			x.noteSendFailure(context.Background(), target, c.Ticket, errors.New("unanswered"))
 			failed := 0
-			for _, u := range p.TakeSendRecords() {
-				if u.Failed {
+			for _, r := range p.TakeSendRecords() {
+				if r.Failed {
 					failed++
 				}
 			}
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -96,8 +96,8 @@
 	return resp, out, err
 }
 
-// sendTo sends the request to t with given connection settings, without counting an attempt. It may
-// be called concurrently.
+// sendTo sends the request to t with the connection settings in to, without counting an attempt. It
+// may be called concurrently.
 func (x *exchange) sendTo(ctx context.Context, to httpsend.Destination, t *fleet.Target, d Directive, ticket *place.Ticket) (*httpsend.Response, outcome, error) {
 	d.TargetID = t.ID
 	d.Remaining, d.Account = clock.Until(x.deadline), x.accountName()
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -20,7 +20,8 @@
 	// duration is in seconds.
 	duration metric.Float64Histogram
 	// handles counts the handles that could not be freed.
-	handles    metric.Int64Counter
+	handles metric.Int64Counter
+	// bySize counts generation requests by size class and outcome.
 	bySize     metric.Int64Counter
 	admissions metric.Int64Counter
 	retries    metric.Int64Counter
