--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -81,7 +81,7 @@
 func (h *holder) Call(t duty.Tenure) duty.Call { return duty.Call{Holder: "vm", Fence: t.Fence} }
 
 // faultyTable is a store whose writes fail while unavailable is set, and take effect but return
-// ErrUnknown while loseAnswers is set.
+// ErrUnknown while loseResponses is set.
 type faultyTable struct {
 	store.Table
 	loseResponses bool
