--- a/internal/peers/fan.go
+++ b/internal/peers/fan.go
@@ -18,7 +18,7 @@
 // without.
 
 const (
-	// digestMinVMs is the number of VMs in a data centre from which its relay sends digests. In
+	// digestMinVMs is the minimum number of VMs in a data centre for its relay to send digests. In
 	// smaller ones each VM receives a report of each other VM at least every 40 ms.
 	digestMinVMs = 32
 	// digestMbpsPerVM is the relay bandwidth in Mbit/s required for each VM. Half of it carries a
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -13,9 +13,8 @@
 )
 
 const (
-	// maxQueuedSendRecords is the length from which no more send records are added to the queues for
-	// the next summary and digest. It covers about half a second of them at fully grown
-	// installations.
+	// maxQueuedSendRecords is the length at which the queues for the next summary and digest take no
+	// more send records. It covers about half a second of them at fully grown installations.
 	maxQueuedSendRecords = 512
 	// sentinelCount is the intended number of sentinels in all data centres together.
 	sentinelCount = 4
@@ -25,7 +24,7 @@
 	// maxSummaryPause is the maximum time between summaries, or between digests, that the limit on
 	// bandwidth may cause. It is well below maxReportAge, so that they do not expire.
 	maxSummaryPause = 400 * time.Millisecond
-	// twoSentinelsMinVMs is the number of VMs from which a data centre has at least two
+	// twoSentinelsMinVMs is the minimum number of VMs for a data centre to have at least two
 	// sentinels, so that one remains if the other fails.
 	twoSentinelsMinVMs = 5
 )
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -14,8 +14,8 @@
 //   - Answers are sent as events, which hold one or more tokens each. The gap is the time between
 //     two events. A stream is a running request with an answer that takes longer than the maximum
 //     gap that its service allows.
-//   - A seat is a place in the batch of a decode target. A target has as many seats as it may run
-//     requests at the same time: its slots less a few spare ones, or fewer, if the steps of a
+//   - A seat is a place in the batch of a decode target. A target has one seat for each request
+//     that it may run concurrently: its slots less a few spare ones, or fewer, if the steps of a
 //     larger batch would be too long for the longest answers to end within their time limits.
 //   - A session is the requests whose prompts are equal except for their last parts.
 //   - The objective is the time to the first event that a route aims for.
--- a/internal/place/spread.go
+++ b/internal/place/spread.go
@@ -19,7 +19,7 @@
 	costs []time.Duration
 	// order holds the indexes of the candidates, sorted by cost.
 	order []int
-	// level is the cost up to which the unreported work fills the cheapest candidates, and reached
+	// level is the cost to which the unreported work raises the cheapest candidates, and reached
 	// the number of candidates below it, which come first in order.
 	level   time.Duration
 	reached int
--- a/internal/place/ticket.go
+++ b/internal/place/ticket.go
@@ -199,7 +199,8 @@
 // just grown, which whole answers would show only when they end.
 const observedSpan = 16
 
-// minObservedEvents is the fewest events of a whole answer from which the step time is measured.
+// minObservedEvents is the minimum number of events of a whole answer for its step time to be
+// measured.
 const minObservedEvents = 4
 
 // AddEvents records that n more events of the answer have come.
@@ -336,6 +337,6 @@
 // learned.
 const refusalDecay = time.Second
 
-// minPrefillSample is the shortest estimated prefill from which the prefill slowdown of a target is
-// measured.
+// minPrefillSample is the minimum estimated time of a prefill for the prefill slowdown of its
+// target to be measured.
 const minPrefillSample = 5 * time.Millisecond
