--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -140,10 +140,10 @@
 }
 
 // send sends one request to a VM on a new connection.
-func (h *harness) send(v *vm, id, path string, tokens int) platformtest.Reply {
+func (h *harness) send(v *vm, id, path string, tokens int) platformtest.Result {
 	c, err := platformtest.DialCaller(string(v.cfg.Listen), dialTimeout)
 	if err != nil {
-		return platformtest.Reply{Err: err}
+		return platformtest.Result{Err: err}
 	}
 	defer c.Close()
 	return c.Do(platformtest.Call{ID: id, Path: path, Tokens: tokens, Timeout: callTimeout})
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -21,7 +21,7 @@
 func newOutcomes() *outcomes { return &outcomes{counts: make(map[string]int)} }
 
 // add counts one answer, which came after the given duration.
-func (o *outcomes) add(r platformtest.Reply, took time.Duration) {
+func (o *outcomes) add(r platformtest.Result, took time.Duration) {
 	what := fmt.Sprint(r.Status)
 	if r.Err != nil {
 		what = "no whole answer"
--- a/internal/live/play.go
+++ b/internal/live/play.go
@@ -52,7 +52,7 @@
 
 // ask sends a request of a caller, and retries once if it is refused. It returns the outcome and
 // the last reply.
-func (h *harness) ask(ctx context.Context, number int, q *model.Request, class *model.Class) (outcome, platformtest.LiveReply) {
+func (h *harness) ask(ctx context.Context, number int, q *model.Request, class *model.Class) (outcome, platformtest.LiveResult) {
 	began := time.Now()
 	limit := millis(class.DeadlineMS)
 	patience := max(minPatience, patienceObjectives*millis(class.AimMS), patienceGaps*millis(class.GapMS))
--- a/internal/live/report.go
+++ b/internal/live/report.go
@@ -30,7 +30,7 @@
 
 // outcomeOf returns the outcome of a request from the reply to its last try, which was sent
 // retryDelay after the first one.
-func outcomeOf(s *model.Site, q *model.Request, class *model.Class, reply platformtest.LiveReply, retryDelay time.Duration, wasRefused bool) outcome {
+func outcomeOf(s *model.Site, q *model.Request, class *model.Class, reply platformtest.LiveResult, retryDelay time.Duration, wasRefused bool) outcome {
 	switch {
 	case wasRefused:
 		return refused
@@ -89,7 +89,7 @@
 }
 
 // add adds a request with its outcome and the reply to its last try.
-func (r *Report) add(q *model.Request, e outcome, reply platformtest.LiveReply) {
+func (r *Report) add(q *model.Request, e outcome, reply platformtest.LiveResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e == failed {
@@ -99,7 +99,7 @@
 }
 
 // causeOf returns the cause of a failure as seen by the caller.
-func causeOf(reply platformtest.LiveReply) string {
+func causeOf(reply platformtest.LiveResult) string {
 	switch {
 	case errors.Is(reply.Err, context.DeadlineExceeded):
 		return "deadline"
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -118,7 +118,7 @@
 }
 
 // send sends one request and has the checker check the answer.
-func (h *harness) send(c *platformtest.Caller, v *vm, id string, kind requestKind) platformtest.Reply {
+func (h *harness) send(c *platformtest.Caller, v *vm, id string, kind requestKind) platformtest.Result {
 	account, key := "", ""
 	if h.keys != nil {
 		account, key = h.keys.drawKey()
@@ -134,7 +134,7 @@
 }
 
 // newAnswer converts a reply to what the checker needs to know of it.
-func newAnswer(id string, kind requestKind, r platformtest.Reply) Answer {
+func newAnswer(id string, kind requestKind, r platformtest.Result) Answer {
 	var timeout net.Error
 	switch {
 	case errors.As(r.Err, &timeout) && timeout.Timeout():
@@ -157,7 +157,7 @@
 }
 
 // outcomeName returns the outcome of a request as reports count it.
-func outcomeName(a Answer, r platformtest.Reply) string {
+func outcomeName(a Answer, r platformtest.Result) string {
 	switch {
 	case a.Cut:
 		return "cut"
