--- a/internal/model/arrivals.go
+++ b/internal/model/arrivals.go
@@ -11,17 +11,19 @@
 
 // Request is one request of a caller. It stays the same over all of its attempts.
 type Request struct {
-	// Class indexes Site.Classes, and DataCentre indexes Site.DataCentres.
+	// Class is an index into Site.Classes, and DataCentre one into Site.DataCentres.
 	Class int
 	// At is when the caller sends the first attempt.
 	At         time.Duration
 	DataCentre int
 	// Caller is the index of the caller within the data centre.
 	Caller int
+	// Prompt holds the parts of the prompt and the caller's hint of the answer's length.
 	Prompt *place.Prompt
-	// Output is the number of tokens in its answer.
+	// Output is the number of tokens in the request's answer.
 	Output int
-	// Worth is what an answer in time earns, and LateWorth what a late one earns.
+	// Worth is the value that a policy is credited with for an answer in time, and LateWorth
+	// the value for a late one. Both are in the arbitrary unit of Class.Worth.
 	Worth     float64
 	LateWorth float64
 	// size is the prompt tokens plus the weighted output tokens. It scales the worth and
@@ -36,7 +38,7 @@
 	// outputTokenWeight is the weight of an output token in a request's size; a prompt token
 	// has weight 1.
 	outputTokenWeight = 10
-	// fixedWorthPart is the part of a request's worth that does not depend on its size, and
+	// fixedWorthPart is the fraction of a request's worth that does not depend on its size, and
 	// maxWorthFactor limits the worth, in multiples of the class's worth.
 	fixedWorthPart = 0.3
 	maxWorthFactor = 4
@@ -51,14 +53,15 @@
 	day    *Day
 	random *rand.Rand
 	// sharedParts holds the shared prompt parts by class and prefix level, and popularity the
-	// distribution over the parts of each level.
+	// distribution from which a request's part of each class and level is drawn.
 	sharedParts [][][]place.Part
 	popularity  [][]*zipf
 	// lastHash is the last hash that was assigned to a part.
 	lastHash uint64
 }
 
-// GenerateRequests returns the requests of a day in order of arrival.
+// GenerateRequests returns the requests of a day in order of arrival. Equal seeds give identical
+// requests.
 func GenerateRequests(s *Site, d *Day, seed uint64) []*Request {
 	g := &requestGenerator{site: s, day: d, random: rand.New(rand.NewPCG(seed, d.Seed))}
 	for i := range s.Classes {
@@ -76,7 +79,7 @@
 	return out
 }
 
-// addClass generates the shared prompt parts of a class.
+// addClass generates the shared prompt parts of a class and their popularity.
 func (g *requestGenerator) addClass(c *Class) {
 	var parts [][]place.Part
 	var popularity []*zipf
@@ -201,10 +204,11 @@
 	}
 }
 
-// zipf samples ranks from 0 with a probability proportional to (rank+1)^-skew.
+// zipf samples ranks from 0 with a probability proportional to (rank+1)^-skew. cumulative holds
+// the running sums of the values (rank+1)^-skew.
 type zipf struct{ cumulative []float64 }
 
-// newZipf returns a distribution over n ranks.
+// newZipf returns a distribution over n ranks with the exponent skew.
 func newZipf(n int, skew float64) *zipf {
 	z := &zipf{cumulative: make([]float64, n)}
 	sum := 0.0
--- a/internal/model/bound.go
+++ b/internal/model/bound.go
@@ -5,20 +5,21 @@
 	"sort"
 )
 
-// Bound is an upper bound on the worth that policies can earn on a day, with the figures that
-// it is based on.
+// Bound is an upper bound on the worth that policies can earn on a day, with the figures from
+// which it was computed.
 type Bound struct {
 	// OfferedWorth is the worth of all requests if served in time, and Worth the bound.
 	OfferedWorth float64
 	Worth        float64
-	// Capacity is the engine time of the fleet, in engine seconds per second.
+	// Capacity is the engine time that the fleet provides, in engine seconds per second. One
+	// engine second is the work that a prefill engine with a time factor of 1 does in a second.
 	Capacity float64
-	// Seconds is the engine time that the requests need, by the second of their first
+	// Seconds is the engine time that the requests need, indexed by the second of their first
 	// attempt.
 	Seconds []Demand
 }
 
-// Share returns the bound as a part of the offered worth.
+// Share returns the bound as a fraction of the offered worth.
 func (b Bound) Share() float64 {
 	if b.OfferedWorth == 0 {
 		return 0
@@ -28,7 +29,7 @@
 
 // Demand is the engine time that the requests of one second need, in engine seconds.
 type Demand struct {
-	// Min assumes the cache hits that the bound assumes, and Cold assumes none.
+	// Min assumes the cache hits that the bound's Assumptions allow, and Cold assumes none.
 	Min, Cold float64
 }
 
@@ -36,8 +37,8 @@
 type Assumptions struct {
 	// FixedStages says that engines do not change their stages.
 	FixedStages bool
-	// MissRate is the share of the shared tokens that are prefilled. If it is negative, each
-	// shared part is prefilled once in the whole day.
+	// MissRate is the fraction of the shared prompt tokens that are prefilled, as they are not
+	// in cache. If it is negative, each shared part is prefilled once in the whole day.
 	MissRate float64
 }
 
@@ -55,8 +56,8 @@
 }
 
 // Tasks are grouped into levels by density, and each task is counted with the highest density
-// of its level. A level holds at most one part in minLevels of the tasks, with densities within
-// the fraction levelWidth of the highest.
+// of its level. A level holds at most 1/minLevels of the tasks, whose densities are at most the
+// fraction levelWidth below the highest.
 const (
 	minLevels  = 200
 	levelWidth = 0.02
@@ -67,16 +68,18 @@
 //
 // Every request needs at least the prefill of its own tokens, and of each shared part that it is
 // the first to use: no engine can have cached what none has prefilled. An answer occupies a slot
-// of a decode engine, which prefills at half speed: each second in the slot costs at least a
-// half divided by the number of slots in seconds of prefill. The engines are replaced by a
-// single one with the capacity of all, which divides its time arbitrarily, knows all future
-// requests, changes stages at no cost and transfers KV caches in no time. A request served in
-// part earns that part of its worth. Each of these simplifications can only raise the bound.
+// of a decode engine, which prefills at half speed. Each second in one of n slots therefore costs
+// at least 1/(2n) seconds of prefill. The engines are replaced by a single one with the capacity
+// of all, which divides its time arbitrarily, knows all future requests, changes stages at no
+// cost and transfers KV caches in no time. A request of which a fraction is served earns that
+// fraction of its worth. Each of these simplifications can only raise the bound.
 //
 // A request earns its late worth if served by its deadline and, if its prefill completes within
-// its latency objective, the rest of its worth. The maximum of either is computed separately.
+// its latency objective, the rest of its worth. The maximum of each of the two is computed
+// separately, as if the other took no engine time.
 //
-// With fixed stages, decode engines always prefill at half speed, so slots cost nothing more.
+// With fixed stages, the capacity counts decode engines at half speed already, so slots cost
+// nothing more.
 func NewBound(s *Site, d *Day, requests []*Request, assume Assumptions) Bound {
 	b := Bound{Seconds: make([]Demand, int(d.LengthS)+1), Capacity: s.engineCapacity(assume)}
 	seen := make(map[uint64]bool)
@@ -129,8 +132,9 @@
 	return false
 }
 
-// longAnswerEvents is the mean number of events above which a class has long answers. The work of
-// a long answer in time may extend to its deadline; that of others must end within the objective.
+// longAnswerEvents is the mean number of events above which a class has long answers. In the bound
+// on the worth in time, the work on a long answer may last until its deadline, and that on other
+// answers must end within the latency objective.
 const longAnswerEvents = 10
 
 // engineCapacity returns the capacity of the fleet in engine seconds per second.
@@ -172,15 +176,16 @@
 	return (s.minPrefillMS(toPrefill) + slot) / thousand, (s.minPrefillMS(r.Prompt.Tokens) + slot) / thousand
 }
 
-// minPrefillMS returns the minimum milliseconds for the prefill of a number of tokens: in full
-// chunks, with attention pairs only among themselves.
+// minPrefillMS returns the minimum time in milliseconds for the prefill of a number of tokens: in
+// full chunks, with attention only among these tokens.
 func (s *Site) minPrefillMS(tokens int) float64 {
 	e, n := &s.Engine, float64(tokens)
 	return n/e.PrefillPerMS + n/float64(e.Chunk)*e.StepMS + e.PairsMS*n*n/2/million
 }
 
 // maxTotalWorth returns the maximum worth of the tasks that one engine of the given capacity, in
-// engine seconds per second, can complete within their windows. Tasks may be done in part.
+// engine seconds per second, can complete within their windows. A task that is done in part earns
+// that fraction of its worth.
 //
 // For tasks of one density this is the maximum time that they can use, which serving by the
 // earliest deadline achieves. The total is the sum over the levels of density of the time used
@@ -209,7 +214,8 @@
 	return sum
 }
 
-// maxUsedTime returns the maximum engine seconds that the tasks of at least minDensity can use.
+// maxUsedTime returns the maximum engine seconds that the tasks with a density of at least
+// minDensity can use. tasks must be sorted by begin.
 func maxUsedTime(tasks []task, capacity, minDensity float64) float64 {
 	used, now := 0.0, 0.0
 	var open deadlineHeap
@@ -249,10 +255,10 @@
 // needEpsilon is the need in engine seconds below which a task counts as done.
 const needEpsilon = 1e-12
 
-// openTask is a task whose window has begun. need is what remains of its need.
+// openTask is a task whose window has begun. need is the engine seconds that it still needs.
 type openTask struct{ end, need float64 }
 
-// deadlineHeap is a heap of open tasks by the end of their windows.
+// deadlineHeap implements heap.Interface for open tasks. The one whose window ends first is on top.
 type deadlineHeap []openTask
 
 func (h deadlineHeap) Len() int           { return len(h) }
--- a/internal/model/cache.go
+++ b/internal/model/cache.go
@@ -2,8 +2,8 @@
 
 import "container/list"
 
-// kvCache is the KV cache of an engine. Parts pinned by sequences stay; the others are evicted
-// in least-recently-used order.
+// kvCache is the KV cache of an engine. It caches prompt parts by their hash. Parts pinned by
+// sequences stay; the others are evicted in least-recently-used order.
 type kvCache struct {
 	// capacity, partTokens and reservedTokens are in tokens.
 	capacity int
@@ -25,7 +25,7 @@
 	lruEntry *list.Element
 }
 
-// newKVCache returns an empty cache for size tokens.
+// newKVCache returns an empty cache with a capacity of size tokens.
 func newKVCache(size int) *kvCache {
 	return &kvCache{capacity: size, byHash: make(map[uint64]*cachedPart), lru: list.New()}
 }
@@ -52,7 +52,7 @@
 	}
 }
 
-// insert caches a part after its prefill, pinned once.
+// insert caches a part after its prefill and pins it. If it is cached already, it is only pinned.
 func (c *kvCache) insert(hash uint64, tokens int) {
 	if c.pin(hash) {
 		return
@@ -77,8 +77,8 @@
 	return true
 }
 
-// release returns reserved tokens.
+// release gives back tokens that were reserved.
 func (c *kvCache) release(tokens int) { c.reservedTokens -= tokens }
 
-// clear empties the cache.
+// clear empties the cache, including pinned parts and reservations.
 func (c *kvCache) clear() { *c = *newKVCache(c.capacity) }
--- a/internal/model/clock.go
+++ b/internal/model/clock.go
@@ -20,7 +20,7 @@
 	f   func()
 }
 
-// timerQueue is a heap of timers.
+// timerQueue implements heap.Interface for timers. The earliest one is on top.
 type timerQueue []timer
 
 func (q timerQueue) Len() int { return len(q) }
@@ -37,7 +37,7 @@
 	return last
 }
 
-// after schedules f to run in d.
+// after schedules f to run after the duration d.
 func (c *clock) after(d time.Duration, f func()) { c.at(c.now+d, f) }
 
 // at schedules f to run at t, or now if t has passed.
--- a/internal/model/day.go
+++ b/internal/model/day.go
@@ -1,7 +1,11 @@
-// Package model simulates a fleet of model engines as discrete events in virtual time. It
-// generates the requests of a day from a seed and serves them under a placement policy. The
-// simulation reads no clock and uses no network, so the same seed gives the same figures.
-// Live is the exception: it runs the same engines on the wall clock.
+// Package model simulates a fleet of engines that serve a language model, as discrete events in
+// virtual time. It generates the requests of a day from a seed and serves them under a placement
+// policy. The simulation reads no clock and uses no network, so the same seed gives the same
+// figures. Live is the exception: it runs the same engines on the wall clock.
+//
+// An engine serves a request in two stages: it prefills the prompt, that is, computes its KV cache,
+// and then decodes the answer token by token. A prefill engine only prefills, and a decode engine
+// then fetches the KV cache from it. A decode engine can also prefill in place, at a lower speed.
 package model
 
 import (
@@ -25,7 +29,8 @@
 	Days        []Day        `json:"days"`
 }
 
-// Engine holds the performance figures of a model engine. Fields named MS are in milliseconds.
+// Engine holds the performance figures of a model engine. Fields that end in MS are in
+// milliseconds, except PrefillPerMS.
 type Engine struct {
 	// Slots is the number of requests that run at once, and Queue the number that may wait
 	// in addition.
@@ -49,19 +54,21 @@
 	EventTokens int `json:"event_tokens"`
 	// KVTokens is the size of the KV cache in tokens.
 	KVTokens int `json:"kv_tokens"`
-	// KVTokenBytes is the size of one token's KV cache entry. A transfer of cache entries
+	// KVTokenBytes is the size of one token's KV cache entry in bytes. A transfer of entries
 	// between engines takes SetupMS and then the time of their bytes on a link of LinkMbps.
 	KVTokenBytes float64 `json:"kv_token_bytes"`
 	LinkMbps     float64 `json:"link_mbps"`
 	SetupMS      float64 `json:"setup_ms"`
-	// TimeFactors multiply the times of the engines: engine n uses entry n modulo the length.
+	// TimeFactors multiply the times that the engines take for their work: engine n uses entry n
+	// modulo the length of TimeFactors.
 	TimeFactors []float64 `json:"time_factors"`
-	// PrefillShare is the share of each data centre's engines that prefill initially.
+	// PrefillShare is the fraction of each data centre's engines that start as prefill engines;
+	// the others start as decode engines.
 	PrefillShare float64 `json:"prefill_share"`
-	// NewPrefillShare is the share of prefill engines among those that replace drained ones.
+	// NewPrefillShare is the fraction of prefill engines among those that replace drained ones.
 	NewPrefillShare float64 `json:"new_prefill_share"`
 	// SwitchS is the time in seconds for which an engine is unavailable while it changes its
-	// stage.
+	// stage from prefill to decode or back.
 	SwitchS float64 `json:"switch_s"`
 }
 
@@ -93,9 +100,9 @@
 	Max    float64 `json:"max"`
 }
 
-// PrefixLevel is one level of the prefix that prompts share. Each prompt takes one of Things
-// parts, drawn from a Zipf distribution with the exponent Skew; Skew 0 selects defaultSkew.
-// Tokens is the distribution of the parts' lengths.
+// PrefixLevel is one level of the prefix that prompts share. Things is the number of different
+// parts of the level. Each prompt takes one of them, drawn from a Zipf distribution with the
+// exponent Skew; Skew 0 selects defaultSkew. Tokens is the distribution of the parts' lengths.
 type PrefixLevel struct {
 	Tokens Distribution `json:"tokens"`
 	Things int          `json:"things"`
@@ -105,15 +112,18 @@
 // Class describes one class of requests.
 type Class struct {
 	Name string `json:"name"`
-	// Weight is the relative share of the class in the traffic of each data centre.
+	// Weight is the weight of the class in the traffic of each data centre: its fraction of the
+	// traffic is Weight divided by the sum over all classes.
 	Weight float64 `json:"weight"`
 	// AimMS is the objective for the time to the first event, GapMS the longest pause
 	// allowed between two events, and DeadlineMS the time limit of the whole answer.
 	AimMS      float64 `json:"aim_ms"`
 	GapMS      float64 `json:"gap_ms"`
 	DeadlineMS float64 `json:"deadline_ms"`
-	// Worth is what an answer within the objectives earns, and LateWorth what a complete but
-	// late one earns, for a request of the mean size of the class.
+	// Worth is the value, in an arbitrary unit, that a policy is credited with for an answer
+	// within the objectives, and LateWorth the value of a complete but late one, both for a
+	// request of the mean size of the class. Priority is sent to the engines, which serve lower
+	// values first.
 	Worth     float64 `json:"worth"`
 	LateWorth float64 `json:"late_worth"`
 	Priority  int     `json:"priority"`
@@ -121,8 +131,9 @@
 	Resumable bool `json:"resumable,omitempty"`
 	// Plain requests go to other services; they count as served in time without simulation.
 	Plain bool `json:"plain,omitempty"`
-	// Own is the distribution of the prompt tokens that are not shared, Chain lists the
-	// levels of the shared prefix, and Events is the distribution of the answer's events.
+	// Own is the distribution of the number of prompt tokens that are not shared, Chain holds
+	// the levels of the shared prefix, and Events is the distribution of the number of stream
+	// events of the answer.
 	Own    Distribution  `json:"own"`
 	Chain  []PrefixLevel `json:"chain"`
 	Events Distribution  `json:"events"`
@@ -133,7 +144,8 @@
 	BytesPerToken float64 `json:"bytes_per_token"`
 }
 
-// Day describes the traffic and the faults of one day.
+// Day describes the traffic and the faults of one day. Seed is combined with the seed of the run
+// to generate the requests, and LengthS is the time in seconds for which they arrive.
 type Day struct {
 	Name    string  `json:"name"`
 	Seed    uint64  `json:"seed"`
@@ -150,13 +162,13 @@
 	Stops   []Stop   `json:"stops,omitempty"`
 }
 
-// Stop stops all VMs at AtS for ForS seconds.
+// Stop stops all VMs for ForS seconds, starting AtS seconds into the day.
 type Stop struct {
 	AtS  float64 `json:"at_s"`
 	ForS float64 `json:"for_s"`
 }
 
-// Burst multiplies the traffic of a class by X, starting at AtS, for ForS seconds.
+// Burst multiplies the traffic of a class by X for ForS seconds, starting AtS seconds into the day.
 type Burst struct {
 	Class string  `json:"class"`
 	AtS   float64 `json:"at_s"`
@@ -164,9 +176,10 @@
 	X     float64 `json:"x"`
 }
 
-// Outage takes Count engines out of service at AtS, for ForS seconds or permanently if ForS is
-// 0. Draining engines keep serving for drainTime first. Silent engines do not answer at all,
-// instead of refusing connections.
+// Outage takes Count engines out of service, AtS seconds into the day. It lasts for ForS seconds,
+// or permanently if ForS is 0. If Drain is set, the engines keep serving for drainTime after they
+// are listed as leaving; otherwise they crash. If Silent is set, crashed engines do not answer
+// connections at all, instead of refusing them.
 type Outage struct {
 	AtS    float64 `json:"at_s"`
 	ForS   float64 `json:"for_s"`
@@ -175,7 +188,8 @@
 	Silent bool    `json:"silent"`
 }
 
-// Cut separates a data centre from the others at AtS for ForS seconds.
+// Cut breaks the network between a data centre and the others for ForS seconds, starting AtS
+// seconds into the day.
 type Cut struct {
 	DataCentre string  `json:"data_centre"`
 	AtS        float64 `json:"at_s"`
@@ -186,7 +200,7 @@
 func Load(path string) (*Site, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "read day file")
+		return nil, errors.Wrap(err, "read site file")
 	}
 	return Decode(data)
 }
@@ -195,13 +209,13 @@
 func Decode(data []byte) (*Site, error) {
 	data, err := hujson.Standardize(data)
 	if err != nil {
-		return nil, errors.Wrap(err, "parse day file")
+		return nil, errors.Wrap(err, "parse site file")
 	}
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	s := &Site{}
 	if err := d.Decode(s); err != nil {
-		return nil, errors.Wrap(err, "decode day file")
+		return nil, errors.Wrap(err, "decode site file")
 	}
 	return s, s.validate()
 }
@@ -258,13 +272,14 @@
 	return nil, errors.Errorf("day %q does not exist", name)
 }
 
-// PrefillEngines returns how many engines of a data centre prefill initially. At least one
+// PrefillEngines returns how many engines of a data centre start as prefill engines. At least one
 // engine prefills and at least one decodes.
 func (s *Site) PrefillEngines(dc DataCentre) int {
 	return min(max(int(s.Engine.PrefillShare*float64(dc.Engines)), 1), dc.Engines-1)
 }
 
-// TimeFactor returns the factor by which the n-th engine is slower than its figures.
+// TimeFactor returns by which factor engine n of the site, counted from 0, takes longer than the
+// figures of Site.Engine.
 func (s *Site) TimeFactor(n int) float64 {
 	if f := s.Engine.TimeFactors; len(f) > 0 {
 		return f[n%len(f)]
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -22,8 +22,9 @@
 type sequence struct {
 	prompt   *place.Prompt
 	priority int
-	// prefillOnly says that the prompt is prefilled and kept for another engine, and fetched
-	// that another engine has prefilled it.
+	// prefillOnly says that the engine only prefills the prompt and keeps its KV cache for another
+	// engine. The sequence is then the handle by which that engine fetches it. fetched says that
+	// another engine has prefilled the prompt and this one fetches the KV cache.
 	prefillOnly bool
 	fetched     bool
 	// output is the number of answer tokens to produce, and produced those produced so far.
@@ -36,20 +37,20 @@
 	// observer is notified of the progress of the sequence.
 	observer sequenceObserver
 
-	// seqNo orders the sequences by their submission, and incarnation is that of the engine
-	// at the submission.
+	// seqNo numbers the engine's sequences in the order of their submission, and incarnation is
+	// engine.incarnation at the submission.
 	seqNo       uint64
 	incarnation int
 	// toPrefill counts the prompt tokens still to be prefilled, and contextTokens those that
 	// are cached or already prefilled.
 	toPrefill     int
 	contextTokens int
-	// pinned lists the hashes of the pinned prompt parts, and reserved counts the cache
-	// tokens reserved in addition.
+	// pinned holds the hashes of the pinned prompt parts, and reserved counts the cache tokens
+	// reserved in addition.
 	pinned   []uint64
 	reserved int
-	// admitted says that the sequence has had a slot, decoding that it is producing tokens,
-	// and finished that it has ended and holds no cache memory.
+	// admitted says that the sequence holds or has held a slot, decoding that it is producing
+	// tokens, and finished that it has ended and holds no cache memory.
 	admitted bool
 	decoding bool
 	finished bool
@@ -57,17 +58,18 @@
 
 // sequenceObserver is notified of the progress of a sequence.
 type sequenceObserver interface {
-	// prefilled reports that the prompt is in cache and can be fetched from there. cached
-	// is the number of prompt tokens that were cached before.
+	// prefilled reports that the whole prompt is in the engine's cache, and cached how many of
+	// its tokens were there before.
 	prefilled(cached int)
 	// eventProduced reports that event n of the stream, counted from 1, is produced.
 	eventProduced(n int, last bool)
-	// dropped reports that the sequence ended early. started says whether it had been
-	// admitted.
+	// dropped reports that the sequence ended early. started says whether it had been admitted
+	// to a slot.
 	dropped(started bool)
 }
 
-// engine simulates one model engine with continuous batching.
+// engine simulates one model engine with continuous batching: in each step it prefills a chunk of
+// prompts and produces one token for every running sequence.
 type engine struct {
 	target *fleet.Target
 	spec   *Engine
@@ -82,22 +84,24 @@
 	// starting sequences are prefilled and wait for their first token.
 	starting []*sequence
 	running  []*sequence
-	// linkFreeAt is when the engine's link has completed the transfers assigned to it.
+	// linkFreeAt is when the engine's network link has completed the transfers of KV caches
+	// assigned to it.
 	linkFreeAt time.Duration
 	// stepScheduled says that a step is running or scheduled.
 	stepScheduled bool
-	// down says that the engine is out of service, silent that it does not even refuse
-	// connections, and delisted that it is no longer in the listing.
+	// down says that the engine is out of service, silent that it does not refuse connections
+	// while down but leaves them unanswered, and delisted that it is no longer in the listing of
+	// engines that VMs see.
 	down     bool
 	silent   bool
 	delisted bool
-	// changing says that the engine has been ordered to change to nextStage.
+	// changing says that the engine has been ordered to change to nextStage and has not done so.
 	changing  bool
 	nextStage fleet.Stage
-	// incarnation counts the crashes, and lastSeqNo the submitted sequences.
+	// incarnation counts the engine's crashes, and lastSeqNo the sequences submitted to it.
 	incarnation int
 	lastSeqNo   uint64
-	// tokens sums up the prompt tokens of all engines.
+	// tokens counts the prompt tokens of all engines, which share it.
 	tokens *TokenCounts
 }
 
@@ -110,7 +114,7 @@
 	Moved int
 }
 
-// hitRate returns the share of the shared tokens that was found in cache.
+// hitRate returns the fraction of the shared tokens that was found in cache.
 func (c TokenCounts) hitRate() float64 { return ratio(float64(c.SharedCached), float64(c.Shared)) }
 
 // isPrefill reports whether the engine's stage is prefill.
@@ -143,8 +147,8 @@
 	}
 }
 
-// step admits waiting sequences, prefills one chunk and produces one token of each running
-// sequence.
+// step admits waiting sequences, prefills one chunk and produces one token for each running
+// sequence. It then schedules the next step, until no sequence is left to work on.
 func (e *engine) step() {
 	if e.down {
 		e.stepScheduled = false
@@ -190,7 +194,7 @@
 	}
 }
 
-// drop ends a sequence that the caller has removed from the engine's lists.
+// drop ends a sequence that is no longer in any of the engine's lists.
 func (e *engine) drop(s *sequence) {
 	e.releaseMemory(s)
 	s.observer.dropped(s.admitted)
@@ -210,7 +214,7 @@
 	s.reserved = 0
 }
 
-// admit starts waiting sequences in order while slots and cache memory are available.
+// admit gives waiting sequences a slot, in order, while slots and cache memory are available.
 func (e *engine) admit() {
 	for len(e.waiting) > 0 && e.busySlots() < e.spec.Slots {
 		s := e.waiting[0]
@@ -278,7 +282,8 @@
 	return ms, prefilled
 }
 
-// finishPrefill adds a completed prompt's parts to the cache and schedules the first token.
+// finishPrefill adds a completed prompt's parts to the cache. It then schedules the first token or,
+// for a prefill-only sequence, the report that the prompt is prefilled.
 func (e *engine) finishPrefill(s *sequence) {
 	cached := 0
 	for i, p := range s.prompt.Parts {
@@ -308,7 +313,8 @@
 		}
 		e.starting = without(e.starting, s)
 		if s.prefillOnly {
-			// The parts stay pinned until the handle is fetched or freed.
+			// The parts stay pinned until freeHandle is called: after the transfer of the KV cache
+			// to another engine, or if no engine fetches it.
 			s.observer.prefilled(cached)
 			e.wake()
 			return
@@ -317,7 +323,8 @@
 	})
 }
 
-// startDecoding produces the first token of a sequence.
+// startDecoding adds a prefilled sequence to the running ones and produces its first token, unless
+// it has produced tokens before. cached is the number of prompt tokens found in cache.
 func (e *engine) startDecoding(s *sequence, cached int) {
 	s.observer.prefilled(cached)
 	e.running = append(e.running, s)
@@ -328,7 +335,7 @@
 	e.wake()
 }
 
-// decodeTokens produces one token of each given sequence that is still decoding.
+// decodeTokens produces one token for each given sequence that is still decoding.
 func (e *engine) decodeTokens(sequences []*sequence) {
 	for _, s := range sequences {
 		if !s.decoding || !e.reserveToken(s) {
@@ -349,8 +356,8 @@
 	}
 }
 
-// reserveToken reserves memory for one more token of a sequence. If there is none, it preempts
-// the most recently submitted of the least urgent sequences. It returns false if that is s.
+// reserveToken reserves memory for one more token of s. While there is none, it preempts the most
+// recently submitted of the least urgent running sequences. It returns false if that was s itself.
 func (e *engine) reserveToken(s *sequence) bool {
 	for !e.cache.reserve(1) {
 		victim := e.running[0]
@@ -367,7 +374,8 @@
 	return true
 }
 
-// preempt puts a running sequence back at the head of the queue, to be prefilled again.
+// preempt puts a running sequence back at the head of the queue, to be prefilled again with the
+// tokens that it has produced.
 func (e *engine) preempt(s *sequence) {
 	e.removeRunning(s)
 	e.releaseMemory(s)
@@ -375,7 +383,7 @@
 	e.waiting = append([]*sequence{s}, e.waiting...)
 }
 
-// removeRunning takes a sequence out of the running ones.
+// removeRunning removes a sequence from the list of running ones.
 func (e *engine) removeRunning(s *sequence) {
 	s.decoding = false
 	e.running = without(e.running, s)
@@ -391,7 +399,7 @@
 	return list
 }
 
-// freeHandle releases the memory kept for a prefilled prompt, unless a crash has cleared it.
+// freeHandle releases the cache memory kept for a prefilled prompt, unless a crash has cleared it.
 func (e *engine) freeHandle(s *sequence) {
 	if e.hasHandle(s) {
 		e.releaseMemory(s)
@@ -399,7 +407,8 @@
 	}
 }
 
-// hasHandle reports whether the engine has not crashed since the sequence was submitted.
+// hasHandle reports whether the engine still keeps what it prefilled for a sequence, that is,
+// whether it has not crashed since the sequence was submitted.
 func (e *engine) hasHandle(s *sequence) bool { return s.incarnation == e.incarnation }
 
 // crash takes the engine out of service and drops all of its sequences and its cache.
--- a/internal/model/faults.go
+++ b/internal/model/faults.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// drain takes an engine out of service gradually: it is listed as leaving, keeps serving for
-// drainTime and is then removed. If the outage is temporary, a replacement starts at once.
+// drain takes an engine out of service gradually: the engine is listed as leaving, keeps serving
+// for drainTime and is then removed. If the outage is temporary, a replacement starts at once.
 func (sim *simulation) drain(e *engine, o Outage) {
 	sim.after(listingDelay, func() {
 		t := *e.target
@@ -54,7 +54,8 @@
 	})
 }
 
-// replacementStage returns the stage of the next engine that replaces a drained one.
+// replacementStage returns the stage of the next engine that replaces a drained one. The stages
+// are spread so that the fraction NewPrefillShare of the replacements are prefill engines.
 func (sim *simulation) replacementStage() fleet.Stage {
 	k, share := float64(sim.replacements), sim.site.Engine.NewPrefillShare
 	sim.replacements++
@@ -64,8 +65,8 @@
 	return fleet.Decode
 }
 
-// crash takes an engine out of service together with its work. If the outage is temporary, the
-// engine restarts after it under a new id, with its former stage.
+// crash takes an engine out of service and drops its work. If the outage is temporary, the engine
+// restarts at the end of the outage under a new id, with its former stage.
 func (sim *simulation) crash(e *engine, o Outage) {
 	e.silent = o.Silent
 	e.crash()
@@ -81,10 +82,10 @@
 	}
 }
 
-// reconnectSpread is the interval over which callers return once stopped VMs run again.
+// reconnectSpread is the interval over which callers reconnect once stopped VMs run again.
 const reconnectSpread = time.Second
 
-// vmsStopped reports whether all VMs are stopped at present, and until when.
+// vmsStopped reports whether the VMs are stopped at present, and until when.
 func (sim *simulation) vmsStopped() (until time.Duration, yes bool) {
 	for _, s := range sim.day.Stops {
 		if sim.now >= seconds(s.AtS) && sim.now < seconds(s.AtS+s.ForS) {
@@ -94,8 +95,8 @@
 	return 0, false
 }
 
-// stopVMs ends all attempts in progress at the VMs. Callers that have received an event of
-// their stream do not retry; the others do.
+// stopVMs ends all attempts in progress, because all VMs have stopped. Callers that have received
+// an event of their stream do not retry; the others do.
 func (sim *simulation) stopVMs() {
 	back, _ := sim.vmsStopped()
 	lost := sim.attempts
@@ -113,8 +114,8 @@
 	}
 }
 
-// retryAfterStop schedules an attempt for after the VMs run again, or records the request as
-// failed if its deadline has passed by then.
+// retryAfterStop schedules the n-th attempt, counted from 0, for shortly after the VMs run again,
+// which is at back. If the request's deadline has passed by then, it records the request as failed.
 func (sim *simulation) retryAfterStop(r *Request, n int, back time.Duration) {
 	at := back + time.Duration(sim.random.Float64()*float64(reconnectSpread))
 	if deadline := r.At + millis(sim.site.Classes[r.Class].DeadlineMS); at >= deadline {
--- a/internal/model/held.go
+++ b/internal/model/held.go
@@ -6,19 +6,20 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// hotShareCandidates are the shares of the sessions that are tried as hot sessions, by number
-// of requests, and coldEngineCandidates the numbers of engines that are tried for the
-// remaining, cold sessions.
+// A session is all requests whose prompts have the same last shared part. The sessions with the
+// most requests are hot, the others cold. hotShareCandidates are the fractions of hot sessions
+// that BestHitRate tries, and coldEngineCandidates the numbers of engines that it tries for the
+// cold sessions.
 var (
 	hotShareCandidates   = []float64{1, 0.8, 0.6, 0.5, 0.4, 0.3, 0.2}
 	coldEngineCandidates = []int{1, 2, 3}
 )
 
-// BestHitRate returns the highest share of shared prompt tokens that is found in cache under
-// any of the tried assignments of sessions to engines. Each hot session is assigned to one
-// engine, and the cold sessions share a few engines. All requests are served in order of
-// arrival. An engine's whole cache holds prompt parts, evicted in least-recently-used order;
-// the requests' own parts pass through it as well.
+// BestHitRate returns the highest fraction of shared prompt tokens that is found in cache under
+// any of the tried assignments of sessions to engines. Hot sessions are spread over most of the
+// engines, and cold sessions over a few others; each session has one engine. All requests are
+// served in order of arrival. An engine's whole cache holds prompt parts, evicted in
+// least-recently-used order; the requests' own parts pass through it as well.
 func BestHitRate(s *Site, requests []*Request) float64 {
 	engines := 0
 	for _, dc := range s.DataCentres {
@@ -39,8 +40,8 @@
 	return best
 }
 
-// session returns the hash of a prompt's last shared part, which identifies its session.
-func session(q *place.Prompt) uint64 { return q.Parts[max(len(q.Parts)-2, 0)].Hash }
+// session returns the hash of a prompt's last shared part, which identifies the session.
+func session(prompt *place.Prompt) uint64 { return prompt.Parts[max(len(prompt.Parts)-2, 0)].Hash }
 
 // sessionRanks ranks the sessions by number of requests, the most requested first.
 func sessionRanks(requests []*Request) map[uint64]int {
@@ -64,9 +65,9 @@
 	return rank
 }
 
-// assignedHitRate returns the share of shared prompt tokens that is found in cache when the
+// assignedHitRate returns the fraction of shared prompt tokens that is found in cache when the
 // first hotSessions sessions by rank are assigned to hotEngines engines and the others to
-// coldEngines more. With no cold engines all sessions share the hot ones.
+// coldEngines others. If coldEngines is 0, all sessions are assigned to the hot engines.
 func assignedHitRate(s *Site, requests []*Request, rank map[uint64]int, hotSessions, hotEngines, coldEngines int) float64 {
 	caches := make([]*kvCache, hotEngines+coldEngines)
 	for i := range caches {
@@ -92,8 +93,8 @@
 	return ratio(float64(cached), float64(shared))
 }
 
-// prefillOnce processes a prompt and releases it at once. It returns the number of tokens at
-// the start of the prompt that were cached.
+// prefillOnce caches the parts of a prompt, as far as there is space, and leaves them unpinned. It
+// returns the number of tokens at the start of the prompt that were cached before.
 func (c *kvCache) prefillOnce(parts []place.Part) int {
 	cached, known := 0, 0
 	for _, p := range parts {
--- a/internal/model/jobs.go
+++ b/internal/model/jobs.go
@@ -6,7 +6,7 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// prefillPhase prefills an attempt's prompt on a prefill engine.
+// prefillPhase prefills an attempt's prompt on the engine that decision names.
 type prefillPhase struct {
 	sim      *simulation
 	attempt  *Attempt
@@ -40,10 +40,11 @@
 	})
 }
 
-// eventProduced implements sequenceObserver.
+// eventProduced implements sequenceObserver. A prefill-only sequence produces no events.
 func (*prefillPhase) eventProduced(int, bool) {}
 
-// dropped implements sequenceObserver.
+// dropped implements sequenceObserver. It places the attempt elsewhere unless its time has expired
+// or the engine is silent.
 func (p *prefillPhase) dropped(bool) {
 	sim, e := p.sim, p.sim.byID[p.decision.Target.ID]
 	if sim.now >= p.attempt.Deadline || p.seq.expiresAt <= sim.now {
@@ -61,7 +62,7 @@
 	})
 }
 
-// decodePhase produces an attempt's answer on a decode engine.
+// decodePhase produces an attempt's answer on the engine that decision names.
 type decodePhase struct {
 	sim      *simulation
 	attempt  *Attempt
@@ -71,7 +72,7 @@
 	from   *engine
 	handle *sequence
 	seq    *sequence
-	// firstEventAt is when the VM received the first event.
+	// firstEventAt is when the VM received the first event of the answer.
 	firstEventAt time.Duration
 }
 
@@ -90,12 +91,13 @@
 	return p.seq
 }
 
-// fetchKV transfers the prompt's KV cache; the sequence cannot start before it has arrived.
+// fetchKV transfers the prompt's KV cache from the engine that prefilled it. The sequence cannot
+// start before the KV cache has arrived.
 func (p *decodePhase) fetchKV() {
 	sim, to := p.sim, p.sim.byID[p.decision.Target.ID]
 	begin := max(sim.now, p.from.linkFreeAt, to.linkFreeAt)
 	if !p.from.hasHandle(p.handle) || begin-sim.now > maxTransferWait {
-		// The prompt is prefilled again.
+		// The KV cache is lost or the wait for a link too long, so the prompt is prefilled again.
 		p.seq.fetched = false
 		return
 	}
@@ -111,10 +113,10 @@
 	sim.at(end, func() { p.from.freeHandle(p.handle) })
 }
 
-// prefilled implements sequenceObserver.
+// prefilled implements sequenceObserver. The first event follows, so there is nothing to do.
 func (*decodePhase) prefilled(int) {}
 
-// eventProduced implements sequenceObserver.
+// eventProduced implements sequenceObserver: the event is sent to the VM and on to the caller.
 func (p *decodePhase) eventProduced(n int, last bool) {
 	sim, e := p.sim, p.sim.byID[p.decision.Target.ID]
 	if !sim.reachable(p.attempt.dataCentre, e) {
@@ -136,7 +138,7 @@
 	})
 }
 
-// deliver records that an event has reached the caller.
+// deliver records that an event, possibly the last one, has reached the caller.
 func (sim *simulation) deliver(a *Attempt, last bool) {
 	if a.ended {
 		return
@@ -157,7 +159,8 @@
 	}
 }
 
-// dropped implements sequenceObserver.
+// dropped implements sequenceObserver. It places the attempt elsewhere unless its time has expired,
+// the engine is silent or the caller has received a part of the answer.
 func (p *decodePhase) dropped(started bool) {
 	sim, e := p.sim, p.sim.byID[p.decision.Target.ID]
 	if sim.now >= p.attempt.Deadline || p.seq.expiresAt <= sim.now {
--- a/internal/model/live.go
+++ b/internal/model/live.go
@@ -9,8 +9,9 @@
 )
 
 // Live runs simulated engines on the wall clock, for test servers that real processes connect to.
-// All engines share one clock, which catches up with the host's clock after each delay. A busy
-// host therefore delays events, but makes no engine slower than its figures.
+// All engines share one virtual clock, which follows the host's clock and runs each timer at its
+// exact virtual time even if it is late. A busy host therefore delays events, but makes no engine
+// slower than its figures.
 type Live struct {
 	spec  Engine
 	start time.Time
@@ -24,7 +25,7 @@
 	clock   clock
 	engines map[string]*engine
 	tokens  TokenCounts
-	// maxLag is the longest time by which the clock has been behind the host's clock.
+	// maxLag is the longest time by which a timer has run late on the host's clock.
 	maxLag time.Duration
 }
 
@@ -40,11 +41,12 @@
 	Limit time.Duration
 	// PrefillOnly says that the prompt is prefilled and kept for another engine.
 	PrefillOnly bool
-	// From is the prompt that another engine has prefilled and kept, or nil.
+	// From is the run by which another engine has prefilled and kept the prompt, or nil.
 	From *LiveRun
 }
 
-// Progress is one step in the progress of a LiveRun. Either Prefilled, Event or Dropped is set.
+// Progress is one step in the progress of a LiveRun. Exactly one of Prefilled, Event and Dropped is
+// set.
 type Progress struct {
 	// Prefilled says that the prompt is prefilled; another engine can fetch it now.
 	Prefilled bool
@@ -55,7 +57,7 @@
 	Dropped bool
 }
 
-// LiveRun is a job submitted to an engine.
+// LiveRun is a job that has been submitted to an engine.
 type LiveRun struct {
 	// Progress receives the progress of the job. It is never closed.
 	Progress chan Progress
@@ -63,18 +65,19 @@
 	live   *Live
 	engine *engine
 	seq    *sequence
-	// hasHandle says that a prompt is prefilled and kept for another engine.
+	// hasHandle says that the prompt is prefilled and the engine keeps it for another one.
 	hasHandle bool
 }
 
-// NewLive returns a Live without engines and starts its clock.
+// NewLive returns a Live without engines and starts its clock. Engines that are added have the
+// given figures.
 func NewLive(figures Engine) *Live {
 	l := &Live{spec: figures, start: time.Now(), wakeup: make(chan struct{}, 1), done: make(chan struct{}), engines: make(map[string]*engine)}
 	l.clockDone.Go(l.runClock)
 	return l
 }
 
-// Close stops the clock and waits until it has stopped.
+// Close stops the clock and waits until it has stopped. It must be called once.
 func (l *Live) Close() {
 	close(l.done)
 	l.clockDone.Wait()
@@ -115,14 +118,14 @@
 	l.clock.now = max(l.clock.now, now)
 }
 
-// Lag returns the longest delay of a timer so far, as caused by a busy host.
+// Lag returns the longest time by which a timer has run late so far, as happens on a busy host.
 func (l *Live) Lag() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.maxLag
 }
 
-// wakeClock has the clock recompute its wait.
+// wakeClock has runClock recompute the wait until the next timer.
 func (l *Live) wakeClock() {
 	select {
 	case l.wakeup <- struct{}{}:
@@ -148,8 +151,8 @@
 	return e.target.Stage, e.changing
 }
 
-// ChangeStage has an engine complete its work and change its stage. It calls then in a goroutine of
-// its own once the stage has changed.
+// ChangeStage orders an engine to complete its work and change its stage, and returns at once.
+// After the change, then is called in a goroutine of its own.
 func (l *Live) ChangeStage(id string, stage fleet.Stage, then func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,7 +163,8 @@
 	l.wakeClock()
 }
 
-// switchWhenIdle waits until the engine is idle and changes its stage. The caller must hold l.mu.
+// switchWhenIdle changes the engine's stage once it is idle, without blocking until then. The
+// caller must hold l.mu.
 func (l *Live) switchWhenIdle(e *engine, then func()) {
 	if e.busySlots()+len(e.waiting) > 0 {
 		l.clock.after(idlePollInterval, func() { l.switchWhenIdle(e, then) })
@@ -175,7 +179,8 @@
 }
 
 // Submit submits a job to an engine. It returns nil if the engine's queue is full or the engine
-// is changing its stage. A job that waits for a transfer and then finds the queue full is dropped.
+// is changing its stage. A job with From is queued after the transfer of its KV cache, and dropped
+// if the queue is full then.
 func (l *Live) Submit(id string, j Job) *LiveRun {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -212,7 +217,7 @@
 	return 1 + (events-1)*l.spec.EventTokens
 }
 
-// extraProgress is the room in Progress for reports other than events.
+// extraProgress is the buffer space of LiveRun.Progress for steps other than events.
 const extraProgress = 4
 
 // enqueue queues a job whose KV cache has arrived. The caller must hold l.mu.
@@ -222,8 +227,9 @@
 	}
 }
 
-// fetchKV transfers the KV cache of a prompt from the engine that prefilled it. The caller must
-// hold l.mu.
+// fetchKV schedules the transfer of a prompt's KV cache from the engine that prefilled it, and sets
+// readyAt to the end of the transfer. tokens is the length of the prompt. The caller must hold
+// l.mu.
 func (l *Live) fetchKV(to, from *LiveRun, tokens int) {
 	begin := max(l.clock.now, from.engine.linkFreeAt, to.engine.linkFreeAt)
 	ms := l.spec.SetupMS + float64(tokens)*l.spec.KVTokenBytes*8/(l.spec.LinkMbps*thousand)
@@ -236,7 +242,7 @@
 	l.clock.at(end, func() { from.engine.freeHandle(from.seq) })
 }
 
-// Cancel ends the job and frees the KV cache that it keeps for another engine.
+// Cancel ends the job and frees the KV cache that its engine keeps for another one.
 func (r *LiveRun) Cancel() {
 	l := r.live
 	l.mu.Lock()
@@ -255,8 +261,8 @@
 	select {
 	case r.Progress <- p:
 	default:
-		// The prompt of a preempted sequence is prefilled more than once; the reader has been
-		// told already.
+		// The buffer is full only because the prompt of a preempted sequence is prefilled more than
+		// once. The receiver has been told of the first prefill already.
 	}
 }
 
--- a/internal/model/live_test.go
+++ b/internal/model/live_test.go
@@ -27,7 +27,7 @@
 	return l
 }
 
-// liveJob returns a job with a prompt of 1000 tokens.
+// liveJob returns a job with a prompt of 1000 tokens and an answer of the given number of events.
 func liveJob(events int) Job {
 	return Job{
 		Prompt: &place.Prompt{Tokens: 1000, Parts: []place.Part{{Hash: 1, Tokens: 400}, {Hash: 2, Tokens: 600}}},
@@ -35,7 +35,8 @@
 	}
 }
 
-// waitForEnd waits until a job ends and returns the number of events received.
+// waitForEnd waits until a job ends. It returns the number of events received, and whether the
+// engine dropped the job.
 func waitForEnd(t *testing.T, r *LiveRun) (events int, dropped bool) {
 	t.Helper()
 	for {
@@ -66,13 +67,14 @@
 	is.True(time.Since(began) > 200*time.Millisecond) // ten intervals of 20 ms
 }
 
-// An engine decodes a prompt that another engine has prefilled, from the caller's last event on.
+// An engine decodes a prompt that another engine has prefilled. The caller has received two of five
+// events already, so the engine produces only the other three.
 func TestLiveEngineDecodesFromHandle(t *testing.T) {
 	is := is.New(t)
 	l := newTestLive(t)
-	read := liveJob(5)
-	read.PrefillOnly = true
-	handle := l.Submit("p", read)
+	prefill := liveJob(5)
+	prefill.PrefillOnly = true
+	handle := l.Submit("p", prefill)
 	is.True((<-handle.Progress).Prefilled)
 	next := liveJob(5)
 	next.From, next.Seen = handle, 2
@@ -81,6 +83,7 @@
 	is.True(!dropped)
 }
 
+// A cancelled job is dropped. Jobs are refused once the slots and the queue of an engine are full.
 func TestLiveEngineDropsCancelledSequence(t *testing.T) {
 	is := is.New(t)
 	l := newTestLive(t)
@@ -97,6 +100,7 @@
 	is.True(full > 0) // at most two run and one waits
 }
 
+// An engine refuses jobs from the order to change its stage until it has changed.
 func TestLiveEngineChangesItsStage(t *testing.T) {
 	is := is.New(t)
 	l := newTestLive(t)
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -25,7 +25,7 @@
 	return s
 }
 
-// shortDay returns a short day with overload and faults.
+// shortDay returns a day of six seconds with overload and faults.
 func shortDay(s *Site) *Day {
 	return &Day{
 		Name: "short", Seed: 7, LengthS: 6, PerS: []float64{50, 50, 50}, Swing: 0.2, PeriodS: 3,
@@ -36,6 +36,7 @@
 	}
 }
 
+// The examples load. A file with an unknown field and one without the required figures do not.
 func TestExamplesLoad(t *testing.T) {
 	is := is.New(t)
 	for _, path := range []string{"../../examples/model/kochi.jsonc", "../../examples/model/nairobi.jsonc"} {
@@ -99,7 +100,8 @@
 	is.True(err != nil)
 }
 
-// recorder records the progress of a sequence.
+// recorder is a sequenceObserver that records the progress of a sequence, with the times at which
+// its prompt was prefilled and its events produced.
 type recorder struct {
 	clock       *clock
 	prefilledAt time.Duration
@@ -117,7 +119,7 @@
 }
 func (s *recorder) dropped(started bool) { s.dropCount++; s.started = started }
 
-// newTestEngine returns an engine with round numbers for its times, and its clock.
+// newTestEngine returns an engine with round numbers for its figures, and its clock.
 func newTestEngine(stage fleet.Stage) (*engine, *clock) {
 	c := &clock{}
 	return &engine{
@@ -184,20 +186,20 @@
 	is.True(a.ended)
 
 	// While 200 tokens are prefilled, each step takes 2 ms more for 100 of them.
-	stream, reader := &recorder{clock: c}, &recorder{clock: c}
+	stream, prefilling := &recorder{clock: c}, &recorder{clock: c}
 	begin := c.now
 	is.True(e.submit(&sequence{prompt: prompt(50, 50), output: 11, expiresAt: noExpiry, observer: stream}))
 	c.after(6*time.Millisecond, func() {
 		q := prompt(50, 150)
 		q.Parts[0].Hash = 3
-		is.True(e.submit(&sequence{prompt: q, output: 1, expiresAt: noExpiry, observer: reader}))
+		is.True(e.submit(&sequence{prompt: q, output: 1, expiresAt: noExpiry, observer: prefilling}))
 	})
 	c.runUntil(time.Minute)
 	// The shared 50 tokens and the own 50 are cached: the first token comes after a
 	// step of 1 ms and 5 ms; of the ten that follow two take 3.5 ms.
 	is.Equal(stream.events[0]-begin, 6*time.Millisecond)
 	is.Equal(stream.events[1]-begin, (6+15+4)*time.Millisecond)
-	is.True(reader.ended)
+	is.True(prefilling.ended)
 }
 
 func TestFullEngineRefusesAndExpiredSequencesAreDropped(t *testing.T) {
@@ -218,16 +220,17 @@
 	is.Equal(e.busySlots(), 0)
 }
 
+// Lower values of priority are served first.
 func TestHigherPriorityIsServedFirst(t *testing.T) {
 	is := is.New(t)
 	e, c := newTestEngine(fleet.Prefill)
-	late, soon := &recorder{clock: c}, &recorder{clock: c}
-	is.True(e.submit(&sequence{prompt: prompt(400, 400), prefillOnly: true, priority: 1, expiresAt: noExpiry, observer: late}))
+	low, high := &recorder{clock: c}, &recorder{clock: c}
+	is.True(e.submit(&sequence{prompt: prompt(400, 400), prefillOnly: true, priority: 1, expiresAt: noExpiry, observer: low}))
 	q := prompt(400, 400)
 	q.Parts[0].Hash, q.Parts[1].Hash = 5, 6
-	is.True(e.submit(&sequence{prompt: q, prefillOnly: true, priority: 0, expiresAt: noExpiry, observer: soon}))
+	is.True(e.submit(&sequence{prompt: q, prefillOnly: true, priority: 0, expiresAt: noExpiry, observer: high}))
 	c.runUntil(time.Minute)
-	is.True(soon.prefilledAt < late.prefilledAt)
+	is.True(high.prefilledAt < low.prefilledAt)
 }
 
 func TestCrashLosesSequencesAndCache(t *testing.T) {
--- a/internal/model/placed.go
+++ b/internal/model/placed.go
@@ -15,18 +15,19 @@
 // epoch is the wall-clock time that corresponds to virtual time 0.
 var epoch = time.Unix(0, 0)
 
-// Admission decides whether an attempt is sent to the engine chosen for it.
+// Admission decides whether an attempt is sent to the engine chosen for it, deferred or refused.
 type Admission interface {
-	// Admit decides at virtual time now.
+	// Admit decides at virtual time now on the attempt a, for which c was chosen.
 	Admit(a *Attempt, c place.Choice, now time.Duration) place.Verdict
 	// Finish tells the admission that an attempt has ended.
 	Finish(a *Attempt)
-	// Priority returns the priority to send to the engines.
+	// Priority returns the priority to send to the engines, which serve lower values first.
 	Priority(a *Attempt) int
 }
 
-// placerPolicy places attempts with the product's own code: each VM has a placer, which knows
-// its own work and the latest reports of the other VMs.
+// placerPolicy places attempts with the code that real VMs use: each VM has a place.Placer, which
+// knows the work of its own VM and the latest reports of the other VMs. peers and placers are
+// indexed by VM.
 type placerPolicy struct {
 	fleet     Fleet
 	spec      *fleet.EngineSpec
@@ -36,7 +37,8 @@
 	placers   []*place.Placer
 }
 
-// peerWork is one VM's view of the work of the other VMs. It implements place.PeerWork.
+// peerWork is one VM's view of the work of the other VMs, by target id. It implements
+// place.PeerWork.
 type peerWork struct{ work map[string]place.Work }
 
 // Work implements place.PeerWork.
@@ -45,7 +47,7 @@
 // Age implements place.PeerWork. It returns the mean age of the reports.
 func (*peerWork) Age() time.Duration { return reportInterval / 2 }
 
-// NewPlacerPolicy returns a policy that runs the product's own placer on each VM of the site.
+// NewPlacerPolicy returns a policy that runs a place.Placer on each VM of the site.
 func NewPlacerPolicy(s *Site, f Fleet, admission Admission, random *rand.Rand) Policy {
 	p := &placerPolicy{
 		fleet: f, admission: admission, random: random,
@@ -64,7 +66,8 @@
 	return p
 }
 
-// maxGap returns the shortest maximum pause between events among the site's classes.
+// maxGap returns the least of the classes' limits on the pause between two events, or 0 if no class
+// has one.
 func (s *Site) maxGap() time.Duration {
 	shortest := 0.0
 	for i := range s.Classes {
@@ -107,18 +110,19 @@
 // recheckInterval is the time between two decisions on a deferred attempt.
 const recheckInterval = 60 * time.Millisecond
 
-// A refused caller is told to retry after minRetryAims to maxRetryAims times its latency
-// objective, but waits for at most maxRetryShare of its remaining time, as in package gateway.
+// A refused caller is told to retry after minRetryObjectives to maxRetryObjectives times its
+// latency objective, but waits for at most the fraction maxRetryShare of its remaining time, as in
+// package gateway.
 const (
-	minRetryAims  = 1.2
-	maxRetryAims  = 3.0
-	maxRetryShare = 1.0 / 3
+	minRetryObjectives = 1.2
+	maxRetryObjectives = 3.0
+	maxRetryShare      = 1.0 / 3
 )
 
 // retryAfter returns the random delay after which a refused caller should retry.
 func (p *placerPolicy) retryAfter(a *Attempt, now time.Duration) time.Duration {
-	aims := minRetryAims + (maxRetryAims-minRetryAims)*p.random.Float64()
-	return min(millis(aims*a.Class.AimMS), time.Duration(maxRetryShare*float64(a.Deadline-now)))
+	objectives := minRetryObjectives + (maxRetryObjectives-minRetryObjectives)*p.random.Float64()
+	return min(millis(objectives*a.Class.AimMS), time.Duration(maxRetryShare*float64(a.Deadline-now)))
 }
 
 // Decode implements Policy.
@@ -136,7 +140,7 @@
 	p.admission.Finish(a)
 }
 
-// endDeferral ends the deferral of an attempt, if it is deferred.
+// endDeferral ends the deferral of an attempt. It does nothing if the attempt is not deferred.
 func (p *placerPolicy) endDeferral(a *Attempt) {
 	a.deferral.End(place.Neutral, epoch)
 	a.deferral = nil
@@ -146,9 +150,9 @@
 func (p *placerPolicy) ExchangeReports(now time.Duration) {
 	total := make(map[string]place.Work)
 	own := make([]map[string]place.Work, len(p.placers))
-	uses := make([][]place.SendRecord, len(p.placers))
+	records := make([][]place.SendRecord, len(p.placers))
 	for i, placer := range p.placers {
-		own[i], uses[i] = placer.Own(), placer.TakeSendRecords()
+		own[i], records[i] = placer.Own(), placer.TakeSendRecords()
 		for id, w := range own[i] {
 			total[id] = total[id].Plus(w)
 		}
@@ -161,15 +165,15 @@
 		p.peers[i].work = others
 		for j := range p.placers {
 			if j != i {
-				placer.Observe(uses[j], epoch.Add(now))
+				placer.Observe(records[j], epoch.Add(now))
 			}
 		}
 	}
 }
 
-// GatewayAdmission admits as the gateway does, except that it sets no limit on deferred work.
+// GatewayAdmission admits as package gateway does, except that it sets no limit on deferred work.
 type GatewayAdmission struct {
-	// sizes holds, by VM, the admission statistics of its callers' requests by size.
+	// sizes counts, by VM, the requests of each size class that were decided on and admitted.
 	sizes map[int]*fair.Sizes
 	// classified holds the size class of each attempt that has not ended.
 	classified map[*Attempt]fair.Size
@@ -216,8 +220,8 @@
 func (*GatewayAdmission) Priority(a *Attempt) int { return a.Class.Priority }
 
 // DeadlineAdmission admits attempts that can begin within their latency objective. All have one
-// priority, so engines serve them in order of arrival. This is nearly the order of their
-// deadlines, since the objectives lie within 50 ms of each other.
+// priority, so engines serve them in order of arrival. This is nearly the order in which they must
+// begin, since the objectives of the classes lie within 50 ms of each other.
 type DeadlineAdmission struct{}
 
 // Admit implements Admission.
@@ -234,7 +238,7 @@
 // Priority implements Admission.
 func (DeadlineAdmission) Priority(*Attempt) int { return 0 }
 
-// ShareAdmission reserves a share of the engines' time for each class: the admitted work of a
+// ShareAdmission reserves a fraction of the engines' time for each class: the admitted work of a
 // class over all VMs stays within its limit.
 //
 // limits, admitted and work hold engine time in milliseconds: the limits and the unfinished
--- a/internal/model/plot.go
+++ b/internal/model/plot.go
@@ -20,13 +20,14 @@
 // colours are the colours of the lines, in the order of the policies.
 var colours = []string{"#1f77b4", "#d62728", "#2ca02c", "#9467bd", "#ff7f0e", "#8c564b", "#17becf"}
 
-// plotLine is the line of one policy with its entry in the legend.
+// plotLine is the line of one policy with its entry in the legend. Points is the value of the SVG
+// attribute points, and LegendY is in pixels.
 type plotLine struct {
 	Colour, Points, Name string
 	LegendY              int
 }
 
-// axisTick is a label on an axis.
+// axisTick is a label on an axis, at a position in pixels.
 type axisTick struct {
 	X, Y int
 	Text string
--- a/internal/model/policies.go
+++ b/internal/model/policies.go
@@ -18,7 +18,7 @@
 	"shares":      func(s *Site, f Fleet, r *rand.Rand) Policy { return NewPlacerPolicy(s, f, NewShareAdmission(s), r) },
 }
 
-// BuilderByName returns the builder of the named policy.
+// BuilderByName returns the builder of the named policy, or an error if there is none.
 func BuilderByName(name string) (Builder, error) {
 	b := builders[name]
 	if b == nil {
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -11,11 +11,11 @@
 
 // Decision says where to send an attempt, or that it is refused or deferred.
 type Decision struct {
-	// Target is the chosen engine, or nil if none is available.
+	// Target is the chosen engine, or nil if none is available or the attempt is not sent.
 	Target *fleet.Target
 	// InPlace says that the engine that decodes also prefills the prompt.
 	InPlace bool
-	// Ticket records the work at the engine and is told its result; it may be nil.
+	// Ticket counts the work at the engine until it ends, and is told the result; it may be nil.
 	Ticket *place.Ticket
 	// Refused says that the caller should retry after After, and Deferred that the VM decides
 	// again after After.
@@ -26,11 +26,11 @@
 	Priority int
 }
 
-// Policy places the attempts that reach the VMs.
+// Policy chooses engines for the attempts that reach the VMs. now is the virtual time.
 type Policy interface {
 	// Prefill chooses the engine that prefills the prompt.
 	Prefill(a *Attempt, now time.Duration) Decision
-	// Decode chooses the engine that continues after another engine's prefill.
+	// Decode chooses the engine that decodes after the engine from has prefilled the prompt.
 	Decode(a *Attempt, from *fleet.Target, now time.Duration) Decision
 	// Finish tells the policy that an attempt has ended.
 	Finish(a *Attempt)
@@ -42,7 +42,8 @@
 type Fleet interface {
 	// Targets returns the listed engines.
 	Targets() []*fleet.Target
-	// Load returns the prompt tokens that wait at an engine and its unfinished requests.
+	// Load returns the number of prompt tokens that wait for prefill at an engine and the number
+	// of its unfinished requests.
 	Load(id string) (tokens, requests int)
 	// Changing reports whether an engine is changing its stage.
 	Changing(id string) bool
@@ -75,8 +76,8 @@
 // ExchangeReports implements Policy.
 func (*pickPolicy) ExchangeReports(time.Duration) {}
 
-// choose picks a usable engine, or returns nil if there is none. Prefill engines are candidates
-// only if prefill is set.
+// choose picks a usable engine, or returns nil if there is none. Decode engines are always
+// candidates, and prefill engines only if prefill is set.
 func (p *pickPolicy) choose(a *Attempt, prefill bool) *fleet.Target {
 	var usable []*fleet.Target
 	for _, t := range p.fleet.Targets() {
--- a/internal/model/report.go
+++ b/internal/model/report.go
@@ -12,7 +12,7 @@
 type PolicyRun struct {
 	Policy string
 	Result *Result
-	// Bound assumes fixed stages and the cache hit rate of this run.
+	// Bound assumes fixed stages and the cache hit rate that this run had.
 	Bound Bound
 }
 
@@ -24,14 +24,15 @@
 	// Bound applies to any policy, and FixedStagesBound to policies that do not change stages.
 	Bound            Bound
 	FixedStagesBound Bound
-	// HitRateBound is the bound at a hit rate of BestHitRate for the shared tokens. It is an estimate,
-	// since a better assignment of sessions to engines may exist.
+	// HitRateBound assumes that the fraction BestHitRate of the shared tokens is found in cache.
+	// It is an estimate, since a better assignment of sessions to engines may exist.
 	HitRateBound Bound
 	BestHitRate  float64
 	Runs         []PolicyRun
 }
 
-// NewReport generates a day's requests and simulates the day under each named policy.
+// NewReport generates a day's requests and simulates the day under each named policy. It returns an
+// error if a policy is unknown.
 func NewReport(s *Site, d *Day, seed uint64, policies []string) (*Report, error) {
 	requests := GenerateRequests(s, d, seed)
 	r := &Report{Site: s, Day: d, Seed: seed, Bound: NewBound(s, d, requests, AnyPolicy())}
@@ -49,8 +50,8 @@
 			q.refusalDelay = 0
 		}
 		run := PolicyRun{Policy: name, Result: Play(s, d, requests, seed, build)}
-		missed := 1 - run.Result.Tokens.hitRate()
-		run.Bound = NewBound(s, d, requests, Assumptions{FixedStages: true, MissRate: missed})
+		missRate := 1 - run.Result.Tokens.hitRate()
+		run.Bound = NewBound(s, d, requests, Assumptions{FixedStages: true, MissRate: missRate})
 		r.Runs = append(r.Runs, run)
 	}
 	return r, nil
@@ -66,10 +67,10 @@
 	fmt.Fprintf(&b, "Worth counts from the first attempt, before prices; plain calls are taken as served in time.\n\n")
 	b.WriteString("| policy | worth | own bound | in time | late | refused | failed | turned away at first | shared tokens held | tokens read | GB moved |\n|---|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, run := range r.Runs {
-		t, reads := run.Result.Total(), run.Result.Tokens
+		t, tokens := run.Result.Total(), run.Result.Tokens
 		fmt.Fprintf(&b, "| %s | %.3f | %.3f | %d | %d | %d | %d | %d | %.3f | %.1f M | %.0f |\n", run.Policy, ratio(t.Worth, t.OfferedWorth), run.Bound.Share(),
-			t.InTime, t.Late, t.Refused, t.Failed, t.FirstRefused, reads.hitRate(),
-			float64(reads.Prefilled)/million, float64(reads.Moved)*r.Site.Engine.KVTokenBytes/billion)
+			t.InTime, t.Late, t.Refused, t.Failed, t.FirstRefused, tokens.hitRate(),
+			float64(tokens.Prefilled)/million, float64(tokens.Moved)*r.Site.Engine.KVTokenBytes/billion)
 	}
 	for i, c := range r.Site.Classes {
 		if c.Plain {
@@ -91,7 +92,7 @@
 	return errors.Wrap(err, "write report")
 }
 
-// billion converts bytes to gigabytes.
+// billion is the number of bytes in a gigabyte.
 const billion = 1e9
 
 // bandNames are the names of the size bands in the report.
--- a/internal/model/result.go
+++ b/internal/model/result.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// largestEnd and largeEnd are the cumulative shares of a class's requests, the largest
-	// first, at which its first two size bands end.
+	// largestEnd and largeEnd are the fractions of a class's requests, sorted from the largest
+	// down, at which the bands Largest and Large end.
 	largestEnd = 0.1
 	largeEnd   = 0.3
-	// earlyRefusalShare is the part of the latency objective within which the first attempt
+	// earlyRefusalShare is the fraction of the latency objective within which the first attempt
 	// must be refused for an in-time retry to earn more than the late worth.
 	earlyRefusalShare = 0.25
 )
@@ -26,7 +26,7 @@
 // Count counts a group of requests by outcome.
 type Count struct {
 	Offered, InTime, Late, Refused, Failed int
-	// FirstRefused counts first attempts that were refused. Refused counts requests whose
+	// FirstRefused counts refused first attempts that were retried. Refused counts requests whose
 	// final outcome is a refusal; most of them were refused twice.
 	FirstRefused int
 	// OfferedWorth is the worth of all requests if served in time, and Worth what they earned.
@@ -60,7 +60,7 @@
 	}
 }
 
-// update applies f to every count that includes the request.
+// update applies f to each count that the request belongs to.
 func (r *Result) update(q *Request, f func(*Count)) {
 	f(&r.Classes[q.Class])
 	f(&r.Sizes[q.Class][q.band])
@@ -87,9 +87,10 @@
 func (r *Result) recordFailed(a *Attempt)  { r.recordLost(a.Request) }
 func (r *Result) recordLost(q *Request)    { r.update(q, func(c *Count) { c.Failed++ }) }
 
-// recordServed records a complete answer and the worth that it earns. The latency objective
-// counts from the first attempt. A retry within its own objective after an early refusal earns
-// the mean of worth and late worth.
+// recordServed records a complete answer and the worth that it earns. An answer is in time if it
+// begins within the latency objective, counted from the first attempt, and no gap between events
+// was too long. A retry whose answer begins within the objective counted from the retry, after an
+// early refusal of the first attempt, earns the mean of worth and late worth.
 func (r *Result) recordServed(a *Attempt) {
 	q, aim := a.Request, millis(a.Class.AimMS)
 	whole := !a.gapExceeded
--- a/internal/model/sizes_test.go
+++ b/internal/model/sizes_test.go
@@ -9,10 +9,10 @@
 // engines slower than those the system was tuned with. Two faults led to this.
 //
 // Decoding: an answer of 214 events must produce one every 70 ms to end within its caller's 15 s.
-// Alone an engine at 0.6 of its speed needs 53 ms (69 ms if it is one of the slower ones). Each
-// concurrent stream adds 0.4 ms, and each token per millisecond that is prefilled concurrently
-// adds 1.1 ms. Answers were spread over all engines alike, up to 0.6 of their slots regardless of
-// the longest one, so that events came every 88 ms:
+// With a single stream an engine at 0.6 of its speed needs 53 ms (69 ms if it is one of the slower
+// ones). Each concurrent stream adds 0.4 ms, and each token per millisecond that is prefilled
+// concurrently adds 1.1 ms. Answers were spread evenly over all engines, up to 0.6 of their slots
+// regardless of the longest one, so that events came every 88 ms:
 //
 //	event=request_failed kind=client_gone ms=15000 last_event=171 max_output=12198
 //
@@ -78,7 +78,7 @@
 	}
 }
 
-// servedShare returns the share of the requests that were answered completely, in time or late.
+// servedShare returns the fraction of the requests that were answered completely, in time or late.
 func (c Count) servedShare() float64 {
 	return float64(c.InTime+c.Late) / float64(max(c.Offered, 1))
 }
--- a/internal/model/stage.go
+++ b/internal/model/stage.go
@@ -12,7 +12,8 @@
 	// stageInterval is the time between two checks of the engines' stages.
 	stageInterval = time.Second
 	// stageChangeDelay is how long a change must be wanted before it is ordered. It stands for
-	// the patience of the candidates for the lease, the lease itself and the journal.
+	// the delays of package stages: the time that VMs wait before they try to take the lease,
+	// taking the lease, and writing the order to the journal.
 	stageChangeDelay = 2 * time.Second
 	// idlePollInterval is the time between two checks whether an engine has completed its work.
 	idlePollInterval = 20 * time.Millisecond
@@ -21,7 +22,8 @@
 // Changing implements Fleet.
 func (sim *simulation) Changing(id string) bool { return sim.byID[id].changing }
 
-// adjustStages orders stage changes according to the product's own plan.
+// adjustStages orders the stage changes that stages.Plan returns, once changes have been wanted for
+// stageChangeDelay.
 func (sim *simulation) adjustStages() {
 	want := func() int {
 		n := 0
@@ -66,8 +68,8 @@
 	return out
 }
 
-// switchWhenIdle waits until an engine has completed its work, takes it out of service for the
-// switch time and returns it with its next stage.
+// switchWhenIdle has an engine complete its work, makes it unavailable for the switch time and then
+// lists it with its next stage.
 func (sim *simulation) switchWhenIdle(e *engine) {
 	if e.down || e.delisted {
 		return
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// listingDelay is the delay until a change appears in the listing of engines, and
-	// crashListingDelay the time for which a crashed engine stays listed: three of its
+	// listingDelay is the delay until a change appears in the listing of engines that VMs see, and
+	// crashListingDelay the time for which a crashed engine stays listed: three intervals of its
 	// regular writes to the listing, per the users' specification.
 	listingDelay      = 800 * time.Millisecond
 	crashListingDelay = 3600 * time.Millisecond
@@ -21,12 +21,12 @@
 	drainTime = 2 * time.Second
 	// patience is how long a caller waits for the first event of a stream.
 	patience = 2 * time.Second
-	// maxTransferWait is the longest wait for a link. Beyond it the prompt is prefilled again
-	// instead of transferred.
+	// maxTransferWait is the longest wait for a link between engines. If a KV cache would have to
+	// wait longer, the prompt is prefilled again instead.
 	maxTransferWait = 2 * time.Second
 	// remoteTransferFactor is how many times longer a transfer between data centres takes.
 	remoteTransferFactor = 2
-	// settleTime is how long the simulation continues after the end of the day's arrivals.
+	// settleTime is how long the simulation continues after the day's last requests arrive.
 	settleTime = 20 * time.Second
 )
 
@@ -44,12 +44,12 @@
 	Sent     time.Duration
 	Arrived  time.Duration
 	Deadline time.Duration
-	// Tried holds the engines that are not to be asked again, and Sends counts how often the
+	// Tried holds the engines that are not to be tried again, and Sends counts how often the
 	// attempt was sent to an engine.
 	Tried place.Tried
 	Sends int
 
-	// deferral is the ticket that counts the attempt among those its VM defers; it is nil
+	// deferral is the ticket that counts the attempt among those that its VM defers. It is nil
 	// while the attempt is not deferred.
 	deferral *place.Ticket
 	// dataCentre is the index of the data centre of caller and VM.
@@ -68,26 +68,29 @@
 	clock
 	site *Site
 	day  *Day
-	// engines holds all engines including delisted ones, and listed the targets in the
-	// listing that VMs see.
+	// engines holds all engines including delisted ones, and listed the targets in the listing
+	// that VMs see. byID holds the engines by target id.
 	engines []*engine
 	byID    map[string]*engine
 	listed  []*fleet.Target
 	policy  Policy
 	random  *rand.Rand
-	// callerVMs holds the VM index of each caller, by data centre.
+	// callerVMs holds the VM index of each caller, by data centre, and dcIndex the index of each
+	// data centre by name.
 	callerVMs [][]int
 	dcIndex   map[string]int
 	result    *Result
 	// attempts holds the attempts made since VMs were last stopped, ended or not.
 	attempts []*Attempt
-	// changeWantedSince is when the current need for stage changes arose; 0 means no need.
+	// changeWantedSince is since when stage changes have been wanted without interruption; 0 means
+	// that none are wanted.
 	changeWantedSince time.Duration
 	// replacements counts the engines that replaced drained ones.
 	replacements int
 }
 
-// Play simulates a day's requests under the policy that build returns.
+// Play simulates a day's requests under the policy that build returns. seed sets the random choices
+// of the simulation and of the policy.
 func Play(s *Site, d *Day, requests []*Request, seed uint64, build Builder) *Result {
 	sim := &simulation{
 		site: s, day: d, byID: map[string]*engine{}, dcIndex: map[string]int{},
@@ -113,7 +116,8 @@
 // Builder makes a policy for a fleet of engines.
 type Builder func(s *Site, f Fleet, random *rand.Rand) Policy
 
-// Streams of the random generator, separate from that of the day's requests.
+// Second PCG seeds of the random generators of the simulation and of the policy; the first seed is
+// the one given to Play. The generator of the requests has Day.Seed as its second seed.
 const (
 	simulationStream = 1
 	policyStream     = 2
@@ -179,7 +183,7 @@
 	return tokens, e.busySlots() + len(e.waiting)
 }
 
-// send sends a caller's request; n counts its earlier attempts.
+// send starts the n-th attempt of a caller's request, counted from 0, or records a plain request.
 func (sim *simulation) send(r *Request, n int) {
 	c := &sim.site.Classes[r.Class]
 	if c.Plain {
@@ -248,14 +252,14 @@
 	sim.dispatch(a, d, &prefillPhase{sim: sim, attempt: a, decision: d})
 }
 
-// phase is one stage of serving an attempt on an engine. It creates the sequence for the
-// engine and reacts to its progress.
+// phase is one part of serving an attempt: its prefill on a prefill engine, or its decoding. It
+// creates the sequence for the engine and reacts to the progress of the sequence.
 type phase interface {
 	sequenceObserver
 	newSequence() *sequence
 }
 
-// dispatch sends an attempt to an engine.
+// dispatch sends an attempt to the engine of the decision, for the phase p.
 func (sim *simulation) dispatch(a *Attempt, d Decision, p phase) {
 	e := sim.byID[d.Target.ID]
 	if !sim.reachable(a.dataCentre, e) || (e.down && e.silent) {
@@ -273,7 +277,8 @@
 	})
 }
 
-// enqueue submits a sequence to its engine, or places the attempt elsewhere if that is full.
+// enqueue submits a sequence to its engine. If the engine's queue is full or the engine is down, it
+// places the attempt elsewhere.
 func (sim *simulation) enqueue(a *Attempt, d Decision, seq *sequence) {
 	e := sim.byID[d.Target.ID]
 	if e.submit(seq) {
@@ -286,8 +291,8 @@
 	})
 }
 
-// scheduleExpiry ends a sequence at its deadline, or when its caller's patience ends without a
-// first event.
+// scheduleExpiry schedules the end of a sequence at its deadline, and earlier if the caller has not
+// received a first event within its patience.
 func (sim *simulation) scheduleExpiry(a *Attempt, e *engine, seq *sequence) {
 	sim.at(a.Sent+patience, func() {
 		if a.firstEventAt == 0 && !seq.finished {
@@ -307,7 +312,8 @@
 // maxSends limits how many engines one attempt is sent to.
 const maxSends = 4
 
-// placeElsewhere places an attempt that has not run on an engine other than the excluded one.
+// placeElsewhere places an attempt again, on an engine other than the excluded one. It refuses an
+// attempt that has been sent maxSends times.
 func (sim *simulation) placeElsewhere(a *Attempt, excluded string) {
 	a.Tried[excluded] = true
 	if a.Sends >= maxSends {
@@ -337,7 +343,9 @@
 	return true
 }
 
-// refuse ends an attempt that has not run. The caller retries once, after the given delay.
+// refuse ends an attempt that no engine serves. If it was the first attempt, the caller retries
+// after the given delay or after the fraction maxRetryShare of its remaining time, whichever is
+// shorter.
 func (sim *simulation) refuse(a *Attempt, after time.Duration) {
 	if a.ended {
 		return
