--- a/internal/live/live_test.go
+++ b/internal/live/live_test.go
@@ -11,14 +11,15 @@
 	"garnethoist.org/garnethoist/internal/proc/proctest"
 )
 
-// bin is the folder of the garnet-node program built for the tests.
+// bin is the directory of the garnet-node program built for the tests.
 var bin string
 
 func TestMain(m *testing.M) {
 	os.Exit(proctest.Main("../../cmd/garnet-node", func(dir string) { bin = dir }, m.Run))
 }
 
-// oneDataCentre returns the first data centre of an example site, with its part of a day.
+// oneDataCentre returns an example site with only its first data centre and engines at the given
+// factor of their speed, and that data centre's traffic in the first until seconds of a day.
 func oneDataCentre(t *testing.T, site, day string, speed, until float64) (*model.Site, *model.Day) {
 	t.Helper()
 	s, err := model.Load("../../examples/model/" + site + ".jsonc")
@@ -36,7 +37,8 @@
 	return s, d
 }
 
-// allDataCentres returns an example site with a part of a day and its traffic multiplied.
+// allDataCentres returns an example site and the first until seconds of a day, with the traffic
+// multiplied by traffic.
 func allDataCentres(t *testing.T, site, day string, traffic, until float64) (*model.Site, *model.Day) {
 	t.Helper()
 	s, err := model.Load("../../examples/model/" + site + ".jsonc")
@@ -56,8 +58,8 @@
 // slower than those the system was tuned with: the longest answers ended at their callers'
 // deadline. With real processes and all of a site's engines at 0.6 of their speed, 0.26 of the
 // largest tenth were served, but 0.85 of all. TestLargeRequestsAreServedBySlowEngines in package
-// model shows the same in virtual time and explains it. Here processes are also stopped for a part
-// of their time, as on busy hosts.
+// model shows the same in virtual time and explains it. Here processes are also stopped for a
+// fraction of the time, as on busy hosts.
 func TestLargeRequestsAreServedOnTheWallClock(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -66,8 +68,8 @@
 	checkSizes(t, live.Config{Site: s, Day: d, Seed: 1, Busy: 0.2})
 }
 
-// Guards against the same with more prompts than the engines can prefill, for longer than callers
-// wait.
+// Guards against large requests being served less than half as often as their class while more
+// prompts arrive than the engines can prefill, for longer than callers wait.
 func TestLargePromptsAreServedInOverloadOnTheWallClock(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
--- a/internal/live/play.go
+++ b/internal/live/play.go
@@ -19,13 +19,14 @@
 	patienceObjectives = 4
 	patienceGaps       = 8
 	// A refused caller retries after the time that the response names, but waits for at most
-	// its remaining time divided by retryWaitDivisor: a third.
+	// 1/retryWaitDivisor of its remaining time.
 	retryWaitDivisor = 3
-	// maxTries is how many times a caller sends a request at most.
-	maxTries = 2
+	// maxAttempts is the maximum number of times that a caller sends a request.
+	maxAttempts = 2
 )
 
-// playDay sends the day's requests when they are due and waits until all have ended.
+// playDay sends the day's requests when they are due, except plain ones, and waits until all have
+// ended.
 func (h *harness) playDay(ctx context.Context) *Report {
 	requests := model.GenerateRequests(h.cfg.Site, h.cfg.Day, h.cfg.Seed)
 	report := newReport(h.cfg.Site)
@@ -41,8 +42,8 @@
 			break
 		}
 		running.Go(func() {
-			e, reply := h.ask(ctx, i, q, class)
-			report.add(q, e, reply)
+			o, response := h.ask(ctx, i, q, class)
+			report.add(q, o, response)
 		})
 	}
 	running.Wait()
@@ -50,35 +51,35 @@
 	return report
 }
 
-// ask sends a request of a caller, and retries once if it is refused. It returns the outcome and
-// the last reply.
+// ask sends a request of a caller, and retries once if it is refused. number identifies the
+// request in its ids. It returns the outcome and the response to the last attempt.
 func (h *harness) ask(ctx context.Context, number int, q *model.Request, class *model.Class) (outcome, platformtest.LiveResult) {
 	began := time.Now()
 	limit := millis(class.DeadlineMS)
 	patience := max(minPatience, patienceObjectives*millis(class.AimMS), patienceGaps*millis(class.GapMS))
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		sent := time.Since(began)
-		reply := h.callers.Do(ctx, platformtest.LiveCall{
-			Address: string(h.callerVM(q, try).cfg.Listen), ID: tryID(number, try, q.Output), Route: class.Name, Prompt: q.Prompt,
+		response := h.callers.Do(ctx, platformtest.LiveCall{
+			Address: string(h.callerVM(q, attempt).cfg.Listen), ID: attemptID(number, attempt, q.Output), Route: class.Name, Prompt: q.Prompt,
 			Bytes: q.Prompt.BodyBytes, Timeout: limit - sent, Patience: patience,
 		})
-		refused := reply.Status == http.StatusServiceUnavailable || reply.Status == http.StatusTooManyRequests
+		refused := response.Status == http.StatusServiceUnavailable || response.Status == http.StatusTooManyRequests
 		left := limit - time.Since(began)
-		if refused && try+1 < maxTries && left > 0 {
-			kernel.Sleep(ctx, min(reply.RetryAfter, left/retryWaitDivisor))
+		if refused && attempt+1 < maxAttempts && left > 0 {
+			kernel.Sleep(ctx, min(response.RetryAfter, left/retryWaitDivisor))
 			continue
 		}
-		return outcomeOf(h.cfg.Site, q, class, reply, sent, refused), reply
+		return outcomeOf(h.cfg.Site, q, class, response, sent, refused), response
 	}
 }
 
-// callerVM returns the VM that serves a try of a request. A retry reaches another VM of the data
-// centre.
-func (h *harness) callerVM(q *model.Request, try int) *vm {
+// callerVM returns the VM that serves an attempt of a request, counted from 0. A retry reaches
+// another VM of the data centre, if it has more than one.
+func (h *harness) callerVM(q *model.Request, attempt int) *vm {
 	first := 0
 	for i, dc := range h.cfg.Site.DataCentres {
 		if i == q.DataCentre {
-			return h.vms[first+(q.Caller+try)%dc.VMs]
+			return h.vms[first+(q.Caller+attempt)%dc.VMs]
 		}
 		first += dc.VMs
 	}
--- a/internal/live/report.go
+++ b/internal/live/report.go
@@ -22,30 +22,33 @@
 type outcome int
 
 const (
-	onTime outcome = iota + 1
+	// inTime is a complete answer within the objectives of its class, late another complete
+	// answer, refused a refusal of the last attempt, and failed any other outcome.
+	inTime outcome = iota + 1
 	late
 	refused
 	failed
 )
 
-// outcomeOf returns the outcome of a request from the reply to its last try, which was sent
+// outcomeOf returns the outcome of a request from the response to its last attempt, which was sent
 // retryDelay after the first one.
-func outcomeOf(s *model.Site, q *model.Request, class *model.Class, reply platformtest.LiveResult, retryDelay time.Duration, wasRefused bool) outcome {
+func outcomeOf(s *model.Site, q *model.Request, class *model.Class, response platformtest.LiveResult, retryDelay time.Duration, wasRefused bool) outcome {
 	switch {
 	case wasRefused:
 		return refused
-	case reply.Err != nil || reply.Status != http.StatusOK || reply.Events != q.Output/s.Engine.EventTokens:
+	case response.Err != nil || response.Status != http.StatusOK || response.Events != q.Output/s.Engine.EventTokens:
 		return failed
-	case retryDelay+reply.First > millis(class.AimMS) || (class.GapMS > 0 && reply.LongestGap > millis(class.GapMS)):
+	case retryDelay+response.First > millis(class.AimMS) || (class.GapMS > 0 && response.LongestGap > millis(class.GapMS)):
 		return late
 	}
-	return onTime
+	return inTime
 }
 
 // Measure is a measure of the size of requests.
 type Measure string
 
-// The measures of size.
+// The measures of size: the tokens of the prompt, those of the answer, the bytes of the request
+// body, and the weighted sum of prompt and answer tokens.
 const (
 	ByPrompt Measure = "prompt tokens"
 	ByAnswer Measure = "answer tokens"
@@ -77,7 +80,7 @@
 	// mu protects the fields below while requests are being added.
 	mu       sync.Mutex
 	outcomes [][]requestOutcome
-	// causes counts the failed requests by their cause as seen by the callers.
+	// causes counts the failed requests by their cause as seen by the callers; see causeOf.
 	causes map[string]int
 	// maxLag is the longest delay of an engine event that a busy host caused.
 	maxLag time.Duration
@@ -88,31 +91,33 @@
 	return &Report{site: s, outcomes: make([][]requestOutcome, len(s.Classes)), causes: make(map[string]int)}
 }
 
-// add adds a request with its outcome and the reply to its last try.
-func (r *Report) add(q *model.Request, e outcome, reply platformtest.LiveResult) {
+// add adds a request with its outcome and the response to its last attempt.
+func (r *Report) add(q *model.Request, o outcome, response platformtest.LiveResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e == failed {
-		r.causes[causeOf(reply)]++
+	if o == failed {
+		r.causes[causeOf(response)]++
 	}
-	r.outcomes[q.Class] = append(r.outcomes[q.Class], requestOutcome{request: q, outcome: e})
+	r.outcomes[q.Class] = append(r.outcomes[q.Class], requestOutcome{request: q, outcome: o})
 }
 
-// causeOf returns the cause of a failure as seen by the caller.
-func causeOf(reply platformtest.LiveResult) string {
+// causeOf returns the cause of a failure as seen by the caller: an error of the call, or else the
+// HTTP status.
+func causeOf(response platformtest.LiveResult) string {
 	switch {
-	case errors.Is(reply.Err, context.DeadlineExceeded):
+	case errors.Is(response.Err, context.DeadlineExceeded):
 		return "deadline"
-	case reply.Err != nil && reply.Events > 0:
+	case response.Err != nil && response.Events > 0:
 		return "broken_off"
-	case reply.Err != nil:
+	case response.Err != nil:
 		return "no_answer"
 	}
-	return strconv.Itoa(reply.Status)
+	return strconv.Itoa(response.Status)
 }
 
-// ServedByTenth sorts the requests of a class by a measure and returns the served share of each
-// tenth, the largest requests first, and of the whole class.
+// ServedByTenth sorts the requests of a class by a measure. It returns the fraction of requests
+// served in each tenth, the largest requests first, and in the whole class. class is an index into
+// Site.Classes.
 func (r *Report) ServedByTenth(class int, m Measure) (tenths [10]float64, all float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,30 +130,31 @@
 	return tenths, servedShare(sorted)
 }
 
-// servedShare returns the share of requests that were answered completely, on time or late.
+// servedShare returns the fraction of requests that were answered completely, in time or late.
 func servedShare(outcomes []requestOutcome) float64 {
 	n := 0
-	for _, e := range outcomes {
-		if e.outcome == onTime || e.outcome == late {
+	for _, o := range outcomes {
+		if o.outcome == inTime || o.outcome == late {
 			n++
 		}
 	}
 	return float64(n) / float64(max(len(outcomes), 1))
 }
 
-// Underserved is a class whose large requests were served less than half as often as the class.
+// Underserved is a size band of a class whose requests were served less than half as often as those
+// of the whole class.
 type Underserved struct {
 	Class   string
 	Measure Measure
-	// Band names the size band of these requests: the largest tenth or the next fifth.
+	// Band names the size band: the largest tenth or the next fifth.
 	Band string
-	// Share is the served share of the band, and All that of the class.
+	// Share is the fraction of requests served in the band, and All the one in the class.
 	Share float64
 	All   float64
 }
 
-// Underserved returns the classes whose largest tenth, or the fifth below it, was served less
-// than half as often as the class.
+// Underserved returns the size bands, by each measure, that were served less than half as often as
+// their class: the largest tenth or the fifth below it. All requests must have been added.
 func (r *Report) Underserved() []Underserved {
 	var out []Underserved
 	for i, c := range r.site.Classes {
@@ -167,18 +173,19 @@
 	return out
 }
 
-// Write writes the outcomes of each class and the served share of each tenth as text.
+// Write writes the outcomes of each class and the fraction served of each tenth as text. All
+// requests must have been added.
 func (r *Report) Write(out io.Writer) error {
 	var b strings.Builder
 	for i, c := range r.site.Classes {
 		if c.Plain {
 			continue
 		}
-		var ends [failed + 1]int
-		for _, e := range r.outcomes[i] {
-			ends[e.outcome]++
+		var counts [failed + 1]int
+		for _, o := range r.outcomes[i] {
+			counts[o.outcome]++
 		}
-		fmt.Fprintf(&b, "%s: asked=%d on_time=%d late=%d refused=%d failed=%d\n", c.Name, len(r.outcomes[i]), ends[onTime], ends[late], ends[refused], ends[failed])
+		fmt.Fprintf(&b, "%s: asked=%d on_time=%d late=%d refused=%d failed=%d\n", c.Name, len(r.outcomes[i]), counts[inTime], counts[late], counts[refused], counts[failed])
 		for _, m := range Measures() {
 			tenths, all := r.ServedByTenth(i, m)
 			fmt.Fprintf(&b, "  served by %s, largest tenth first:", m)
--- a/internal/live/world.go
+++ b/internal/live/world.go
@@ -27,20 +27,20 @@
 	// startTimeout limits the start of all VMs, and readyCheckTimeout one readiness check.
 	startTimeout      = 20 * time.Second
 	readyCheckTimeout = 500 * time.Millisecond
-	// busyPeriod is the period within which a busy VM gets its share of the processor, as with
-	// a scheduler's CPU quota.
+	// busyPeriod is the period of the stops of a busy VM. The VM is stopped once in each period and
+	// runs for the rest, as under a scheduler's CPU quota.
 	busyPeriod = 100 * time.Millisecond
 )
 
-// Config describes what to play.
+// Config describes what to play: a day of a site, with requests generated from Seed.
 type Config struct {
 	Site *model.Site
 	Day  *model.Day
 	Seed uint64
-	// Busy is the share of each busyPeriod, a tenth of a second, for which the process of each
+	// Busy is the fraction of each busyPeriod, a tenth of a second, for which the process of each
 	// VM is stopped. The VMs are stopped at different times. 0 stops none.
 	Busy float64
-	// Bin is the folder of the programs, and Dir the one for settings and logs.
+	// Bin is the directory of the programs, and Dir the one for settings and logs.
 	Bin string
 	Dir string
 }
@@ -62,7 +62,8 @@
 	callers *platformtest.LiveCallers
 }
 
-// Run plays the day and returns the outcomes of its requests.
+// Run plays the day and returns the outcomes of its requests. It returns an error if an engine or a
+// VM does not start.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	h := &harness{
 		cfg: cfg, store: platformtest.NewStore(), cluster: proc.NewCluster(cfg.Dir, cfg.Bin, proc.NewPorts()),
@@ -101,7 +102,8 @@
 	h.store.Close()
 }
 
-// startEngines starts the engines of each data centre; the site's share of them prefills.
+// startEngines starts and lists the engines of each data centre. As many of them prefill as
+// Site.PrefillEngines returns.
 func (h *harness) startEngines() error {
 	s := h.cfg.Site
 	for _, dc := range s.DataCentres {
@@ -122,7 +124,7 @@
 	return nil
 }
 
-// listEngine writes an engine's entry to the list of targets in the store.
+// listEngine writes an engine's row to the table of targets in the store.
 func (h *harness) listEngine(e *platformtest.LiveEngine, dataCentre string) {
 	h.store.Put(platformtest.TableTargets, e.ID, e.Row(platformtest.ServiceModel, dataCentre))
 }
@@ -148,7 +150,7 @@
 	})
 }
 
-// startVM starts the next VM.
+// startVM starts the garnet-node process of the next VM, without waiting until it is ready.
 func (h *harness) startVM(dataCentre string) error {
 	addrs, err := h.cluster.Addrs(4)
 	if err != nil {
@@ -167,8 +169,9 @@
 	return nil
 }
 
-// stopPeriodically stops a VM's process for a part of each busyPeriod, as if other processes used
-// its processor. The VMs' stops are spread over the period.
+// stopPeriodically stops a VM's process for the fraction Config.Busy of each busyPeriod, as if
+// other processes used its processor. index is the VM's index; the stops of the VMs are spread over
+// the period.
 func (h *harness) stopPeriodically(ctx context.Context, v *vm, index int) {
 	kernel.Sleep(ctx, busyPeriod*time.Duration(index)/time.Duration(len(h.vms)))
 	stopped := time.Duration(h.cfg.Busy * float64(busyPeriod))
@@ -182,11 +185,14 @@
 	})
 }
 
-// tryID returns the request id of a try, counted from 0. The id holds the number of tokens of
-// the answer, from which engines learn how long an answer to produce.
-func tryID(request, try, tokens int) string { return fmt.Sprintf("r%d-%d-%d", request, try, tokens) }
+// attemptID returns the request id of an attempt. request is the number of the request, and attempt
+// counts its attempts from 0. The id holds the number of tokens of the answer, from which engines
+// learn how long an answer to produce.
+func attemptID(request, attempt, tokens int) string {
+	return fmt.Sprintf("r%d-%d-%d", request, attempt, tokens)
+}
 
-// answerTokens returns the number of answer tokens that a request id holds.
+// answerTokens returns the number of answer tokens that a request id holds, or 1 if it holds none.
 func answerTokens(id string) int {
 	tokens, err := strconv.Atoi(id[strings.LastIndexByte(id, '-')+1:])
 	if err != nil {
