--- a/internal/soak/accounts.go
+++ b/internal/soak/accounts.go
@@ -21,7 +21,7 @@
 	usageWindow      = time.Second
 	usageReportDelay = 10 * time.Second
 	// cloudCallsPerS limits the calls per second that all VMs together make for the platform
-	// duties.
+	// duties: work for the platform, such as reporting usage, that one VM at a time does for all.
 	cloudCallsPerS = 50
 )
 
@@ -69,8 +69,8 @@
 // One request in revokedKeyEvery carries the most recently revoked key, if there is one.
 const revokedKeyEvery = 3
 
-// drawKey returns a random account and one of its keys, or the most recently revoked key and no
-// account.
+// drawKey returns a random account and one of its keys, or the most recently revoked key and an
+// empty account.
 func (k *keyring) drawKey() (account, key string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -81,7 +81,8 @@
 	return accountName(i), k.active[i][rand.IntN(len(k.active[i]))]
 }
 
-// rotate revokes an account's oldest key, gives the account a new one and returns the old key.
+// rotate removes an account's oldest key from active, gives the account a new key and returns the
+// old one. account is taken modulo the number of accounts.
 func (k *keyring) rotate(account int) (removed string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -91,8 +92,8 @@
 	return removed
 }
 
-// revokeKey revokes a key by writing a new configuration version. account is taken modulo the
-// number of accounts.
+// revokeKey revokes an account's oldest key by writing a new configuration version without it.
+// account is taken modulo the number of accounts. It does nothing in runs without client accounts.
 func (h *harness) revokeKey(account int) {
 	if h.keys == nil {
 		return
@@ -105,7 +106,8 @@
 	h.check.KeyRevoked(key, h.now())
 }
 
-// configureAccounts adds the settings that client accounts and platform duties need.
+// configureAccounts adds to cfg the settings that client accounts and platform duties need, in runs
+// that have them.
 func (h *harness) configureAccounts(cfg *settings.Node) {
 	if h.keys == nil {
 		return
@@ -124,8 +126,8 @@
 	e.Inspect(func(id, key, account string) { h.check.CheckAccount(id, key, account, h.now()) })
 }
 
-// checkDuties checks the calls that the platform received for the duties, and that every usage
-// window whose report is due was reported.
+// checkDuties checks the calls that the platform received for the platform duties, and that every
+// usage window whose report is due was reported.
 func (h *harness) checkDuties() {
 	if h.keys == nil {
 		return
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -19,6 +19,8 @@
 const (
 	// callTimeout is how long a caller waits for an answer. The routes allow the same time.
 	callTimeout = 2 * time.Second
+	// dialTimeout limits the time to connect to a VM, and askTimeout that of a readiness check while
+	// the harness waits for all VMs to be ready.
 	dialTimeout = 500 * time.Millisecond
 	askTimeout  = 500 * time.Millisecond
 	// requestsPerConnection is the number of requests that a caller sends on one connection.
@@ -31,7 +33,7 @@
 	failedPollLimit = 2
 	// probeInterval is how often each VM is asked which configuration version is in force.
 	probeInterval = 150 * time.Millisecond
-	// longPrompt and shortPrompt are lengths of prompts in tokens.
+	// longPrompt and shortPrompt are the prompt lengths of requests to engines, in tokens.
 	longPrompt  = 9000
 	shortPrompt = 200
 	// One request in sharedBodyEvery has the same body as others of its kind.
@@ -48,7 +50,8 @@
 }
 
 // requestKind is a kind of request that callers send. tokens is the length of the prompt, 0 for a
-// plain call.
+// request to a plain target. probe marks the requests that find out which configuration version is
+// in force.
 type requestKind struct {
 	route         string
 	nonIdempotent bool
@@ -133,7 +136,7 @@
 	return reply
 }
 
-// newAnswer converts a reply to what the checker needs to know of it.
+// newAnswer converts what a caller received to what the checker needs to know of it.
 func newAnswer(id string, kind requestKind, r platformtest.Result) Answer {
 	var timeout net.Error
 	switch {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -1,5 +1,6 @@
-// Package soak runs real garnet-node processes against stand-ins, injects faults from outside that
-// are derived from a seed, and checks invariants meanwhile from what callers and targets observe.
+// Package soak runs real garnet-node processes against stand-ins for the store, the targets and the
+// platform. It injects faults, derived from a seed, from outside the processes, and meanwhile checks
+// invariants from what callers and targets observe.
 package soak
 
 import (
@@ -92,7 +93,8 @@
 	Whole  bool
 }
 
-// request is what the checker knows of a request. ranOn lists the targets that ran it.
+// request is what the checker knows of a request: sent to vm at the time sent, and run by the
+// targets in ranOn, in this order. ending is 0 until a target's work on it has ended.
 type request struct {
 	nonIdempotent bool
 	vm            string
@@ -104,8 +106,8 @@
 	// empty if key may have been revoked.
 	account string
 	key     string
-	// cutAt is when the caller received a truncated answer while the target was still working on
-	// it, 0 if that did not happen.
+	// cutAt is when the caller's answer was truncated while the target was still working on the
+	// request, 0 if that did not happen.
 	cutAt time.Duration
 }
 
@@ -122,7 +124,8 @@
 	BrokenOff
 )
 
-// acceptedOrder is the latest order that an engine accepted.
+// acceptedOrder is the latest order that an engine accepted from a lease holder. fence is its
+// fencing number, which grows with each change of the holder.
 type acceptedOrder struct {
 	holder string
 	fence  uint64
@@ -147,8 +150,8 @@
 	lastVersions map[string]observedVersion
 	written      []observedVersion
 	disturbances map[string][]interval
-	// crashes holds, by crashing request, when it crashed targets, and lateSends how often it was
-	// sent on after crashContainBound.
+	// A crashing request crashes each target that begins to run it. crashes holds the times of the
+	// crashes by crashing request, and lateSends how often it was sent on after crashContainBound.
 	crashes   map[string][]time.Duration
 	lateSends map[string]int
 	// revokedAt holds the time of revocation by key.
@@ -268,7 +271,8 @@
 		"%s of %s reaches a target as %s, key told: %t", id, r.account, account, key != "")
 }
 
-// CheckDuty checks a call that one VM makes for all; what describes the violation.
+// CheckDuty records a check of the platform duties, which one VM does for all. ok is the result, and
+// what describes the violation if it is false.
 func (c *Checker) CheckDuty(ok bool, what string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -355,7 +359,8 @@
 	c.leavingSince[engine] = at
 }
 
-// Arrived checks that a target may receive a request.
+// Arrived checks that a target may receive a request: that the target did not begin to leave more
+// than leaveBound ago, and that the request is not a crashing one that should be contained.
 func (c *Checker) Arrived(id, engine string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -369,8 +374,8 @@
 		"%s reaches %s from %s %s after it began to leave", id, engine, r.vm, at-since)
 }
 
-// TargetCrashed records that a crashing request ended a target, which counts as disturbed until the
-// given time.
+// TargetCrashed records that a crashing request crashed a target at the time at. The target counts
+// as disturbed until the time until.
 func (c *Checker) TargetCrashed(request, engine string, at, until time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -378,8 +383,9 @@
 	c.disturbances[engine] = append(c.disturbances[engine], interval{at, until})
 }
 
-// checkContained checks that a VM may still send a crashing request on. Requests of disturbed VMs
-// do not count as late. The caller must hold c.mu.
+// checkContained checks that a crashing request which a target receives was not sent on more often
+// than crashLimit, crashContainBound and lateSendLimit allow. Requests from disturbed VMs do not
+// count as late. The caller must hold c.mu.
 func (c *Checker) checkContained(id string, r *request, at time.Duration) {
 	request, crashing := crashingRequestOf(id)
 	crashes := c.crashes[request]
@@ -413,7 +419,7 @@
 	}
 }
 
-// UnexpectedExit records that a VM's process exited without having been signalled.
+// UnexpectedExit records, as a violation, that a VM's process exited without having been signalled.
 func (c *Checker) UnexpectedExit(vm string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -440,7 +446,8 @@
 	}
 }
 
-// CheckRecovery checks that a VM serves at least nine in ten requests after the last fault.
+// CheckRecovery checks that a VM served at least nine in ten of the requests that it was sent after
+// the last fault.
 func (c *Checker) CheckRecovery(vm string, served, asked int, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -12,9 +12,9 @@
 // s keeps the times in the tables short.
 const s = time.Second
 
-// Feeds the checker sequences of events that violate one invariant each, and similar ones that
-// violate none.
-func TestChecksRefuseBrokenHistories(t *testing.T) {
+// The checker finds the violation in sequences of events that violate one invariant each, and none
+// in similar sequences that violate no invariant.
+func TestCheckerFindsViolations(t *testing.T) {
 	good := soak.Answer{Succeeded: true, Engine: "e1", Whole: true}
 	cases := []struct {
 		name     string
@@ -52,10 +52,10 @@
 		{"orders of two holders close together",
 			func(c *soak.Checker) { c.OrderAccepted("e1", "a", 1, 0); c.OrderAccepted("e1", "b", 2, s) },
 			soak.OneHolder},
-		{"lower fence after a higher one",
+		{"lower fencing number after a higher one",
 			func(c *soak.Checker) { c.OrderAccepted("e1", "a", 2, 0); c.OrderAccepted("e1", "a", 1, 9*s) },
 			soak.OneHolder},
-		{"two holders with the same fence",
+		{"two holders with the same fencing number",
 			func(c *soak.Checker) { c.OrderAccepted("e1", "a", 1, 0); c.OrderAccepted("e1", "b", 1, 9*s) },
 			soak.OneHolder},
 		{"request soon after the target began to leave",
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// crashingBody is a body that ends each target as it begins to run the request.
-	// crashingRequestGap is the pause between two attempts.
+	// crashingBody is a body that crashes each target as it begins to run the request.
+	// crashingRequestGap is the pause between two attempts to have such a request served.
 	crashingBody       = "deadly"
 	crashingRequestGap = 100 * time.Millisecond
 	// crashingIDPrefix is the prefix of the ids of such attempts.
 	crashingIDPrefix = "deadly-"
 )
 
-// crashingRequests are the crashing requests, one for each variant: each has a route of its own.
+// crashingRequests are the crashing requests, one for each variant of the fault CrashingRequest.
+// Each has a route of its own, which names it.
 var crashingRequests = []requestKind{{route: "once", nonIdempotent: true, tokens: shortPrompt},
 	{route: "unsafe", nonIdempotent: true}, {route: "long", tokens: shortPrompt}}
 
@@ -50,8 +51,8 @@
 	}
 }
 
-// crashingRequestOf returns the name of the crashing request that an attempt belongs to, or false
-// if id is not that of such an attempt.
+// crashingRequestOf returns the name of the crashing request that the attempt with the given id
+// belongs to, or false if id is not that of such an attempt.
 func crashingRequestOf(id string) (string, bool) {
 	rest, ok := strings.CutPrefix(id, crashingIDPrefix)
 	if !ok {
@@ -61,7 +62,8 @@
 	return route, true
 }
 
-// replaceCrashed starts a new target in place of one that a crashing request has ended.
+// replaceCrashed starts a new target in place of one that a crashing request has crashed, after
+// targetRestartDelay.
 func (h *harness) replaceCrashed(s *slot, e *platformtest.Engine) {
 	s.mu.Lock()
 	here := s.engine == e && !s.unavailable
--- a/internal/soak/deal.go
+++ b/internal/soak/deal.go
@@ -12,7 +12,8 @@
 	"garnethoist.org/garnethoist/platform/platformtest"
 )
 
-// The variants of the faults of the store, of open connections, links and targets.
+// The variants of the faults StoreFault, StoreSilence and TargetSilence, StoreLink and TargetLink,
+// and TargetFault.
 var (
 	storeFaults = []platformtest.Fault{
 		platformtest.FaultBusy, platformtest.FaultLimited, platformtest.FaultSilent,
@@ -146,7 +147,7 @@
 }
 
 // expectExit marks the exit of a VM's process as expected. It returns the process and its
-// incarnation, or nil if none is running.
+// incarnation, or nil and 0 if none is running.
 func (h *harness) expectExit(v *vm) (*proc.Process, int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -215,8 +216,9 @@
 	r.Heal()
 }
 
-// silenceConnections silences the connections that are open now. Only requests on them may be cut:
-// later ones have the full time to be answered.
+// silenceConnections silences the connections of a link that are open now. subject counts as
+// disturbed at this moment only, so only the requests on these connections may be cut: later ones
+// have the full time to be answered.
 func (h *harness) silenceConnections(r *proc.Relay, subject string, f Fault) {
 	h.check.Disturbed(subject, h.now(), h.now())
 	r.Inject(silenceFaults[f.Variant%len(silenceFaults)])
@@ -279,7 +281,8 @@
 	h.replaceTarget(s, e)
 }
 
-// crashTarget ends a target without warning. Its entry is removed only after crashedEntryTTL.
+// crashTarget closes a target without warning. Its entry is removed, and another target started in
+// its place, only after crashedEntryTTL.
 func (h *harness) crashTarget(ctx context.Context, s *slot) {
 	e := h.takeTarget(s)
 	if e == nil {
@@ -292,7 +295,7 @@
 	h.replaceTarget(s, e)
 }
 
-// restartTarget ends a target without warning and starts it again under the same id.
+// restartTarget closes a target without warning and starts it again under the same id.
 func (h *harness) restartTarget(ctx context.Context, s *slot) {
 	e := h.takeTarget(s)
 	if e == nil {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -23,7 +23,8 @@
 	ChangeSettings FaultKind = "vm_settings"
 	// StoreFault makes the store misbehave for a time.
 	StoreFault FaultKind = "store_fault"
-	// StoreDropsHistory makes the store drop the history of its changes.
+	// StoreDropsHistory makes the store drop the history of its changes, so that VMs must list its
+	// tables again.
 	StoreDropsHistory FaultKind = "store_forgets"
 	// StoreLink disturbs the link from one VM to the store, and TargetLink that to a target.
 	StoreLink  FaultKind = "store_link"
@@ -36,11 +37,11 @@
 	TargetFault FaultKind = "target_fault"
 	// TargetLeaves: a target leaves as planned, and another one replaces it.
 	TargetLeaves FaultKind = "target_leaves"
-	// TargetCrashes: a target ends, and another one gets its address.
+	// TargetCrashes: a target crashes, and another one gets its address.
 	TargetCrashes FaultKind = "target_crashes"
 	// TargetRestarts: a target crashes and starts again under its id. ForeignEntries: another
 	// program writes entries, also over those of targets, which write theirs again. Only explicit
-	// plans contain these two: a seed that failed must keep its plan.
+	// plans (Config.Faults) contain these two, so that a seed that once failed keeps its plan.
 	TargetRestarts FaultKind = "target_reborn"
 	ForeignEntries FaultKind = "foreign_entries"
 	// CrashingRequest: a request that crashes each target that runs it is sent again and again.
@@ -67,7 +68,7 @@
 	Variant int
 }
 
-// weightedKinds lists each kind as often as its share among all faults requires.
+// weightedKinds contains each kind as often as its share among all faults requires.
 var weightedKinds = []FaultKind{
 	StopVM, StopVM, KillVM, PauseVM, PauseVM, ChangeSettings, StoreFault, StoreFault,
 	StoreDropsHistory, StoreLink, StoreLink, TargetLink,
@@ -91,13 +92,13 @@
 	repeatChance = 0.25
 )
 
-// plannedKinds lists the kinds after which every invariant holds at once, and faults of targets,
-// during which the VMs must keep every invariant.
+// plannedKinds contains the kinds that are planned operations, after which every invariant holds
+// without delay, and faults of targets, during which the VMs must keep every invariant.
 var plannedKinds = []FaultKind{StopVM, StopVM, ChangeSettings, TargetFault, TargetFault,
 	TargetLeaves, TargetLeaves, ChangeConfig, ConfigStorm}
 
-// One seed in plannedOnlyEvery has planned kinds only: time bounds are checked on undisturbed VMs,
-// of which other seeds have few.
+// One seed in plannedOnlyEvery draws from plannedKinds only: time bounds are checked on undisturbed
+// VMs, of which other seeds have few.
 const plannedOnlyEvery = 3
 
 // One seed in rollingStopEvery stops all VMs in turn, at the time of the first fault and halfway:
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -106,6 +106,7 @@
 	_ = h.awaitReady(ready)
 	kernel.Sleep(ready, settleTime)
 	var last idSource
+	// The callers have not used ids as high as these.
 	last.n.Store(1 << 40)
 	for _, v := range h.vms {
 		served := 0
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -24,7 +24,8 @@
 		func(dir string) { binDir = dir }, m.Run))
 }
 
-// The seeds of every test run: one for CI, then each that ever failed, with its cause.
+// seeds are the seeds of every test run: one for CI, then each that ever failed, with the cause of
+// the failure.
 var seeds = []struct {
 	seed  uint64
 	cause string
@@ -34,6 +35,7 @@
 	{105, "requests that waited for a hung target were cut when a stopping VM's grace ended"},
 }
 
+// A soak run of 14 seconds violates no invariant, with the plan of each seed in seeds.
 func TestShortSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -109,9 +111,9 @@
 	}
 }
 
-// Targets restart under their ids in the middle of their work, and another program writes into the
-// target list, while VMs are stopped and killed.
-func TestTargetsBornAgainAndForeignEntries(t *testing.T) {
+// No invariant is violated while targets restart under their ids in the middle of their work,
+// another program writes entries of targets, and VMs are stopped and killed.
+func TestRestartedTargetsAndForeignEntries(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
@@ -129,6 +131,8 @@
 	runSoak(t, soak.Config{Seed: 1, Length: 13 * time.Second, Faults: plan, Ports: proc.NewPorts()})
 }
 
+// The same seed gives the same plan and another seed another one. A long plan has faults of all
+// weighted kinds and both kinds of silence; rolling stops are only in the plans of some seeds.
 func TestPlanFollowsItsSeed(t *testing.T) {
 	is := is.New(t)
 	is.True(reflect.DeepEqual(soak.Plan(7, time.Minute), soak.Plan(7, time.Minute)))
@@ -151,6 +155,7 @@
 	return n
 }
 
+// The report prints the seed, the counts and the violations, and the timeline shows the faults.
 func TestReport(t *testing.T) {
 	is := is.New(t)
 	r := soak.Report{
@@ -169,9 +174,9 @@
 	is.True(strings.Contains(svg.String(), "vm_kill at 2s for 1s"))
 }
 
-// Requests that crash each target that runs them are sent again and again, while VMs are killed,
-// stopped and paused and the store is unavailable.
-func TestDeadlyRequestsAreContained(t *testing.T) {
+// Requests that crash each target that runs them are refused after a few crashes, although they are
+// sent again and again while VMs are killed, stopped and paused and the store is unavailable.
+func TestCrashingRequestsAreContained(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
@@ -200,9 +205,9 @@
 	is.True(refused > 0)
 }
 
-// Keys are revoked while VMs are cut off from the store, paused, killed and stopped, among them the
-// holder of the platform duties. Keys are also revoked while the store answers nobody, so that no
-// VM can learn of it, and while its answers are lost.
+// No invariant is violated while keys are revoked and VMs, among them the one that does the platform
+// duties, are cut off from the store, paused, killed and stopped. Keys are also revoked while the
+// store answers nobody, so that no VM can learn of it, and while its responses are lost.
 func TestRevokedKeysAndDuties(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -21,7 +21,7 @@
 	restartDelay = 200 * time.Millisecond
 	// settleTime is how long a VM still counts as disturbed after its start.
 	settleTime = time.Second
-	// stageChangeTime is how long an engine takes to change its stage.
+	// stageChangeTime is how long an engine takes to change its stage (prefill or decode).
 	stageChangeTime = 500 * time.Millisecond
 	// crashedEntryTTL is how long the entry of a crashed target remains.
 	crashedEntryTTL = 1500 * time.Millisecond
@@ -42,7 +42,9 @@
 	cfg       *settings.Node
 	storeLink *proc.Relay
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// process is the latest process, startedAt when it was started, and incarnation how many
+	// processes of the VM were started so far.
 	process     *proc.Process
 	startedAt   time.Time
 	incarnation int
@@ -68,7 +70,9 @@
 	link    *proc.Relay
 	address string
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// engine is the stand-in of the current target, which may also be a plain one. incarnation counts
+	// the ids that were given to targets of the slot.
 	engine      *platformtest.Engine
 	incarnation int
 	// unavailable is set while the target leaves or has crashed.
@@ -97,7 +101,8 @@
 	keys  *keyring
 	cloud *platformtest.Cloud
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// version is the newest configuration version.
 	version int
 	// storeFaultSeq numbers the faults of the store, so that the end of an older fault does not end
 	// a newer one.
@@ -266,7 +271,7 @@
 	return h.stopping
 }
 
-// close ends everything that the harness started.
+// close stops everything that the harness started.
 func (h *harness) close() {
 	h.mu.Lock()
 	h.stopping = true
@@ -367,7 +372,8 @@
 	o.h.check.Ended(id, workEndings[how])
 }
 
-// Ordered makes the engine change its stage after stageChangeTime.
+// Ordered implements platformtest.Observer. It also makes the engine change its stage after
+// stageChangeTime.
 func (o observer) Ordered(e *platformtest.Engine, order platformtest.Order) {
 	o.h.check.OrderAccepted(e.ID, order.Holder, order.Fence, o.h.now())
 	time.AfterFunc(stageChangeTime, func() {
