--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -20,7 +20,8 @@
 )
 
 const (
-	vmCount     = 3
+	vmCount = 3
+	// stopGrace is the time that a process has between SIGTERM and SIGKILL.
 	stopGrace   = 4 * time.Second
 	callerCount = 6
 	// phaseLength is how long each mix of requests lasts, and callerPause a caller's pause between
@@ -30,7 +31,9 @@
 	callerPause = 20 * time.Millisecond
 	// callTimeout is how long a caller waits for an answer. The routes allow the same time.
 	callTimeout = 2 * time.Second
+	// dialTimeout limits the time to connect to a VM, and that of one readiness check.
 	dialTimeout = 500 * time.Millisecond
+	// shortPrompt and longPrompt are prompt lengths in tokens.
 	shortPrompt = 200
 	longPrompt  = 9000
 )
@@ -50,7 +53,8 @@
 	process *proc.Process
 }
 
-// harness runs the VMs and the stand-ins for the store and the targets.
+// harness runs the VMs and the stand-ins for the store and the targets. plain is one of the plain
+// targets, and decodeEngine one of the decode engines.
 type harness struct {
 	out          io.Writer
 	store        *platformtest.Store
@@ -60,7 +64,8 @@
 	decodeEngine *platformtest.Engine
 	targets      []*platformtest.Engine
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// requests is the number of request ids that were given out.
 	requests int
 }
 
@@ -75,7 +80,7 @@
 		return err
 	}
 	fmt.Fprintf(h.out, "%d VMs serve %d targets\n", len(h.vms), len(h.targets))
-	for _, step := range []func(context.Context) error{h.shiftMix, h.changeConfig, h.loseVMs, h.explain} {
+	for _, step := range []func(context.Context) error{h.shiftMix, h.changeConfig, h.stopAndKillVMs, h.explainBrokenStream} {
 		if err := step(ctx); err != nil {
 			return err
 		}
@@ -83,6 +88,7 @@
 	return nil
 }
 
+// close stops the VMs and the stand-ins.
 func (h *harness) close() {
 	h.cluster.StopAll(stopGrace)
 	for _, e := range h.targets {
@@ -139,7 +145,8 @@
 	return nil
 }
 
-// send sends one request to a VM on a new connection.
+// send sends one request to a VM on a new connection. tokens is the length of the prompt, 0 for a
+// request to a plain target.
 func (h *harness) send(v *vm, id, path string, tokens int) platformtest.Result {
 	c, err := platformtest.DialCaller(string(v.cfg.Listen), dialTimeout)
 	if err != nil {
@@ -149,7 +156,7 @@
 	return c.Do(platformtest.Call{ID: id, Path: path, Tokens: tokens, Timeout: callTimeout})
 }
 
-// shiftMix serves long prompts first, then short ones, then plain calls.
+// shiftMix has callers send long prompts first, then short ones, then requests to plain targets.
 func (h *harness) shiftMix(ctx context.Context) error {
 	for _, mix := range []struct {
 		name   string
@@ -208,8 +215,8 @@
 	return nil
 }
 
-// loseVMs stops one VM as planned and kills another while callers send requests.
-func (h *harness) loseVMs(ctx context.Context) error {
+// stopAndKillVMs stops one VM as planned and kills another while callers send requests.
+func (h *harness) stopAndKillVMs(ctx context.Context) error {
 	if err := h.vms[0].process.Terminate(); err != nil {
 		return errors.Wrap(err, "stop a VM")
 	}
@@ -224,8 +231,9 @@
 	return nil
 }
 
-// explain has a target cut off a stream and prints the VM's log line that gives the reason.
-func (h *harness) explain(ctx context.Context) error {
+// explainBrokenStream has a target break off a stream and prints the VM's log line that gives the
+// reason.
+func (h *harness) explainBrokenStream(ctx context.Context) error {
 	for _, e := range h.targets {
 		e.SetFault(platformtest.EngineCuts)
 	}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -21,8 +21,8 @@
 		func(dir string) { binDir = dir }, m.Run))
 }
 
-// Every request of each phase is answered completely, and the log line of the failed request is
-// printed.
+// In each phase every request gets a complete answer, the new route comes into force at all VMs,
+// and the log line of the stream that broke off is printed.
 func TestDemo(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -10,8 +10,8 @@
 	"garnethoist.org/garnethoist/platform/platformtest"
 )
 
-// outcomes counts answers by status and collects the durations of successful requests. It is safe
-// for concurrent use.
+// outcomes counts answers by status and collects the durations of successful requests. counts also
+// has a key for requests without a complete answer. It is safe for concurrent use.
 type outcomes struct {
 	mu        sync.Mutex
 	counts    map[string]int
@@ -20,7 +20,7 @@
 
 func newOutcomes() *outcomes { return &outcomes{counts: make(map[string]int)} }
 
-// add counts one answer, which came after the given duration.
+// add counts the answer to one request, which took the given duration.
 func (o *outcomes) add(r platformtest.Result, took time.Duration) {
 	what := fmt.Sprint(r.Status)
 	if r.Err != nil {
--- a/internal/proc/cluster.go
+++ b/internal/proc/cluster.go
@@ -35,7 +35,8 @@
 	return &Cluster{Dir: dir, Bin: bin, ports: ports}
 }
 
-// Run writes cfg as the settings file of the process called name and starts the program with it.
+// Run writes cfg as the settings file of the process called name and starts the program, a file
+// name in Bin, with it.
 func (c *Cluster) Run(program, name string, cfg any) (*Process, error) {
 	if err := c.Write(name, cfg); err != nil {
 		return nil, err
@@ -52,13 +53,14 @@
 	return errors.Wrap(os.WriteFile(filepath.Join(c.Dir, name+".json"), data, 0o644), "write settings")
 }
 
-// Rerun starts a program with the settings file that an earlier Run or Write wrote.
+// Rerun starts a program with the settings file that an earlier Run or Write wrote for the process
+// called name.
 func (c *Cluster) Rerun(program, name string) (*Process, error) {
 	path := filepath.Join(c.Dir, name+".json")
 	return c.Exec(name, filepath.Join(c.Bin, program), "--settings", path)
 }
 
-// Exec starts any binary as a process of the cluster.
+// Exec starts any binary as the process called name of the cluster.
 func (c *Cluster) Exec(name, binary string, args ...string) (*Process, error) {
 	var env []string
 	if c.Env != nil {
@@ -87,6 +89,7 @@
 	}
 }
 
+// stopProcess sends SIGTERM to p, and SIGKILL if it does not exit within grace.
 func stopProcess(p *Process, grace time.Duration) {
 	if p.Exited() || p.Terminate() != nil {
 		return
@@ -118,7 +121,8 @@
 	}
 }
 
-// Ready returns a function that checks that url answers 200.
+// Ready returns a function for WaitFor that returns an error unless a GET of url gets a response
+// with status 200.
 func Ready(url string) func(context.Context) error {
 	return func(ctx context.Context) error {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
--- a/internal/proc/control_bench_test.go
+++ b/internal/proc/control_bench_test.go
@@ -17,8 +17,9 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
-// BenchmarkControl prints the cost of the control plane per VM, for "make bench": real stewards on
-// loopback with the default intervals, in one data centre, and the platform's reads and writes.
+// BenchmarkControl prints the cost of the control plane per VM and the reads and writes that the
+// platform serves, for "make bench". It runs real stewards on loopback, in one data centre, with
+// the default intervals.
 func BenchmarkControl(b *testing.B) {
 	for b.Loop() {
 		for _, size := range []struct{ stewards, targets int }{{4, 12}, {8, 12}, {16, 48}, {32, 96}, {68, 217}} {
@@ -27,6 +28,7 @@
 	}
 }
 
+// platformCounts returns the numbers of reads and writes that the platform stand-in has served.
 func (h *harness) platformCounts() standin.PlatformCounts {
 	var c standin.PlatformCounts
 	getJSON(h.t, "http://"+string(h.Platform)+"/counts", &c)
@@ -39,6 +41,7 @@
 	measureTime = 12 * time.Second
 )
 
+// measureControl measures a control plane of this size and prints its figures.
 func measureControl(b *testing.B, stewards, targets int) {
 	env := func(string) []string { return []string{"GOMAXPROCS=2"} }
 	h := startHarness(b, proc.Shape{Engines: 1, VMs: stewards, NoEntries: true, Steward: func(_ int, s *settings.Steward) {
@@ -81,8 +84,8 @@
 	h.StopAll(10 * time.Second)
 }
 
-// measureEditDelay measures the time from an accepted edit until it is in force at the last
-// steward, with the platform up.
+// measureEditDelay prints the time from an accepted edit of the table until every steward has the
+// new version, with the platform up.
 func (h *harness) measureEditDelay(b *testing.B, name string) {
 	start := time.Now()
 	h.apply(1, "v2", "checked")
@@ -90,6 +93,7 @@
 	fmt.Printf("figure edit_in_force_%s %.2f s\n", name, time.Since(start).Seconds())
 }
 
+// setVM adds vm to the VM list of the platform stand-in.
 func (h *harness) setVM(vm store.VM) {
 	h.t.Helper()
 	data, err := json.Marshal(vm)
@@ -101,6 +105,7 @@
 	})
 }
 
+// awaitStewards waits until every steward runs.
 func (h *harness) awaitStewards() {
 	for _, vm := range h.VMs {
 		h.await("steward of "+vm.Name, proc.Ready("http://"+string(vm.StewardAdmin)+"/healthz"))
@@ -121,8 +126,8 @@
 	}
 }
 
-// stewardUsage returns the processor time in seconds and the control bytes of all stewards
-// together.
+// stewardUsage returns the processor time in seconds that all stewards together have used, and the
+// number of bytes that they have sent and received.
 func (h *harness) stewardUsage(b *testing.B) (cpu, bytes float64) {
 	for _, vm := range h.VMs {
 		cpu += cpuSeconds(b, vm.Steward)
@@ -137,15 +142,18 @@
 	return cpu, bytes
 }
 
-// BenchmarkSuccession prints the time from the death of a lease holder to its successor's first
-// order, for "make bench".
+// BenchmarkSuccession prints the time from the kill of a lease holder to its successor's first
+// order, for "make bench". The lease holder of a service is the steward that gives orders to its
+// engines.
 func BenchmarkSuccession(b *testing.B) {
 	for b.Loop() {
-		succession(b)
+		measureSuccession(b)
 	}
 }
 
-func succession(b *testing.B) {
+// measureSuccession kills the lease holder, applies a table with a new model version, and measures
+// the time until an engine has received an order.
+func measureSuccession(b *testing.B) {
 	h := startHarness(b, proc.Shape{Engines: 3, PlainTargets: 1, VMs: 3, Steward: func(_ int, s *settings.Steward) {
 		s.LeaseTTL = settings.DefaultSteward().LeaseTTL
 	}, Engine: func(_ int, s *settings.Standin) { s.RoleChange = settings.Duration(100 * time.Millisecond) }}, nil)
@@ -178,6 +186,7 @@
 	h.StopAll(10 * time.Second)
 }
 
+// orderCount returns the number of orders that took effect at all engines together.
 func (h *harness) orderCount() int {
 	n := 0
 	for i := range h.Engines {
--- a/internal/proc/ctl_test.go
+++ b/internal/proc/ctl_test.go
@@ -23,8 +23,9 @@
 	return 0
 }
 
-// Runs the commands that an operator uses: get the table, diff and apply an edit, run into a
-// conflict, an invalid cell and an unknown service, and read the reports.
+// The commands that an operator uses work: get the table, diff, check and apply an edit, and show
+// the history and the burn rates. An edit that conflicts with another, an invalid cell and an
+// unknown service are refused with their exit codes.
 func TestOperatorsCommandLine(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, proc.Shape{Engines: 1, PlainTargets: 1, VMs: 2})
--- a/internal/proc/failure_test.go
+++ b/internal/proc/failure_test.go
@@ -16,8 +16,8 @@
 	"garnethoist.org/garnethoist/internal/settings"
 )
 
-// An entry is killed in the middle of a stream: the caller resumes at another entry from its last
-// event id and receives each token exactly once.
+// An entry, the process of a VM that serves callers, is killed in the middle of a stream: the
+// caller resumes at another entry from its last event id and receives each token exactly once.
 func TestEntryKilledMidStream(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, proc.Shape{Engines: 2, PlainTargets: 1, VMs: 2})
@@ -64,8 +64,10 @@
 	}
 }
 
-// The platform goes down: streams and repeatable calls still work, a call that needs a claim is
-// refused as not run, and a VM that starts now gets the table from its peers.
+// The platform goes down: streams, whose calls may be repeated, still work, a call that may not be
+// repeated is refused as not run, because its key cannot be claimed in the platform's store, and a
+// VM that starts now gets the table from its peers. After the platform's return the refused call
+// runs once.
 func TestPlatformOutage(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, proc.Shape{Engines: 2, PlainTargets: 1, VMs: 2})
@@ -100,8 +102,9 @@
 	is.Equal(h.runCount("renew-1"), 1)
 }
 
-// Many callers send the same key at once to two entries while one entry is killed: the call runs at
-// most once, and every answer is the stored one.
+// Many callers send calls with the same idempotency key concurrently to two entries, one of which
+// is killed: the call runs at most once. Repeated later, it is answered with the stored answer if
+// it ran and was recorded, and otherwise with the statement that it may have run.
 func TestKeyedCallRunsOnce(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, proc.Shape{Engines: 1, PlainTargets: 2, VMs: 2})
@@ -136,8 +139,8 @@
 	}
 }
 
-// leaseHolder returns the index of the VM that holds the lease of the service hints, and its
-// fencing number, as VM i sees them.
+// leaseHolder returns the index of the VM that holds the lease of the service hints, whose steward
+// gives orders to the engines, and the lease's fencing number, as VM i sees them.
 func (h *harness) leaseHolder(i int) (int, string, error) {
 	out, err := h.ctl(i, "status")
 	if err != nil {
@@ -157,9 +160,9 @@
 	return 0, "", errors.Errorf("nobody holds the lease:\n%s", out)
 }
 
-// The lease holder is frozen during a roll-out: another VM takes over and finishes the roll-out,
-// and the orders of the old holder have no effect when it resumes. This must hold for engines that
-// check fencing numbers and for engines that ignore them.
+// The lease holder is frozen during the roll-out of a new model version: another VM takes over and
+// finishes the roll-out, and the orders of the old holder have no effect when it resumes. This must
+// hold for engines that check fencing numbers and for engines that ignore them.
 func TestFrozenHolderDuringRollOut(t *testing.T) {
 	for _, fencing := range []string{"checked", "ignored"} {
 		t.Run(fencing, func(t *testing.T) {
@@ -259,12 +262,12 @@
 		}
 		return nil
 	})
-	f.awaitServed(f.servedCount() + 30)
+	f.awaitAnswered(f.answeredCount() + 30)
 	f.finish(0)
 	out, err := h.ctl(0, "explain", "hints")
 	is.NoErr(err)
 	is.True(strings.Contains(out, "role_change"))
-	is.True(strings.Contains(out, "option")) // lists the options with their prices
+	is.True(strings.Contains(out, "option")) // the decision's options are shown with their prices
 }
 
 // The lease holder is killed in the middle of a roll-out under load: its successor finishes the
--- a/internal/proc/flow_test.go
+++ b/internal/proc/flow_test.go
@@ -12,18 +12,19 @@
 )
 
 // load is a number of callers that send requests continuously: two in three callers read streams,
-// the others make keyed calls that may not be repeated. Every answer is checked.
+// the others make calls that may not be repeated, with idempotency keys. Every answer is checked.
+// answered counts the requests that are over, failed ones included.
 type load struct {
 	h    *harness
 	stop context.CancelFunc
 	done sync.WaitGroup
 
 	mu       sync.Mutex
-	served   int
+	answered int
 	failures []error
 }
 
-// startLoad starts callers, whose streams have the given number of tokens.
+// startLoad starts the given number of callers, whose streams have the given number of tokens.
 func (h *harness) startLoad(callers, tokens int) *load {
 	vms := append([]proc.VM(nil), h.VMs...) // stays valid: restarts change processes, not addresses
 	ctx, stop := context.WithCancel(h.ctx)
@@ -43,7 +44,8 @@
 	return f
 }
 
-// checkRenew makes a keyed call and returns an error unless it was run.
+// checkRenew makes a call with its body as the idempotency key and returns an error unless it was
+// run.
 func checkRenew(ctx context.Context, entry settings.Addr, body string) error {
 	a, err := callRenew(ctx, entry, body, body)
 	if err == nil && a.status != 201 {
@@ -52,26 +54,27 @@
 	return err
 }
 
+// record counts a request that is over, with its error if it failed.
 func (f *load) record(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.served++
+	f.answered++
 	if err != nil {
 		f.failures = append(f.failures, err)
 	}
 }
 
-func (f *load) servedCount() int {
+func (f *load) answeredCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.served
+	return f.answered
 }
 
-// awaitServed waits until at least n requests were answered.
-func (f *load) awaitServed(n int) {
+// awaitAnswered waits until at least n requests were answered.
+func (f *load) awaitAnswered(n int) {
 	f.h.t.Helper()
 	f.h.await(fmt.Sprintf("%d requests", n), func(context.Context) error {
-		if got := f.servedCount(); got < n {
+		if got := f.answeredCount(); got < n {
 			return errors.Errorf("%d served", got)
 		}
 		return nil
@@ -80,9 +83,9 @@
 
 // finish waits until at least this many requests were answered, stops the callers and checks that
 // no request failed and that no engine received an order while it served.
-func (f *load) finish(minServed int) {
+func (f *load) finish(minAnswered int) {
 	f.h.t.Helper()
-	f.awaitServed(minServed)
+	f.awaitAnswered(minAnswered)
 	f.stop()
 	f.done.Wait()
 	for _, err := range f.failures {
@@ -95,8 +98,8 @@
 	}
 }
 
-// sendToReadyVM sends a request to an entry that reports itself ready, as the platform's load
-// balancer does.
+// sendToReadyVM calls send with the entry of a VM that reports itself ready, as the platform's load
+// balancer does. It tries the VMs in turn, from the one with index first.
 func sendToReadyVM(ctx context.Context, vms []proc.VM, first int, send func(settings.Addr) error) error {
 	for i := 0; ctx.Err() == nil; i++ {
 		vm := vms[(first+i)%len(vms)]
--- a/internal/proc/harness_test.go
+++ b/internal/proc/harness_test.go
@@ -39,9 +39,11 @@
 		m.Run))
 }
 
+// tableHeader is the header line of the operators' table as CSV.
 const tableHeader = "service,kind,engines,model,adapters,version,weight,rate_per_s,in_flight,account_rate_per_s,deadline,repeatable,change_cost,fencing,objective\n"
 
-// tableRows returns the rows of the table with the given model version.
+// tableRows returns the rows of the operators' table: a language service with this number of
+// engines, model version and fencing, and a plain service with this number of targets.
 func tableRows(engines, plains int, version, fencing string) string {
 	return fmt.Sprintf("hints,language,kakkanad=%d,crossword-8b,,%s,1,0,0,0,30s,yes,1,%s,0.99\n"+
 		"renewals,plain,kakkanad=%d,,,,1,0,0,0,10s,no,0,checked,0.999\n", engines, version, fencing,
@@ -67,7 +69,7 @@
 }
 
 // startHarness starts a layout and stops it at the end of the test. env, if not nil, returns
-// additional environment variables for the process with a name.
+// additional environment variables for the process called name.
 func startHarness(t testing.TB, shape proc.Shape, env func(string) []string) *harness {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 4*time.Minute)
@@ -96,6 +98,7 @@
 	return h
 }
 
+// dumpLogs logs the end of the output of every steward and entry.
 func (h *harness) dumpLogs() {
 	for _, vm := range h.VMs {
 		h.t.Logf("%s\n%s\n%s\n%s", vm.Steward.Name, tail(vm.Steward.Log()), vm.Entry.Name,
@@ -103,6 +106,7 @@
 	}
 }
 
+// tail returns the last 3000 bytes of s.
 func tail(s string) string {
 	const limit = 3000
 	if len(s) > limit {
@@ -119,7 +123,8 @@
 	}
 }
 
-// awaitServing applies the first table and waits until every engine serves.
+// awaitServing applies the first table, with the given model version and fencing, and waits until
+// all entries are ready and all targets live.
 func (h *harness) awaitServing(version, fencing string) {
 	h.t.Helper()
 	for _, vm := range h.VMs {
@@ -132,6 +137,8 @@
 	h.awaitVersion(version)
 }
 
+// apply applies the operators' table with the given model version and fencing, as an edit of the
+// table version base.
 func (h *harness) apply(base int, version, fencing string) {
 	h.t.Helper()
 	path := filepath.Join(h.Dir, "table.csv")
@@ -146,13 +153,15 @@
 	}
 }
 
+// ctl runs garnetctl against the steward of VM number vm and returns its output.
 func (h *harness) ctl(vm int, args ...string) (string, error) {
 	args = append([]string{"--steward", string(h.VMs[vm].StewardGRPC)}, args...)
 	out, err := exec.CommandContext(h.ctx, filepath.Join(h.Bin, "garnetctl"), args...).CombinedOutput()
 	return string(out), err
 }
 
-// awaitVersion waits until every engine runs a version, and all targets are live.
+// awaitVersion waits until every steward reports that every engine runs the given model version and
+// that all targets are live.
 func (h *harness) awaitVersion(version string) {
 	h.t.Helper()
 	h.await("engines at "+version, func(context.Context) error {
@@ -194,7 +203,7 @@
 	return false
 }
 
-// getJSON decodes the counters of a stand-in into dst.
+// getJSON gets url and decodes the JSON of the response into dst.
 func getJSON(t testing.TB, url string, dst any) {
 	t.Helper()
 	resp, err := http.Get(url)
@@ -207,6 +216,7 @@
 	}
 }
 
+// engineCounts returns the counters of engine stand-in i.
 func (h *harness) engineCounts(i int) standin.Counts {
 	h.t.Helper()
 	var c standin.Counts
@@ -230,6 +240,7 @@
 	return sum
 }
 
+// platformFault sets the fault of the platform stand-in; an empty mode ends it.
 func (h *harness) platformFault(mode string) {
 	h.t.Helper()
 	resp, err := http.Post("http://"+string(h.Platform)+"/fault?mode="+mode, "", nil)
@@ -239,8 +250,8 @@
 	resp.Body.Close()
 }
 
-// streamReader reads a stream event by event. text is the answer so far, and last the id of the
-// last event.
+// streamReader reads a stream event by event. text is the answer so far, last the id of the last
+// event, and done whether the stream is complete.
 type streamReader struct {
 	resp *http.Response
 	in   *bufio.Scanner
@@ -249,9 +260,10 @@
 	done bool
 }
 
+// chatMessages is the prompt of every language request.
 const chatMessages = `[{"role":"user","content":"7 across?"}]`
 
-// expectedAnswer returns the first n tokens of the correct answer.
+// expectedAnswer returns the first n tokens of the correct answer to chatMessages.
 func expectedAnswer(n int) string { return standin.Answer(standin.PromptHash(`user"7 across?"`), n) }
 
 // openStream starts a stream at an entry, or resumes one after the event with id last.
@@ -277,6 +289,7 @@
 	return &streamReader{resp: resp, in: bufio.NewScanner(resp.Body)}, nil
 }
 
+// chunk is the data of one event of a stream, as far as the tests read it.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
@@ -337,7 +350,8 @@
 	return nil
 }
 
-// answer is the answer to a plain call. retry is its Retry-After header.
+// answer is the answer to a plain call. outcome is its header X-Garnet-Outcome, and retry its
+// header Retry-After.
 type answer struct {
 	status  int
 	body    string
@@ -367,7 +381,7 @@
 	}, err
 }
 
-// postJSON posts a body and returns an error unless it succeeds.
+// postJSON posts a body and returns an error if that fails or the status is 400 or higher.
 func postJSON(ctx context.Context, url string, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(string(body)))
 	if err != nil {
--- a/internal/proc/layout.go
+++ b/internal/proc/layout.go
@@ -9,8 +9,9 @@
 	"garnethoist.org/garnethoist/internal/settings"
 )
 
-// Layout is the usual deployment: stand-ins for the outside systems, and VMs with an entry and a
-// steward each.
+// Layout is the usual deployment of the product: stand-ins for the outside systems (platform,
+// engines and plain services), and VMs with two processes each, an entry, which serves callers, and
+// a steward, which is part of the control plane.
 type Layout struct {
 	*Cluster
 	DataCentre   string
@@ -32,7 +33,9 @@
 	Name    string
 	Entry   *Process
 	Steward *Process
-	// Callers is the address for callers; the others are addresses of the entry and the steward.
+	// Callers is the entry's address for callers, and EntryAdmin that for readiness and metrics.
+	// StewardGRPC is the steward's address for entries, other stewards and garnetctl, and
+	// StewardAdmin that for readiness and metrics.
 	Callers      settings.Addr
 	EntryAdmin   settings.Addr
 	StewardGRPC  settings.Addr
@@ -46,7 +49,8 @@
 	VMs          int
 	// NoEntries starts stewards only.
 	NoEntries bool
-	// Engine, Steward and Entry, if not nil, change the settings of part i before it starts.
+	// Engine, Steward and Entry, if not nil, change the settings of engine i, or of the steward or
+	// entry of VM i, before it starts.
 	Engine  func(i int, s *settings.Standin)
 	Steward func(i int, s *settings.Steward)
 	Entry   func(i int, s *settings.Entry)
@@ -81,6 +85,7 @@
 	return l, l.start(shape)
 }
 
+// start starts the stand-ins and then the VMs.
 func (l *Layout) start(shape Shape) error {
 	if err := l.startStandins(shape); err != nil {
 		return err
@@ -128,6 +133,7 @@
 	return nil
 }
 
+// runTarget starts the stand-in t with the settings s.
 func (l *Layout) runTarget(t *Target, s *settings.Standin) error {
 	p, err := l.Run("garnet-standin", t.Name, s)
 	t.Process = p
--- a/internal/proc/ports.go
+++ b/internal/proc/ports.go
@@ -22,8 +22,8 @@
 )
 
 // Ports hands out loopback addresses, never the same one twice. It claims ports in blocks, so that
-// programs that run in parallel have no ports in common: requests to a process that has ended would
-// otherwise reach a process of another program. It is safe for concurrent use.
+// programs that run in parallel have no ports in common: requests to a process that has exited
+// would otherwise reach a process of another program. It is safe for concurrent use.
 type Ports struct {
 	mu sync.Mutex
 	// next and end are the bounds of the unused rest of the current block.
--- a/internal/proc/ports_test.go
+++ b/internal/proc/ports_test.go
@@ -9,8 +9,8 @@
 	"garnethoist.org/garnethoist/internal/settings"
 )
 
-// An address on which another process listens for UDP only is not handed out: a VM could not start
-// that is to exchange reports there.
+// An address on which another process listens for UDP only is not handed out: a VM that exchanges
+// reports with its peers over UDP could not listen there.
 func TestPortsLeaveOutAddressesTakenForDatagrams(t *testing.T) {
 	is := is.New(t)
 	p := NewPorts()
@@ -26,8 +26,8 @@
 }
 
 // Two Ports, as in two programs that run in parallel, never hand out the same address, even if
-// nothing listens on it yet or any more: requests of one program's processes must not reach those
-// of the other.
+// nothing listens on it yet or any more: requests of one program's processes must not reach the
+// processes of the other.
 func TestPortsOfTwoSourcesAreDisjoint(t *testing.T) {
 	is := is.New(t)
 	const each = 2 * portsPerBlock
--- a/internal/proc/process.go
+++ b/internal/proc/process.go
@@ -18,11 +18,13 @@
 	cmd  *exec.Cmd
 	log  *os.File
 
+	// done is closed when the process has exited. err is its exit error and is set before that.
 	done chan struct{}
 	err  error
 }
 
-// startProcess starts binary with args. Its output is appended to the file name.log in dir.
+// startProcess starts binary with args and with env in addition to this process's environment. Its
+// output is appended to the file name.log in dir.
 func startProcess(dir, name string, env []string, binary string, args ...string) (*Process, error) {
 	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -65,7 +67,7 @@
 // Terminate sends SIGTERM to the process and does not wait.
 func (p *Process) Terminate() error { return p.Signal(syscall.SIGTERM) }
 
-// Wait waits until the process has exited and returns its error, if any.
+// Wait waits until the process has exited and returns its exit error, if any.
 func (p *Process) Wait() error {
 	<-p.done
 	return p.err
--- a/internal/proc/relay.go
+++ b/internal/proc/relay.go
@@ -12,7 +12,7 @@
 // LinkFault is a network fault that a relay applies to its connections.
 type LinkFault int
 
-// The disturbances. Silent, OneWay and Delayed hold data back, as after a lost packet: it is passed
+// The link faults. Silent, OneWay and Delayed hold data back, as after a lost packet: it is passed
 // on once the link is healed.
 const (
 	// Sound passes all data on: there is no fault.
@@ -35,20 +35,22 @@
 	Discard
 )
 
-// String returns the name of the disturbance in reports.
-func (d LinkFault) String() string {
+// String returns the name of the link fault in reports.
+func (f LinkFault) String() string {
 	return [...]string{"sound", "refuse", "reset", "silent", "one_way", "delayed", "lost",
-		"swallowed"}[d]
+		"swallowed"}[f]
 }
 
 const (
 	// addedDelay is the delay that Delayed adds to each read.
 	addedDelay = 60 * time.Millisecond
-	// heldPollInterval is how often held data is checked for whether it may be passed on.
+	// heldPollInterval is how often the relay checks whether data that it holds back may be passed
+	// on.
 	heldPollInterval = 5 * time.Millisecond
-	// silentPollInterval is the same for the close of a connection that is silent for good.
+	// silentPollInterval is how often it checks whether a connection that is silent for good may be
+	// closed.
 	silentPollInterval = 50 * time.Millisecond
-	// bufferBytes is the size of the read buffer.
+	// bufferBytes is the size of the read buffer of each direction of a connection.
 	bufferBytes = 16 << 10
 )
 
@@ -59,7 +61,8 @@
 	destination string
 	background  sync.WaitGroup
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// state is the lasting fault: it is never Drop or Discard.
 	state  LinkFault
 	closed bool
 	// conns holds the open connections. The value is true if data that arrives on the connection is
@@ -68,12 +71,12 @@
 }
 
 // NewRelay starts a relay that listens on a loopback address and forwards to destination.
-func NewRelay(backend string) (*Relay, error) {
+func NewRelay(destination string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
-	r := &Relay{listener: l, destination: backend, conns: map[net.Conn]bool{}}
+	r := &Relay{listener: l, destination: destination, conns: map[net.Conn]bool{}}
 	r.background.Go(r.serve)
 	return r, nil
 }
@@ -84,19 +87,19 @@
 // Cut resets every connection and refuses new ones.
 func (r *Relay) Cut() { r.Inject(Refuse) }
 
-// Heal ends a lasting disturbance. Connections that were silenced for good stay silent.
+// Heal ends a lasting fault. Connections that were silenced for good stay silent.
 func (r *Relay) Heal() { r.Inject(Sound) }
 
-// Inject applies a disturbance until the next call. Lost and Discard affect only open
-// connections and leave the lasting disturbance as it is.
-func (r *Relay) Inject(d LinkFault) {
+// Inject applies a link fault until the next call. Drop and Discard affect only the connections
+// that are open now and leave the lasting fault as it is.
+func (r *Relay) Inject(f LinkFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if d != Drop && d != Discard {
-		r.state = d
+	if f != Drop && f != Discard {
+		r.state = f
 	}
 	for c := range r.conns {
-		switch d {
+		switch f {
 		case Refuse, Reset:
 			reset(c)
 		case Drop:
@@ -151,6 +154,7 @@
 	r.background.Wait()
 }
 
+// serve accepts connections until the listener is closed.
 func (r *Relay) serve() {
 	for {
 		in, err := r.listener.Accept()
@@ -161,7 +165,8 @@
 	}
 }
 
-// addConn registers a connection. It returns false if the relay refuses connections.
+// addConn registers a connection. It returns false, and does not register it, if the relay refuses
+// connections.
 func (r *Relay) addConn(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,6 +177,7 @@
 	return true
 }
 
+// removeConn closes a connection and removes it from conns.
 func (r *Relay) removeConn(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -236,7 +242,8 @@
 	}
 }
 
-// awaitPassing blocks while the link holds data back. It returns false if the relay is closed.
+// awaitPassing blocks while the link holds data back. back is true for data to the client. It
+// returns false if the relay is closed.
 func (r *Relay) awaitPassing(back bool) bool {
 	for {
 		r.mu.Lock()
--- a/internal/proc/relay_bench_test.go
+++ b/internal/proc/relay_bench_test.go
@@ -30,6 +30,7 @@
 	envProxyListen  = "GARNET_BENCH_PROXY_LISTEN"
 )
 
+// serveReverseProxy serves a reverse proxy to backend at the address listen. It does not return.
 func serveReverseProxy(backend, listen string) {
 	u, err := url.Parse("http://" + backend)
 	if err != nil {
@@ -44,13 +45,16 @@
 }
 
 // relayBench is a layout with an entry and, as the baseline, a reverse proxy on one core, in front
-// of the same engine. direct, entry and proxy are the URLs of the three ways to the engine.
+// of the same engine. direct, entry and proxy are the URLs at which the engine is reached directly,
+// through the entry and through the proxy.
 type relayBench struct {
 	*harness
 	direct, entry, proxy string
 	entryProc, proxyProc *proc.Process
 }
 
+// newRelayBench starts a relayBench whose entry uses one core. interval is the time between the
+// tokens of the engine's streams.
 func newRelayBench(b *testing.B, interval time.Duration) *relayBench {
 	b.Helper()
 	return newRelayBenchOn(b, interval, "1")
@@ -90,13 +94,16 @@
 	return r
 }
 
+// benchClient is the HTTP client of all streams.
 var benchClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000,
 	DisableCompression: true}}
 
+// eventEnd ends each event of a stream.
 var eventEnd = []byte("\n\n")
 
-// readStream reads one stream and returns the number of its events. It passes the time to the first
-// read and the gaps between reads to note, unless note is nil.
+// readStream requests one stream of the given number of tokens, reads it and returns the number of
+// its events. It passes the time to the first read and the gaps between reads to note, unless note
+// is nil.
 func readStream(ctx context.Context, url string, tokens int, note func(first bool, d time.Duration)) (int, error) {
 	body := fmt.Sprintf(`{"messages":%s,"stream":true,"max_tokens":%d}`, chatMessages, tokens)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
@@ -128,7 +135,8 @@
 	}
 }
 
-// measureThroughput keeps this many streams running and returns the tokens per second.
+// measureThroughput keeps this many streams running for the duration d and returns the tokens per
+// second.
 func measureThroughput(b *testing.B, url string, streams int, d time.Duration) float64 {
 	b.Helper()
 	ctx, cancel := context.WithCancel(b.Context())
@@ -219,7 +227,8 @@
 	cpu        float64
 }
 
-// runPaced runs this many streams in parallel, with this many tokens each.
+// runPaced runs this many streams in parallel, with this many tokens each. p is the process whose
+// processor time is measured, or nil.
 func runPaced(b *testing.B, url string, p *proc.Process, streams, tokens int) pacedResult {
 	b.Helper()
 	out := pacedResult{first: hdrhistogram.New(1, 60_000_000, 3),
--- a/internal/proc/relay_test.go
+++ b/internal/proc/relay_test.go
@@ -46,8 +46,8 @@
 	return err == nil
 }
 
-// A disturbance that silences open connections affects only these, and healing the link does not
-// end it.
+// A link fault that silences open connections affects only these, and healing the link does not end
+// their silence.
 func TestRelaySilencesOpenConnections(t *testing.T) {
 	for _, d := range []proc.LinkFault{proc.Drop, proc.Discard} {
 		t.Run(d.String(), func(t *testing.T) {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -19,8 +19,8 @@
 const (
 	// callTimeout is how long a caller waits for an answer. The routes allow the same time.
 	callTimeout = 2 * time.Second
-	// dialTimeout limits the time to connect to a VM, and askTimeout that of a readiness check while
-	// the harness waits for all VMs to be ready.
+	// dialTimeout limits the time to connect to a VM, and askTimeout that of a readiness check
+	// while the harness waits for all VMs to be ready.
 	dialTimeout = 500 * time.Millisecond
 	askTimeout  = 500 * time.Millisecond
 	// requestsPerConnection is the number of requests that a caller sends on one connection.
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -1,6 +1,6 @@
 // Package soak runs real garnet-node processes against stand-ins for the store, the targets and the
-// platform. It injects faults, derived from a seed, from outside the processes, and meanwhile checks
-// invariants from what callers and targets observe.
+// platform. It injects faults, derived from a seed, from outside the processes, and meanwhile
+// checks invariants from what callers and targets observe.
 package soak
 
 import (
@@ -271,8 +271,8 @@
 		"%s of %s reaches a target as %s, key told: %t", id, r.account, account, key != "")
 }
 
-// CheckDuty records a check of the platform duties, which one VM does for all. ok is the result, and
-// what describes the violation if it is false.
+// CheckDuty records a check of the platform duties, which one VM does for all. ok is the result,
+// and what describes the violation if it is false.
 func (c *Checker) CheckDuty(ok bool, what string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -205,9 +205,9 @@
 	is.True(refused > 0)
 }
 
-// No invariant is violated while keys are revoked and VMs, among them the one that does the platform
-// duties, are cut off from the store, paused, killed and stopped. Keys are also revoked while the
-// store answers nobody, so that no VM can learn of it, and while its responses are lost.
+// No invariant is violated while keys are revoked and VMs, among them the one that does the
+// platform duties, are cut off from the store, paused, killed and stopped. Keys are also revoked
+// while the store answers nobody, so that no VM can learn of it, and while its responses are lost.
 func TestRevokedKeysAndDuties(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -71,8 +71,8 @@
 	address string
 
 	mu sync.Mutex
-	// engine is the stand-in of the current target, which may also be a plain one. incarnation counts
-	// the ids that were given to targets of the slot.
+	// engine is the stand-in of the current target, which may also be a plain one. incarnation
+	// counts the ids that were given to targets of the slot.
 	engine      *platformtest.Engine
 	incarnation int
 	// unavailable is set while the target leaves or has crashed.
