--- a/internal/standin/chat.go
+++ b/internal/standin/chat.go
@@ -20,7 +20,8 @@
 // finishedStreamTTL is how long a finished stream can still be resumed.
 const finishedStreamTTL = 10 * time.Second
 
-// chatRequest is the part of a chat completion request that the stand-in reads.
+// chatRequest holds the fields of a chat completion request that the stand-in reads. MaxNew takes
+// precedence over MaxTokens.
 type chatRequest struct {
 	Model     string             `json:"model"`
 	Messages  []chatMessage      `json:"messages"`
@@ -31,6 +32,7 @@
 	KV        *target.KVTransfer `json:"kv_transfer_params"`
 }
 
+// chatMessage is one message of the prompt. Content is a string or a list of content parts.
 type chatMessage struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
@@ -66,6 +68,8 @@
 	return defaultMaxTokens
 }
 
+// serveChat serves a chat completion: the answer as one response or as a stream, the rest of a
+// stream, or the prefill of a prompt for another engine to decode.
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
 	if id := r.Header.Get(target.HeaderLastEventID); id != "" {
 		e.resumeStream(w, r, id)
@@ -113,7 +117,8 @@
 	return false
 }
 
-// startStream registers a stream. Its prefill is due after the prefills that are already queued.
+// startStream registers a stream. Its prefill is due after the prefills that are already queued; a
+// stream whose KV cache another engine computed needs none.
 func (e *Engine) startStream(req *chatRequest) *stream {
 	text, present := req.prompt()
 	now := time.Now()
@@ -139,7 +144,8 @@
 	return st
 }
 
-// resumeStream continues a stream after the event with the given id, which is STREAM:NUMBER.
+// resumeStream continues a stream after the event with the given id, which has the form
+// STREAM:NUMBER.
 func (e *Engine) resumeStream(w http.ResponseWriter, r *http.Request, eventID string) {
 	id, offset, ok := strings.Cut(eventID, ":")
 	n, err := strconv.Atoi(offset)
@@ -156,8 +162,8 @@
 	e.streamFrom(w, r, st, n)
 }
 
-// prefillOnly computes the KV cache of a prompt and returns a reference from which another engine
-// can fetch it.
+// prefillOnly computes the KV cache of a prompt and responds with a reference by which another
+// engine can fetch it.
 func (e *Engine) prefillOnly(w http.ResponseWriter, r *http.Request, st *stream) {
 	defer e.releaseReader(st, true)
 	if !st.wait(r, 0) {
@@ -192,7 +198,7 @@
 	return nil
 }
 
-// streamFrom writes the events after event number after, each when it is due.
+// streamFrom writes the events of a stream from number after+1 on, each when it is due.
 func (e *Engine) streamFrom(w http.ResponseWriter, r *http.Request, st *stream, after int) {
 	finished := false
 	defer func() { e.releaseReader(st, finished) }()
@@ -249,13 +255,15 @@
 	}
 }
 
+// countDecoded adds tokens to the decoded tokens in the status.
 func (e *Engine) countDecoded(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.status.DecodeTokens += uint64(tokens)
 }
 
-// releaseReader records that one reader has left the stream.
+// releaseReader records that one reader has left the stream. It adjusts lastUsed of a finished
+// stream so that expireStreams drops the stream after finishedStreamTTL.
 func (e *Engine) releaseReader(st *stream, finished bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -293,7 +301,8 @@
 	})
 }
 
-// dropStream drops a stream whose client disconnected before the complete answer.
+// dropStream drops a stream whose client disconnected before the complete answer, and counts it as
+// cancelled.
 func (e *Engine) dropStream(st *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -16,13 +16,17 @@
 	"garnethoist.org/garnethoist/internal/target"
 )
 
-// EngineConfig configures an engine stand-in. RoleChange is how long a change of its role takes.
+// EngineConfig configures an engine stand-in.
 type EngineConfig struct {
-	Name            string
+	Name string
+	// TokenInterval is the time between two tokens of an answer, and PrefillPerToken the prefill
+	// time for each token of a prompt.
 	TokenInterval   time.Duration
 	PrefillPerToken time.Duration
-	RoleChange      time.Duration
-	IgnoreFencing   bool
+	// RoleChange is how long a change of the engine's role takes.
+	RoleChange time.Duration
+	// IgnoreFencing makes the engine accept orders with a lower fencing number than it has seen.
+	IgnoreFencing bool
 	// ReadTimeout is the time within which a request must have arrived, or its connection is
 	// closed.
 	ReadTimeout time.Duration
@@ -37,25 +41,37 @@
 // Engine is a model engine stand-in. Its answers depend only on the prompt, so that a test can
 // detect lost and duplicated tokens. It is safe for concurrent use.
 type Engine struct {
-	cfg  EngineConfig
+	cfg EngineConfig
+	// boot is the time of the start in nanoseconds; it tells this run of the engine from others.
 	boot uint64
 
-	mu               sync.Mutex
-	seq              uint64
-	status           target.Status
+	mu sync.Mutex
+	// seq is the number of the latest status report. status holds the fields of reports that are
+	// not computed for each of them.
+	seq    uint64
+	status target.Status
+	// changeUntil is when the latest change of the role ends, and prefillBusyUntil when the last
+	// queued prefill ends.
 	changeUntil      time.Time
 	prefillBusyUntil time.Time
 	streams          map[string]*stream
-	nextStream       uint64
-	kvBlocks         map[uint64]bool
-	dropKV           bool
-	cancelled        int
-	interrupted      int
-	orders           []target.Order
+	// nextStream is the number of the latest stream.
+	nextStream uint64
+	// kvBlocks holds the KV blocks that were computed for other engines, by prompt hash. The value
+	// is false if dropKV made the engine lose the block.
+	kvBlocks map[uint64]bool
+	dropKV   bool
+	// cancelled, interrupted and orders are the fields of Counts.
+	cancelled   int
+	interrupted int
+	orders      []target.Order
 }
 
-// stream is one generation. Token i, counted from 1, is due at start + i*interval. If the request
-// continues a message, tokenOffset is the number of tokens that the message already holds.
+// stream is the generation of one answer. prompt is the hash of the prompt. Token i, counted from
+// 1, is due at start + i*interval. If the request continues a message, tokenOffset is the number of
+// tokens that the message already holds. ended is closed when the stream was cancelled, interrupted
+// or dropped. readers counts the responses that are being written from the stream, and lastUsed is
+// when the latest of them ended.
 type stream struct {
 	id          string
 	prompt      uint64
@@ -70,7 +86,7 @@
 	finished    bool
 }
 
-// NewEngine returns an engine stand-in in role both.
+// NewEngine returns an engine stand-in with the role both: it prefills and decodes.
 func NewEngine(cfg EngineConfig) *Engine {
 	return &Engine{
 		cfg:      cfg,
@@ -100,7 +116,8 @@
 		ReadTimeout: e.cfg.ReadTimeout}
 }
 
-// Cancelled returns the number of streams that were cancelled by request.
+// Cancelled returns the number of streams that were cancelled by request, or whose client
+// disconnected before the complete answer.
 func (e *Engine) Cancelled() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -168,6 +185,8 @@
 	writeJSON(w, http.StatusOK, e.Status())
 }
 
+// serveOrder puts an order in force. It refuses an order with a lower fencing number than it has
+// seen, unless IgnoreFencing is set, and ignores one that repeats the last.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o target.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -189,8 +208,8 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// applyOrder puts o in force. It interrupts running streams, as an engine does that was not drained
-// first. The caller must hold e.mu.
+// applyOrder puts o in force. It interrupts running streams, as happens at an engine that was not
+// drained first. The caller must hold e.mu.
 func (e *Engine) applyOrder(o target.Order) {
 	for id, st := range e.streams {
 		if !st.finished {
@@ -209,6 +228,7 @@
 // end wakes the readers of the stream, who then stop.
 func (s *stream) end() { s.endOnce.Do(func() { close(s.ended) }) }
 
+// serveCancel cancels a stream.
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -224,7 +244,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serveKV answers 200 if the engine holds the KV block; the stand-in transfers no data.
+// serveKV responds with status 200 if the engine holds the KV block; the stand-in transfers no
+// data.
 func (e *Engine) serveKV(w http.ResponseWriter, r *http.Request) {
 	block, err := strconv.ParseUint(r.PathValue("block"), 10, 64)
 	e.mu.Lock()
@@ -270,6 +291,8 @@
 		Type: "engine", Code: code}})
 }
 
+// hostPort returns the host and the port to which r was sent. The port is 0 if the request names
+// none.
 func hostPort(r *http.Request) (string, int) {
 	host, port, err := net.SplitHostPort(r.Host)
 	if err != nil {
@@ -290,13 +313,14 @@
 type Counts struct {
 	// Cut is the number of streams that an order interrupted.
 	Cut int `json:"cut"`
-	// Cancelled is the number of streams that were cancelled by request.
+	// Cancelled is the number of streams that were cancelled by request, or whose client
+	// disconnected before the complete answer.
 	Cancelled int `json:"cancelled"`
-	// Orders lists the orders that took effect, in sequence.
+	// Orders holds the orders that took effect, in sequence.
 	Orders []target.Order `json:"orders"`
 }
 
-// PathCounts is the path of Counts.
+// PathCounts is the path at which an engine stand-in serves its Counts.
 const PathCounts = "/counts"
 
 func (e *Engine) serveCounts(w http.ResponseWriter, _ *http.Request) {
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -12,18 +12,22 @@
 // Plain is a stand-in for a plain service. It counts how often each request body ran. It is safe
 // for concurrent use.
 type Plain struct {
+	// boot is the time of the start in nanoseconds; it tells this run of the service from others.
 	boot uint64
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// seq is the number of the latest status report.
 	seq     uint64
 	leaving bool
-	runs    map[string]int
-	// closeAfterRead makes the service close the connection without an answer after it has run a
+	// runs counts the runs by request body.
+	runs map[string]int
+	// closeAfterRead makes the service close the connection without a response after it has run a
 	// call.
 	closeAfterRead bool
 }
 
-// PathRan is the path that returns how often a call ran whose body is the query parameter "body".
+// PathRan is the path at which a plain service stand-in serves how often a call ran whose body is
+// the query parameter "body".
 const PathRan = "/ran"
 
 // NewPlain returns a plain service stand-in.
@@ -50,8 +54,8 @@
 	p.leaving = on
 }
 
-// SetCloseAfterRead sets whether the service runs calls but closes their connections without an
-// answer.
+// SetCloseAfterRead sets whether the service closes the connection without a response after it has
+// run a call.
 func (p *Plain) SetCloseAfterRead(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,6 +76,8 @@
 	writeJSON(w, http.StatusOK, target.Status{Boot: p.boot, Seq: p.seq, Leaving: p.leaving})
 }
 
+// run runs a call: it counts it and responds with status 201, the request's body, and its headers
+// with the prefix X-Echo-.
 func (p *Plain) run(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -12,7 +12,8 @@
 	"garnethoist.org/garnethoist/internal/store/httpstore"
 )
 
-// Platform serves a store.Memory over the platform's HTTP protocol.
+// Platform is a stand-in for the platform. It serves Memory, a store in memory, over the platform's
+// HTTP protocol.
 type Platform struct {
 	Memory *store.Memory
 }
@@ -36,12 +37,12 @@
 
 func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
 	rec, err := p.Memory.Get(r.Context(), r.URL.Query().Get("key"))
-	writeAnswer(w, rec, err)
+	writeResponse(w, rec, err)
 }
 
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
 	recs, err := p.Memory.List(r.Context(), r.URL.Query().Get("prefix"))
-	writeAnswer(w, recs, err)
+	writeResponse(w, recs, err)
 }
 
 func (p *Platform) commit(w http.ResponseWriter, r *http.Request) {
@@ -51,7 +52,7 @@
 		return
 	}
 	v, err := p.Memory.Commit(r.Context(), txn)
-	writeAnswer(w, httpstore.CommitResponse{Version: v}, err)
+	writeResponse(w, httpstore.CommitResponse{Version: v}, err)
 }
 
 func (p *Platform) putObject(w http.ResponseWriter, r *http.Request) {
@@ -60,13 +61,13 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	writeAnswer(w, struct{}{}, p.Memory.PutObject(r.Context(), r.PathValue("name"), data))
+	writeResponse(w, struct{}{}, p.Memory.PutObject(r.Context(), r.PathValue("name"), data))
 }
 
 func (p *Platform) getObject(w http.ResponseWriter, r *http.Request) {
 	data, err := p.Memory.GetObject(r.Context(), r.PathValue("name"))
 	if err != nil {
-		writeAnswer(w, nil, err)
+		writeResponse(w, nil, err)
 		return
 	}
 	// A failed write means that the client has disconnected.
@@ -76,6 +77,7 @@
 // noRevision is a revision that no list has, so that the list is always returned.
 const noRevision = math.MaxUint64
 
+// vms serves the VM list, or status 304 if the client has its latest revision.
 func (p *Platform) vms(w http.ResponseWriter, r *http.Request) {
 	l, err := p.Memory.VMs(r.Context(), noRevision)
 	tag := httpstore.RevisionETag(l.Revision)
@@ -84,9 +86,11 @@
 		return
 	}
 	w.Header().Set("ETag", tag)
-	writeAnswer(w, l, err)
+	writeResponse(w, l, err)
 }
 
+// reserve responds with how long to wait before asking again for permission to load a model's
+// weights, 0 if they may be loaded now.
 func (p *Platform) reserve(w http.ResponseWriter, r *http.Request) {
 	var req httpstore.ReserveRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
@@ -94,7 +98,7 @@
 		return
 	}
 	wait, err := p.Memory.Reserve(r.Context(), req.Model, req.Bytes)
-	writeAnswer(w, httpstore.ReserveResponse{WaitMS: int64(wait / time.Millisecond)}, err)
+	writeResponse(w, httpstore.ReserveResponse{WaitMS: int64(wait / time.Millisecond)}, err)
 }
 
 func (p *Platform) setFault(_ http.ResponseWriter, r *http.Request) {
@@ -112,6 +116,7 @@
 	writeJSON(w, http.StatusOK, PlatformCounts{Reads: reads, Writes: writes})
 }
 
+// setVM adds a VM to the VM list or replaces it.
 func (p *Platform) setVM(w http.ResponseWriter, r *http.Request) {
 	var vm store.VM
 	if err := json.NewDecoder(r.Body).Decode(&vm); err != nil {
@@ -121,8 +126,9 @@
 	p.Memory.SetVM(vm)
 }
 
-// writeAnswer writes v as JSON, or the status code for a store error.
-func writeAnswer(w http.ResponseWriter, v any, err error) {
+// writeResponse writes v as JSON, or the status code for err, an error of the store, if it is not
+// nil.
+func writeResponse(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
 		writeJSON(w, http.StatusOK, v)
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -12,7 +12,7 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
-// Server serves one stand-in. It is a kernel module.
+// Server serves one stand-in. It is a module of package kernel, which starts and stops it.
 type Server struct {
 	cfg    *settings.Standin
 	http   *http.Server
