--- a/cmd/garnet-demo/main.go
+++ b/cmd/garnet-demo/main.go
@@ -1,8 +1,8 @@
 // Command garnet-demo demonstrates the product on loopback, with programs and stand-ins as separate
 // processes that it stops again. By default it runs garnet-node processes while the mix of requests
 // shifts, the configuration changes and VMs are lost. With --own it runs the product's own
-// deployment, applies a table to it and makes one language request and one call that may not be
-// repeated.
+// deployment (garnet-entry and garnet-steward), applies a table to it and makes one language
+// request and one call that may not be repeated.
 package main
 
 import (
@@ -23,17 +23,21 @@
 	"garnethoist.org/garnethoist/internal/proc"
 )
 
+// options is the command line.
 type options struct {
 	Bin string `long:"bin" default:"bin" value-name:"DIR" description:"directory of the programs"`
 	Own bool   `long:"own" description:"demonstrate the product's own deployment"`
 }
 
 const (
+	// demoTimeout bounds the whole demonstration.
 	demoTimeout = 50 * time.Second
-	stopGrace   = 10 * time.Second
-	vmCount     = 2
+	// stopGrace is the time that each process has between SIGTERM and SIGKILL.
+	stopGrace = 10 * time.Second
+	vmCount   = 2
 )
 
+// demoTable is the operators' table for the product's own deployment.
 const demoTable = `# version 0
 service,kind,engines,model,adapters,version,weight,rate_per_s,in_flight,account_rate_per_s,deadline,repeatable,change_cost,fencing,objective
 hints,language,kakkanad=3,crossword-8b,,v1,1,0,0,0,20s,yes,1,checked,0.99
@@ -56,6 +60,7 @@
 	fmt.Println("demo: done")
 }
 
+// run runs the demonstration in a temporary directory.
 func run(opts options) error {
 	dir, err := os.MkdirTemp("", "garnet-demo-")
 	if err != nil {
@@ -70,7 +75,7 @@
 	return runOwn(ctx, opts, dir)
 }
 
-// runOwn demonstrates the product's own deployment.
+// runOwn starts the product's own deployment, demonstrates it and stops it.
 func runOwn(ctx context.Context, opts options, dir string) error {
 	cluster := proc.NewCluster(dir, opts.Bin, proc.NewPorts())
 	defer cluster.StopAll(stopGrace)
@@ -78,12 +83,12 @@
 	if err != nil {
 		return err
 	}
-	return show(ctx, opts, dir, l)
+	return demonstrate(ctx, opts, dir, l)
 }
 
-// show waits for the deployment to start, applies the table, makes the requests and prints the
-// status.
-func show(ctx context.Context, opts options, dir string, l *proc.Layout) error {
+// demonstrate waits for the deployment to start, applies the table, makes the requests and prints
+// the status.
+func demonstrate(ctx context.Context, opts options, dir string, l *proc.Layout) error {
 	for _, vm := range l.VMs {
 		if err := proc.WaitFor(ctx, "steward", proc.Ready("http://"+string(vm.StewardAdmin)+"/healthz")); err != nil {
 			return err
--- a/cmd/garnet-model/main.go
+++ b/cmd/garnet-model/main.go
@@ -14,6 +14,7 @@
 	"garnethoist.org/garnethoist/internal/model"
 )
 
+// options is the command line.
 type options struct {
 	Day     string   `long:"day" required:"true" description:"file that describes an installation and its days"`
 	Name    string   `long:"name" description:"name of one day; default all days of the file"`
@@ -41,6 +42,7 @@
 	}
 }
 
+// run plays the days that the options name, or all days of the file.
 func run(o options) error {
 	site, err := model.Load(o.Day)
 	if err != nil {
@@ -69,6 +71,7 @@
 	return err
 }
 
+// play plays one day, in real time or in virtual time.
 func (o options) play(site *model.Site, d *model.Day) error {
 	if o.Live != "" {
 		return playLive(o, site, d)
@@ -76,7 +79,7 @@
 	return play(o, site, d)
 }
 
-// play simulates one day, writes its report and plot, and prints a summary.
+// play simulates one day in virtual time, writes its report and plot, and prints a summary.
 func play(o options, site *model.Site, d *model.Day) error {
 	r, err := model.NewReport(site, d, o.Seed, o.Policy)
 	if err != nil {
--- a/cmd/garnet-node/main.go
+++ b/cmd/garnet-node/main.go
@@ -14,8 +14,8 @@
 	"garnethoist.org/garnethoist/platform"
 )
 
-// memoryShare is the share of the VM's memory that the heap may fill; it sets the runtime's memory
-// limit. The rest is for stacks, code and other needs of the runtime.
+// memoryShare is the fraction of the VM's memory that the heap may fill; it sets the runtime's
+// memory limit. The rest is for stacks, code and other needs of the runtime.
 const memoryShare = 0.6
 
 func main() {
--- a/cmd/garnet-soak/main.go
+++ b/cmd/garnet-soak/main.go
@@ -17,6 +17,7 @@
 	"garnethoist.org/garnethoist/internal/soak"
 )
 
+// options is the command line.
 type options struct {
 	Seed    uint64        `long:"seed" description:"first seed; 0 chooses one at random"`
 	Seeds   int           `long:"seeds" default:"1" description:"number of seeds to run, one after the other"`
--- a/cmd/garnet-standin/main.go
+++ b/cmd/garnet-standin/main.go
@@ -14,8 +14,10 @@
 )
 
 const (
+	// moduleServer is the name of the only module.
 	moduleServer = "standin.server"
-	stopTimeout  = 5 * time.Second
+	// stopTimeout bounds the time to close the server.
+	stopTimeout = 5 * time.Second
 )
 
 func main() {
--- a/cmd/garnet-steward/main.go
+++ b/cmd/garnet-steward/main.go
@@ -1,5 +1,5 @@
-// Command garnet-steward is the control plane: the operators' table, leases, orders to engines,
-// load and membership, and the feed to the entries.
+// Command garnet-steward is the control plane on each VM: the operators' table, leases, orders to
+// engines, load and membership, and the feed of this state to the entries.
 package main
 
 import (
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -1,11 +1,12 @@
-// Package burn computes the burn rate of a service's error budget: the share of bad answers in a
-// window, divided by the share that the objective allows. A rate of 1 uses up the budget exactly.
-// The package has no clock and does no I/O.
+// Package burn computes the burn rate of a service's error budget: the fraction of answers in a
+// window that are bad, divided by the fraction that the objective allows. A rate of 1 uses up the
+// budget exactly. The package has no clock and does no I/O.
 package burn
 
 import "time"
 
-// Sample holds the cumulative counters of a service at one moment.
+// Sample holds the cumulative counts of a service's good and bad answers at the time At, which
+// counts from any fixed moment.
 type Sample struct {
 	At   time.Duration
 	Good uint64
@@ -47,7 +48,8 @@
 	return s.samples[len(s.samples)-1].At, true
 }
 
-// Counts returns the numbers of good and bad answers in the window that ends with the last sample.
+// Counts returns the numbers of good and bad answers in the window that ends with the last sample,
+// accurate to the spacing.
 func (s *Series) Counts(window time.Duration) (good, bad uint64) {
 	if len(s.samples) == 0 {
 		return 0, 0
@@ -62,7 +64,8 @@
 	return last.Good - first.Good, last.Bad - first.Bad
 }
 
-// Rate returns the burn rate for an objective such as 0.99. It is 0 if there were no answers.
+// Rate returns the burn rate for an objective, the fraction of answers that should be good, such as
+// 0.99. It is 0 if there were no answers.
 func Rate(good, bad uint64, objective float64) float64 {
 	if good+bad == 0 {
 		return 0
--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -7,11 +7,14 @@
 	"github.com/matryer/is"
 )
 
+// Counts covers the given window to within the spacing of the samples, and the series stays
+// bounded.
 func TestCountsOverWindows(t *testing.T) {
 	is := is.New(t)
 	s := NewSeries(10*time.Second, time.Hour)
 	s.Add(Sample{})
-	for i := 1; i <= 7200; i++ { // two hours with one answer per second, which are bad in the last minute
+	// Two hours with one answer per second. The answers of the last minute are bad.
+	for i := 1; i <= 7200; i++ {
 		bad := max(0, i-7140)
 		s.Add(Sample{At: time.Duration(i) * time.Second, Good: uint64(i - bad), Bad: uint64(bad)})
 	}
@@ -24,6 +27,8 @@
 	is.True(len(s.samples) <= 362)
 }
 
+// The rate is the fraction of bad answers in units of what the objective allows, and 0 without any
+// answers.
 func TestRate(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Rate(0, 0, 0.99), 0.0)
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,6 @@
-// Package ctl is the operators' command line. It shows and edits the table and shows the status,
-// decisions and burn rates, through any steward.
+// Package ctl is the operators' command line. It shows and edits the operators' table, which
+// describes each service in a row, and shows the status, decisions and burn rates (package burn),
+// through any steward.
 package ctl
 
 import (
@@ -37,6 +38,7 @@
 	err  error
 }
 
+// Error returns the message of the underlying error.
 func (e *exitError) Error() string { return e.err.Error() }
 
 // app is one invocation of garnetctl.
@@ -138,8 +140,8 @@
 	return f(ctx, api.NewStewardClient(conn))
 }
 
-// table fetches the table from the steward.
-func (a *app) table() (table.Table, error) {
+// fetchTable fetches the operators' table from the steward in the options.
+func (a *app) fetchTable() (table.Table, error) {
 	var t table.Table
 	err := a.withSteward(a.opts.Steward, func(ctx context.Context, c api.StewardClient) error {
 		resp, err := c.TableGet(ctx, &api.TableGetRequest{})
@@ -151,7 +153,8 @@
 	return t, err
 }
 
-// readTable reads a CSV file. Its errors carry the exit code for invalid input.
+// readTable reads the operators' table from a CSV file. Its errors are exitErrors with the code for
+// invalid input.
 func readTable(path string) (table.Table, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -164,7 +167,7 @@
 	return t, nil
 }
 
-// loginName returns the operator's login name, for the history.
+// loginName returns the operator's login name, for the table's history, or "unknown".
 func loginName() string {
 	u, err := user.Current()
 	if err != nil {
--- a/internal/ctl/table.go
+++ b/internal/ctl/table.go
@@ -16,6 +16,7 @@
 	"garnethoist.org/garnethoist/internal/table"
 )
 
+// getCommand writes the table as CSV.
 type getCommand struct {
 	app *app
 	Out string `long:"out" value-name:"FILE" description:"write to FILE instead of standard output"`
@@ -23,7 +24,7 @@
 
 // Execute implements flags.Commander.
 func (c *getCommand) Execute([]string) error {
-	t, err := c.app.table()
+	t, err := c.app.fetchTable()
 	if err != nil {
 		return err
 	}
@@ -35,6 +36,7 @@
 	return errors.Wrap(err, "write table")
 }
 
+// fileArg is the argument of commands that take an edited table.
 type fileArg struct {
 	File string `positional-arg-name:"FILE" description:"edited CSV file"`
 }
@@ -59,6 +61,7 @@
 	return nil
 }
 
+// diffCommand shows what an edited file would change in the steward's table.
 type diffCommand struct {
 	app  *app
 	Args fileArg `positional-args:"yes" required:"yes"`
@@ -70,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	current, err := c.app.table()
+	current, err := c.app.fetchTable()
 	if err != nil {
 		return err
 	}
@@ -103,6 +106,8 @@
 	}
 }
 
+// applyCommand applies an edited file. The token identifies the edit, so that an apply whose
+// response was lost can be repeated.
 type applyCommand struct {
 	app   *app
 	Who   string  `long:"who" value-name:"NAME" description:"name for the history; default: login name"`
@@ -152,6 +157,7 @@
 	return errors.Errorf("nothing was applied: %s", resp.GetMessage())
 }
 
+// historyCommand shows the latest edits, with who made them and what they changed.
 type historyCommand struct {
 	app   *app
 	Limit uint32 `long:"limit" default:"20" description:"maximum number of edits to show"`
--- a/internal/ctl/watch.go
+++ b/internal/ctl/watch.go
@@ -17,11 +17,12 @@
 	"garnethoist.org/garnethoist/internal/daemon"
 )
 
+// statusCommand shows VMs, targets and leases.
 type statusCommand struct{ app *app }
 
 // Execute implements flags.Commander.
 func (c *statusCommand) Execute([]string) error {
-	s, err := c.app.status()
+	s, err := c.app.fetchStatus()
 	if err != nil {
 		return err
 	}
@@ -48,8 +49,8 @@
 	return errors.Wrap(w.Flush(), "write status")
 }
 
-// status fetches the status from the steward.
-func (a *app) status() (*api.StatusResponse, error) {
+// fetchStatus fetches the status from the steward in the options.
+func (a *app) fetchStatus() (*api.StatusResponse, error) {
 	var s *api.StatusResponse
 	err := a.withSteward(a.opts.Steward, func(ctx context.Context, c api.StewardClient) error {
 		var err error
@@ -59,10 +60,10 @@
 	return s, err
 }
 
-// forEachSteward calls f in parallel for each steward that the one named in the options knows. It
-// returns the number of calls that failed.
+// forEachSteward calls f in parallel for each steward that the one in the options knows, itself
+// included. It returns the number of calls that failed.
 func (a *app) forEachSteward(f func(context.Context, api.StewardClient) error) (int, error) {
-	s, err := a.status()
+	s, err := a.fetchStatus()
 	if err != nil {
 		return 0, err
 	}
@@ -89,6 +90,7 @@
 	}
 }
 
+// explainCommand shows the latest decisions on a service of all stewards together.
 type explainCommand struct {
 	app   *app
 	Limit uint32 `long:"limit" default:"20" description:"maximum number of decisions to show"`
@@ -122,13 +124,14 @@
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].GetUnixMs() > all[j].GetUnixMs() })
 	for _, d := range all[:min(int(c.Limit), len(all))] {
-		c.print(d)
+		c.printDecision(d)
 	}
 	c.app.printUnreachable(missing)
 	return nil
 }
 
-func (c *explainCommand) print(d *api.Decision) {
+// printDecision prints a decision with its inputs and options.
+func (c *explainCommand) printDecision(d *api.Decision) {
 	fmt.Fprintf(c.app.stdout, "%s %s %s: %s (%s)\n",
 		time.UnixMilli(d.GetUnixMs()).UTC().Format(time.RFC3339),
 		d.GetId(), d.GetWhat(), d.GetChoice(), d.GetCause())
@@ -140,6 +143,7 @@
 	}
 }
 
+// burnCommand shows the burn rates of all services, from the counts of all stewards together.
 type burnCommand struct{ app *app }
 
 // Execute implements flags.Commander.
@@ -190,7 +194,8 @@
 	total.LongBad += l.GetLongBad()
 }
 
-// printBurn prints the counts and the burn rate of one window.
+// printBurn prints the counts and the burn rate of one window of a service, which is this many
+// seconds long.
 func printBurn(w *tabwriter.Writer, l *api.BurnLine, seconds uint32, good, bad uint64) {
 	fmt.Fprintf(w, "%s\t%g\t%s\t%d\t%d\t%.2f\n", l.GetService(), l.GetObjective(),
 		time.Duration(seconds)*time.Second, good, bad, burn.Rate(good, bad, l.GetObjective()))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -47,9 +47,10 @@
 	// Read reads the settings file at path. It returns settings.Problems if the settings are
 	// invalid.
 	Read func(path string) error
-	// Register registers the modules. It is called after Read.
+	// Register registers the daemon's modules with k. The modules log to logs. It is called after
+	// Read.
 	Register func(k *kernel.Kernel, logs io.Writer)
-	// Roots lists the modules to start; their dependencies are started with them.
+	// Roots holds the names of the modules to start; their dependencies are started with them.
 	Roots []string
 	// StopTimeout returns the time that all modules together have to stop. It is called after Read.
 	StopTimeout func() time.Duration
@@ -89,8 +90,8 @@
 	return ExitOK
 }
 
-// Parse reads the command line into opts. done is true if the program must exit with code, after
-// --help or an invalid command line.
+// Parse reads the command line into opts, a pointer to a struct with go-flags tags. done is true if
+// the program must exit with code, after --help or an invalid command line.
 func Parse(name string, opts any, args []string, stdout, stderr io.Writer) (code int, done bool) {
 	p := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := p.AddGroup("Options", "", opts); err != nil {
@@ -113,7 +114,8 @@
 	return ExitOK, false
 }
 
-// PrintProblems prints the problems of a settings file, one per line.
+// PrintProblems prints err, which came from reading a settings file: one line per problem if it is
+// settings.Problems.
 func PrintProblems(w io.Writer, file string, err error) {
 	var ps settings.Problems
 	if !errors.As(err, &ps) {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -13,8 +13,7 @@
 	"garnethoist.org/garnethoist/internal/daemon"
 )
 
-// SIGHUP does not end a process that has not read its settings yet: it is about to read them
-// anyway.
+// SIGHUP does not end a daemon that has not read its settings yet: it is about to read them anyway.
 func TestHangupWhileStarting(t *testing.T) {
 	d := daemon.Daemon{Name: "garnet-test", Read: func(string) error {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
