--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -10,14 +10,14 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// fakeFreshness is the ConfigFreshness of a VM that has the newest configuration. current is what
-// KeysCurrent returns.
+// fakeFreshness is the ConfigFreshness of a VM that has the newest configuration. KeysCurrent
+// returns keysCurrent.
 type fakeFreshness struct {
 	upToDate
-	current bool
+	keysCurrent bool
 }
 
-func (k *fakeFreshness) KeysCurrent() bool { return k.current }
+func (k *fakeFreshness) KeysCurrent() bool { return k.keysCurrent }
 
 // keyedExchange returns a request with the given key, and the ConfigFreshness of its gateway. The
 // configuration has one account "a" with the key "k". anonymous says that the route requires no
@@ -30,7 +30,7 @@
 	}
 	keeper := fleet.NewKeeper()
 	keeper.SetConfig(config)
-	freshness := &fakeFreshness{current: true}
+	freshness := &fakeFreshness{keysCurrent: true}
 	g := &Gateway{keeper: keeper, freshness: freshness}
 	return &exchange{
 		g: g, r: httptest.NewRequest("GET", "/", nil), view: keeper.View(), route: &fleet.Route{Anonymous: anonymous}, meta: Meta{Key: key},
@@ -67,9 +67,9 @@
 	x, freshness := keyedExchange(t, "k", false)
 	is.NoErr(x.identifyAccount())
 	is.True(x.keyStillValid())
-	freshness.current = false
+	freshness.keysCurrent = false
 	is.True(!x.keyStillValid())
-	freshness.current = true
+	freshness.keysCurrent = true
 	next := fleet.NewConfig(2, nil, nil, fleet.Limits{})
 	is.NoErr(next.SetAccounts(nil))
 	x.g.keeper.SetConfig(next)
@@ -88,7 +88,7 @@
 		x, freshness := keyedExchange(t, key, true)
 		is.NoErr(x.identifyAccount())
 		is.Equal(x.accountName(), name)
-		freshness.current = false
+		freshness.keysCurrent = false
 		is.NoErr(x.identifyAccount())
 		is.Equal(x.accountName(), "")
 		is.True(x.keyStillValid())
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -27,8 +27,8 @@
 	x.g.stats.Admission(x.route.Name, x.size(), x.admission, x.deferredFor > 0)
 }
 
-// size returns the size class of the request's prompt and expected answer among the latest requests
-// of its route.
+// size returns the size classes of the request's prompt and expected answer, relative to the latest
+// requests of its route.
 func (x *exchange) size() fair.Size {
 	if x.sizeClass == nil {
 		b := x.g.sizes.Classify(x.route.Name, x.meta.Prompt.Tokens, x.meta.Prompt.Output)
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -72,9 +72,10 @@
 	return min(wait, clock.Until(x.deadline)/3).Round(time.Millisecond)
 }
 
-// waitEstimator estimates how long ago callers first sent a request. Each request states how long
-// its caller still waits; the longest such timeout seen on a route is taken for that of first
-// tries. It is safe for concurrent use; the zero value is ready.
+// waitEstimator estimates how long ago callers first sent a request. Each request states as its
+// timeout how long its caller still waits; the longest timeout seen on a route is taken to be the
+// one that callers state on their first try. It is safe for concurrent use; the zero value is
+// ready.
 type waitEstimator struct {
 	mu             sync.Mutex
 	longestTimeout map[string]time.Duration
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -39,9 +39,9 @@
 	return nil
 }
 
-// limitBodyTime ends reading of the body at the deadline and when the drain time is over. The
-// caller is then told that nothing ran, instead of finding its connection closed. The returned
-// function lifts the limit.
+// limitBodyTime ends the reading of the body at the deadline, or earlier if the gateway aborts its
+// requests. The caller is then told that nothing ran, instead of finding its connection closed. The
+// returned function removes the limit.
 func (x *exchange) limitBodyTime() func() {
 	ctx, cancel := clock.WithDeadline(x.g.abortCtx, x.deadline)
 	rc := http.NewResponseController(x.w)
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -59,8 +59,10 @@
 	is.Equal(b.takeAll(), 54/(6+spareVMs))
 }
 
-// Seven VMs were killed and restarted at once, not knowing of each other. Each took a quarter of
-// the burst, 94 instead of 54 retries in all, although the burst had been used before the kill.
+// A restarted VM must not use its share of the burst until a retry window has passed, because its
+// previous process may have used the share. This guards against a fault that was seen when seven
+// VMs were killed and restarted at once, not knowing of each other: each took a quarter of the
+// burst, 94 instead of 54 retries in all, although the burst had been used before the kill.
 func TestRestartedVMHasNoBurstYet(t *testing.T) {
 	is := is.New(t)
 	var now time.Duration
@@ -74,7 +76,7 @@
 }
 
 // A VM that does not know the other VMs yet has no retries of the burst; otherwise it would take
-// the share of all.
+// the shares of the others too.
 func TestVMWithUnknownGroupHasNoBurstYet(t *testing.T) {
 	is := is.New(t)
 	var now time.Duration
--- a/internal/gateway/budgets.go
+++ b/internal/gateway/budgets.go
@@ -65,9 +65,9 @@
 }
 
 // mayFill reports whether this VM may use its share of the burst allowance. A VM that does not know
-// the others yet would take the share of all. A previous process on this VM may have used up the
-// share within the current window; until that has passed, only the retries that new requests earn
-// are available.
+// the others yet would take the shares of the others too. A previous process on this VM may have
+// used up the share within the current window; until that has passed, only the retries that new
+// requests earn are available.
 func (b *retryBudgets) mayFill() bool {
 	select {
 	case <-b.group.Joined():
--- a/internal/gateway/callerconn_test.go
+++ b/internal/gateway/callerconn_test.go
@@ -20,7 +20,7 @@
 
 // newTestListener wraps l in a callerListener without limits.
 func newTestListener(l net.Listener) net.Listener {
-	conns := newCallerConns(maxDescriptors, func() int { return 0 }, telemetry.NewLogger(io.Discard, "test", "vm-1"))
+	conns := newCallerConns(unlimitedDescriptors, func() int { return 0 }, telemetry.NewLogger(io.Discard, "test", "vm-1"))
 	return newCallerListener(l, func() fleet.Limits { return fleet.Limits{} }, conns)
 }
 
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -23,8 +23,8 @@
 	reservedSockets = 64
 	// minSockets is left for callers and targets however low the limit is.
 	minSockets = 16
-	// maxDescriptors stands for an unlimited number of file descriptors.
-	maxDescriptors = 1 << 30
+	// unlimitedDescriptors stands for an unlimited number of file descriptors.
+	unlimitedDescriptors = 1 << 30
 )
 
 // Thresholds on the number of connections to callers and targets, as fractions of
@@ -33,18 +33,18 @@
 	// closeIdleShare is the threshold at which idle caller connections are closed.
 	closeIdleShare = 0.75
 	// closeAfterResponseShare is the threshold at which connections are closed after their
-	// response, as few idle ones are left to close.
+	// response. Few idle connections are then left to close.
 	closeAfterResponseShare = 0.8
 	// notReadyShare is the threshold at which the VM reports that it is not ready. The load
 	// balancer takes 2 s to react.
 	notReadyShare = 0.875
-	// stopAcceptShare is the threshold at which no callers are accepted. The rest is for
-	// requests in flight that still need a connection to a target.
+	// stopAcceptShare is the threshold at which no more callers are accepted. The connections above
+	// it are kept for requests in flight that still need a connection to a target.
 	stopAcceptShare = 0.94
 )
 
 const (
-	// newConnGrace is how long a new connection may have no request before it counts as idle.
+	// newConnGrace is the time after which a new connection without a request counts as idle.
 	// Callers give up on a request that has not been read after 1 s.
 	newConnGrace = time.Second
 	// acceptRetryInterval is how often a VM that has reached stopAcceptShare checks whether it can
@@ -60,13 +60,13 @@
 // limit if setting is 0.
 func Descriptors(setting int64) (int, error) {
 	if setting > 0 {
-		return int(min(setting, maxDescriptors)), nil
+		return int(min(setting, unlimitedDescriptors)), nil
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return 0, errors.Wrap(err, "read the file descriptor limit")
 	}
-	return int(min(limit.Cur, maxDescriptors)), nil
+	return int(min(limit.Cur, unlimitedDescriptors)), nil
 }
 
 // callerConns tracks the callers' connections and keeps the process from running out of file
@@ -80,12 +80,13 @@
 	log         *telemetry.Logger
 
 	mu sync.Mutex
-	// open counts the callers' connections.
-	open int
+	// openCount counts the callers' connections.
+	openCount int
 	// idle holds the *callerConn that wait for a request, longest waiting first.
 	idle list.List
 
-	// full is true from reaching notReadyShare until below closeIdleShare.
+	// full is set once the connections reach notReadyShare and cleared once they are below
+	// closeIdleShare.
 	full atomic.Bool
 	// lastShortage is when an accept last failed for lack of a descriptor.
 	lastShortage atomic.Pointer[time.Time]
@@ -101,7 +102,7 @@
 func (cs *callerConns) add(c *callerConn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.open++
+	cs.openCount++
 	c.idleElem, c.idleSince, c.unused = cs.idle.PushBack(c), clock.Now(), true
 }
 
@@ -134,7 +135,7 @@
 	cs.removeIdleLocked(c)
 	if !c.removed {
 		c.removed = true
-		cs.open--
+		cs.openCount--
 	}
 }
 
@@ -149,7 +150,7 @@
 // usedAtLeast reports whether the number of connections has reached the given fraction of maxConns.
 func (cs *callerConns) usedAtLeast(share float64) bool {
 	cs.mu.Lock()
-	open := cs.open
+	open := cs.openCount
 	cs.mu.Unlock()
 	return float64(open+cs.targetConns()) >= share*float64(cs.maxConns)
 }
@@ -181,8 +182,9 @@
 	return false
 }
 
-// noteShortage records that an accept failed for lack of a descriptor, whatever uses the
-// descriptors, and closes an idle connection if there is one.
+// noteShortage records that an accept failed for lack of a descriptor. It also closes an idle
+// connection if there is one, even if it is not the callers' connections that use up the
+// descriptors.
 func (cs *callerConns) noteShortage() {
 	now := clock.Now()
 	if last := cs.lastShortage.Swap(&now); last == nil || now.Sub(*last) > shortagePeriod {
@@ -191,9 +193,9 @@
 	cs.closeIdle()
 }
 
-// ready returns why the VM should get no new callers, or "". Between closeIdleShare and
+// notReadyReason returns why the VM should get no new callers, or "". Between closeIdleShare and
 // notReadyShare it keeps its previous result, so that readiness does not flap.
-func (cs *callerConns) ready() string {
+func (cs *callerConns) notReadyReason() string {
 	switch {
 	case cs.usedAtLeast(notReadyShare):
 		cs.setFull(true)
--- a/internal/gateway/conns_test.go
+++ b/internal/gateway/conns_test.go
@@ -54,13 +54,13 @@
 		ready   bool
 	}{{0, true}, {87, true}, {88, false}, {80, false}, {75, false}, {74, true}, {87, true}, {200, false}, {0, true}} {
 		*targets = step.targets
-		is.Equal(conns.ready() == "", step.ready)
+		is.Equal(conns.notReadyReason() == "", step.ready)
 	}
 	conns.noteShortage()
-	is.True(conns.ready() != "")
+	is.True(conns.notReadyReason() != "")
 	past := time.Now().Add(-shortagePeriod)
 	conns.lastShortage.Store(&past)
-	is.Equal(conns.ready(), "")
+	is.Equal(conns.notReadyReason(), "")
 }
 
 // makeRoom closes the connection that has been idle longest, and never one that has a request or
@@ -94,11 +94,11 @@
 	is.True(!conns.makeRoom())
 	is.True(newer.closed())
 	is.True(!working.closed() && !sent.closed() && !fresh.closed())
-	is.Equal(conns.open, 3)
+	is.Equal(conns.openCount, 3)
 	for _, c := range []*callerConn{older, newer, silent, working, sent, fresh} {
 		is.True(c.Close() == nil || c.removed) // a second close is not counted
 	}
-	is.Equal(conns.open, 0)
+	is.Equal(conns.openCount, 0)
 	is.Equal(conns.idle.Len(), 0)
 }
 
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -15,14 +15,15 @@
 // apart; kept-alive connections last until their next response closes them. If few other VMs are
 // left, the load balancer sends callers to a stopping VM until it exits.
 const (
-	// quietPeriod is how long no request must have been in flight for the drain to end early.
+	// quietPeriod is the time without any request in flight after which the drain ends early.
 	quietPeriod = 1500 * time.Millisecond
 	// minDrain is the minimum time between the signal and the end of the drain.
 	minDrain = 2500 * time.Millisecond
-	// graceMargin is kept free at the end of the grace period. abortTimeout is the part of it in
-	// which requests that still wait for a target are aborted, so that their callers get an error
-	// response instead of a closed connection.
-	graceMargin  = 400 * time.Millisecond
+	// graceMargin is kept free between the latest end of the drain and the end of the grace period.
+	graceMargin = 400 * time.Millisecond
+	// abortTimeout limits the wait for aborted requests to end. Requests that still wait for a
+	// target at the end of the drain are aborted, so that their callers get an error response
+	// instead of a closed connection. This wait is part of graceMargin.
 	abortTimeout = 200 * time.Millisecond
 	// flushTimeout limits the wait for finished responses to leave the server's buffers.
 	flushTimeout = 50 * time.Millisecond
@@ -59,7 +60,8 @@
 
 // newStopCheck returns nil if the gateway is not stopping. needed is the time until the request's
 // deadline. The deadline is the only safe bound: a response takes up to six times the caller's
-// estimate, and streams that were accepted by their estimate were cut off at the end.
+// estimate, and streams that were accepted by that estimate have been cut off when the gateway
+// ended.
 func (d *drainState) newStopCheck(needed time.Duration, now time.Time) *stopCheck {
 	left, stopping := d.remaining(now)
 	if !stopping {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -47,13 +47,14 @@
 	attempts attemptTracker
 	// sentAt is when the latest attempt at a model engine began.
 	sentAt time.Time
-	// quarantineReq identifies the request on all VMs. trial is set while this exchange makes the
-	// trial of a suspect: the only attempt on this VM of a request that may crash its target.
+	// quarantineReq identifies the request on all VMs. trial is set while this exchange tests
+	// whether a request that is suspected of crashing targets still does so; this VM makes no other
+	// attempt at the request meanwhile.
 	quarantineReq quarantine.Request
 	trial         *quarantine.ID
-	// unreachable counts the targets that could not be reached, except those whose host refused the
-	// connection.
-	unreachable int
+	// unreachableCount is the number of targets that could not be reached, except those whose host
+	// refused the connection.
+	unreachableCount int
 	// targetClosed is set once a target closed the connection before the response was complete.
 	targetClosed bool
 	// unanswered is set once an attempt got no response or its response was overdue. The next
@@ -85,9 +86,9 @@
 	eventInterval time.Duration
 	// lastEventID is the id of the last event that the caller received.
 	lastEventID string
-	// stop is the latest check against the end of a stopping gateway; nil if the gateway is not
-	// stopping.
-	stop *stopCheck
+	// lastStopCheck is the latest comparison of the time that the response may need with the time
+	// until the gateway ends; nil if the gateway is not stopping.
+	lastStopCheck *stopCheck
 
 	mu sync.Mutex
 	// trace holds the attempts and their results for the log line; see addTrace. Guarded by mu.
@@ -154,8 +155,8 @@
 		return nil
 	}
 	now := clock.Now()
-	x.stop = x.g.drain.newStopCheck(x.deadline.Sub(now), now)
-	return x.stop.check()
+	x.lastStopCheck = x.g.drain.newStopCheck(x.deadline.Sub(now), now)
+	return x.lastStopCheck.check()
 }
 
 // isGeneration reports whether a model engine serves the request.
@@ -220,7 +221,7 @@
 	return errkind.Wrap(errkind.OutcomeUnknown, cause, "the target did not answer; the request may have run")
 }
 
-// refusalRetryAfter is the retry delay for refusals that are likely to be over soon.
+// refusalRetryAfter is the retry delay for refusals whose reason is likely to pass soon.
 const refusalRetryAfter = 100 * time.Millisecond
 
 // refusal returns an error of the given kind with refusalRetryAfter as its delay.
@@ -260,8 +261,8 @@
 	x.w.WriteHeader(status)
 }
 
-// endedLocally reports whether the caller left or the gateway's shutdown ended the wait. A failed
-// attempt then says nothing about the target.
+// endedLocally reports whether the caller left or the gateway's shutdown aborted the request. The
+// failure of an attempt then says nothing about the target.
 func (x *exchange) endedLocally() bool {
 	return x.r.Context().Err() != nil || x.g.abortCtx.Err() != nil
 }
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -33,8 +33,8 @@
 		name      string
 		objective time.Duration
 		patience  time.Duration
-		// expected is the estimated time until the answer begins, and own the part of it that the
-		// prefill of this request takes.
+		// expected is the estimated time until the answer begins. It includes own, the time that
+		// the prefill of this request takes.
 		expected time.Duration
 		own      time.Duration
 		// arrivals is the number of targets that the request has reached before.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,8 +44,8 @@
 	// (documented for users) and above the 5.5 s link outages in the users' load profiles, so that
 	// a request delayed by an outage still finds its connection open.
 	callerSilenceTimeout = 6 * time.Second
-	// spareVMs is how many VMs that are not yet known are allowed for when limits are divided among
-	// VMs.
+	// spareVMs is added to the number of known VMs when a limit is divided among the VMs, to allow
+	// for VMs that are not yet known.
 	spareVMs = 3
 )
 
@@ -53,8 +53,8 @@
 type Limits struct {
 	// Grace is how long the process may run after SIGTERM.
 	Grace time.Duration
-	// RetryRatio and RetryBurst limit retries at further targets over all VMs: as a fraction of the
-	// requests, and as a fixed number on top of it.
+	// RetryRatio and RetryBurst limit the retries at further targets of all VMs together: to the
+	// fraction RetryRatio of the requests, plus RetryBurst.
 	RetryRatio float64
 	RetryBurst float64
 	// RetryWindow is the sliding window to which RetryRatio and RetryBurst apply.
@@ -111,10 +111,10 @@
 	proto     Protocol
 	group     Group
 	freshness ConfigFreshness
-	// quarantine records the requests that crash targets. exitChecks merges concurrent checks of
-	// whether the process of a target has exited.
+	// quarantine records the requests that may crash targets.
 	quarantine Quarantine
 	usage      Usage
+	// exitChecks merges concurrent checks of whether the process of a target has exited.
 	exitChecks singleflight.Group
 	client     *httpsend.Client
 	log        *telemetry.Logger
@@ -128,15 +128,15 @@
 	conns     *callerConns
 	bg        kernel.Background
 	drain     drainState
-	// abortCtx is canceled by abort when the drain time is over. Requests that are still in flight
-	// then stop waiting for their targets and get an error that says what is known.
+	// abortCtx is canceled by abort at the end of the drain. Requests that are still in flight then
+	// stop waiting for their targets and get an error that says what is known.
 	abortCtx context.Context
 	abort    context.CancelFunc
 	// inFlight counts the requests of callers that are being served.
 	inFlight atomic.Int64
 	// callerWaits estimates how long ago callers first sent a request.
 	callerWaits waitEstimator
-	// sizes classifies requests by their size among the latest of their route.
+	// sizes classifies requests by their size, relative to the latest requests of their route.
 	sizes fair.Sizes
 
 	retryBudgets *retryBudgets
@@ -262,7 +262,7 @@
 	case g.keeper.View().Config.RequiresKeys() && !g.freshness.KeysCurrent():
 		return "recently revoked keys are not known"
 	}
-	return g.conns.ready()
+	return g.conns.notReadyReason()
 }
 
 // serve handles one request from arrival to log line.
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -42,7 +42,7 @@
 type plainCall struct {
 	attempt attempt
 	sentAt  time.Time
-	// target is set only if err is not nil, and resp only if it is nil.
+	// target is set only if err is not nil, and resp only if err is nil.
 	target *fleet.Target
 	resp   *bufferedResponse
 	out    outcome
@@ -52,10 +52,10 @@
 // plainCalls holds the attempts of one plain request: one after the other, or two at once if the
 // first response is overdue. It is used by one goroutine only.
 type plainCalls struct {
-	x       *exchange
-	ctx     context.Context
-	done    chan plainCall
-	pending int
+	x            *exchange
+	ctx          context.Context
+	done         chan plainCall
+	pendingCount int
 	// overdue fires when the response to the latest call is overdue. It is nil if the request must
 	// not be sent twice.
 	overdue <-chan time.Time
@@ -85,7 +85,7 @@
 		c.startErr = err
 		return
 	}
-	c.pending++
+	c.pendingCount++
 	if x.route.Kind == fleet.Idempotent {
 		c.overdue = time.After(clock.Until(x.deadline) / overdueDivisor)
 	}
@@ -107,7 +107,7 @@
 func (c *plainCalls) next() (plainCall, bool) {
 	select {
 	case call := <-c.done:
-		c.pending--
+		c.pendingCount--
 		return call, true
 	case <-c.overdue:
 		c.overdue = nil
@@ -118,7 +118,7 @@
 // cancelPending cancels the calls in flight and waits for them.
 func (c *plainCalls) cancelPending(cancel context.CancelCauseFunc) {
 	cancel(httpsend.ErrOverdue)
-	for ; c.pending > 0; c.pending-- {
+	for ; c.pendingCount > 0; c.pendingCount-- {
 		<-c.done
 	}
 }
@@ -132,7 +132,7 @@
 	defer c.cancelPending(cancel)
 	var last error
 	var fallback *bufferedResponse
-	for c.start(); c.pending > 0; {
+	for c.start(); c.pendingCount > 0; {
 		call, ended := c.next()
 		if !ended {
 			if x.reserveRetry(ctx) {
@@ -163,7 +163,7 @@
 		if call.out == outcomeUnknown {
 			x.checkTargetExit(call.target, call.err, call.sentAt, 0)
 		}
-		if c.pending == 0 && (!x.mayHaveRun || x.route.Repeatable()) && x.reserveRetry(ctx) {
+		if c.pendingCount == 0 && (!x.mayHaveRun || x.route.Repeatable()) && x.reserveRetry(ctx) {
 			c.start()
 		}
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -27,10 +27,11 @@
 type Quarantine interface {
 	// Verdict returns what is known of a request.
 	Verdict(r *quarantine.Request, now time.Time) quarantine.Verdict
-	// BeginTrial begins the trial of a suspect: the only attempt of it that may be in flight on
-	// this VM. It returns false if there is one already.
+	// BeginTrial begins a trial of a suspect: one attempt that shows whether the request still
+	// crashes its target. This VM makes no other attempt at the request meanwhile. It returns false
+	// if this VM already has a trial of the request in progress.
 	BeginTrial(id quarantine.ID) bool
-	// EndTrial ends the trial.
+	// EndTrial ends the trial that BeginTrial began.
 	EndTrial(id quarantine.ID)
 	// RecordCrash records that a target crashed as it began to run a request.
 	RecordCrash(r *quarantine.Request, crash quarantine.Crash)
@@ -164,7 +165,8 @@
 }
 
 // excludeForTrial returns the targets that must not be chosen: tried or, for a suspect, all targets
-// but one that other suspects are not sent to.
+// but one. The fingerprint of the suspect determines that one, so that different suspects are
+// usually sent to different targets; see place.Placer.AllButOne.
 func (x *exchange) excludeForTrial(tried place.Tried) place.Tried {
 	if x.trial == nil {
 		return tried
--- a/internal/gateway/ready_test.go
+++ b/internal/gateway/ready_test.go
@@ -45,7 +45,7 @@
 	log := telemetry.NewLogger(&bytes.Buffer{}, "test", "vm-1")
 	client := httpsend.New(httpsend.Config{DialTimeout: time.Second, MaxIdleTime: time.Second})
 	g := New(Options{
-		Listen: taken.Addr().String(), Descriptors: maxDescriptors, Keeper: keeper, Group: soloVM{}, Freshness: upToDate{},
+		Listen: taken.Addr().String(), Descriptors: unlimitedDescriptors, Keeper: keeper, Group: soloVM{}, Freshness: upToDate{},
 		Placer: place.New(place.DefaultConfig("a"), soloVM{}, nil), Client: client, Log: log,
 	}, Limits{Grace: 500 * time.Millisecond})
 	is.True(g.Ready() != "") // not started
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -87,8 +87,8 @@
 	if x.targetClosed {
 		fields = append(fields, telemetry.F("print", x.quarantineReq.Fingerprint()))
 	}
-	if x.stop != nil {
-		fields = append(fields, telemetry.F("stop_ms", x.stop.remaining.Milliseconds()), telemetry.F("needed_ms", x.stop.needed.Milliseconds()))
+	if x.lastStopCheck != nil {
+		fields = append(fields, telemetry.F("stop_ms", x.lastStopCheck.remaining.Milliseconds()), telemetry.F("needed_ms", x.lastStopCheck.needed.Milliseconds()))
 	}
 	if x.lastEventID != "" {
 		fields = append(fields, telemetry.F("last_event", x.lastEventID))
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -49,10 +49,10 @@
 	return min(max((left/unackedDivisor).Truncate(minUnacked), minUnacked), maxUnacked)
 }
 
-// maxStreamConnIdle is how long a kept-alive connection may have been idle to be used for a stream
-// that must not be sent twice. If a connection dies, only the requests of the next half second meet
-// it. Using new connections for all of these streams opened three times as many connections on a
-// day without faults.
+// maxStreamConnIdle is the longest time for which a kept-alive connection may have been idle when a
+// stream that must not be sent twice uses it. If a connection dies, only the requests of the next
+// half second are sent on it. Opening a new connection for every such stream instead tripled the
+// number of connections opened on a day without faults.
 const maxStreamConnIdle = 500 * time.Millisecond
 
 // destination returns the connection settings for an attempt at t. A kept-alive connection may be
@@ -151,9 +151,9 @@
 // just exited, the request goes on to those that are up.
 func (x *exchange) noteUnreachable(err error) bool {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
-		x.unreachable++
+		x.unreachableCount++
 	}
-	return x.unreachable < maxUnreachable
+	return x.unreachableCount < maxUnreachable
 }
 
 // drainBody reads a short response to its end, so that the connection can be reused.
--- a/internal/gateway/sends.go
+++ b/internal/gateway/sends.go
@@ -23,7 +23,7 @@
 	// prefills counts the prefills that were accepted or may have been.
 	prefills int
 	// retriesUsed counts the retries that were taken from the budget and used. reserved holds, for
-	// each retry that was taken and is not used yet, the budget that it is from.
+	// each retry that was taken and is not used yet, the budget from which it was taken.
 	retriesUsed int
 	reserved    []*retry.Window
 }
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -19,8 +19,8 @@
 	requests metric.Int64Counter
 	// duration is in seconds.
 	duration metric.Float64Histogram
-	// handles counts the handles that could not be freed.
-	handles metric.Int64Counter
+	// handlesNotFreed counts the handles that could not be freed.
+	handlesNotFreed metric.Int64Counter
 	// bySize counts generation requests by size class and outcome.
 	bySize     metric.Int64Counter
 	admissions metric.Int64Counter
@@ -50,7 +50,7 @@
 		return nil, errors.Wrap(err, "admissions counter")
 	}
 	retries, err := m.Int64Counter("garnet_retries", metric.WithDescription("sends to further targets, by whether attempts and retry budget allowed them"))
-	return &Stats{requests: requests, duration: duration, handles: handles, bySize: bySize, admissions: admissions, retries: retries}, errors.Wrap(err, "retries counter")
+	return &Stats{requests: requests, duration: duration, handlesNotFreed: handles, bySize: bySize, admissions: admissions, retries: retries}, errors.Wrap(err, "retries counter")
 }
 
 // Request counts one request and its duration. kind is empty if the response came from a target.
@@ -86,4 +86,4 @@
 }
 
 // HandleNotFreed counts a handle whose freeing call failed.
-func (s *Stats) HandleNotFreed() { s.handles.Add(context.Background(), 1) }
+func (s *Stats) HandleNotFreed() { s.handlesNotFreed.Add(context.Background(), 1) }
