--- a/internal/httpsend/client.go
+++ b/internal/httpsend/client.go
@@ -101,23 +101,23 @@
 	mu sync.Mutex
 	// pools holds the connections by Destination.ID.
 	pools map[string]*pool
-	// open counts the connections of all pools that are open or being opened.
-	open int
+	// openCount counts the connections of all pools that are open or being opened.
+	openCount int
 }
 
 // pool holds the connections to one destination. Client.mu guards it.
 type pool struct {
 	// idle holds the unused connections, the least recently used first.
 	idle []*conn
-	// open counts the connections that are idle, in use or being opened.
-	open int
+	// openCount counts the connections that are idle, in use or being opened.
+	openCount int
 }
 
 // OpenConns returns the number of connections that are open or being opened.
 func (c *Client) OpenConns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.open
+	return c.openCount
 }
 
 // New returns a client without connections.
@@ -253,18 +253,18 @@
 		p = &pool{}
 		c.pools[d.ID] = p
 	}
-	if d.MaxConns > 0 && p.open >= d.MaxConns {
+	if d.MaxConns > 0 && p.openCount >= d.MaxConns {
 		if len(p.idle) == 0 {
 			return false
 		}
 		// The new connection takes over the slot, so a failed Close changes nothing.
 		_ = p.idle[0].nc.Close()
 		p.idle = p.idle[1:]
-		p.open--
-		c.open--
+		p.openCount--
+		c.openCount--
 	}
-	p.open++
-	c.open++
+	p.openCount++
+	c.openCount++
 	return true
 }
 
@@ -273,9 +273,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pools[id]
-	p.open--
-	c.open--
-	if p.open == 0 {
+	p.openCount--
+	c.openCount--
+	if p.openCount == 0 {
 		delete(c.pools, id)
 	}
 }
--- a/internal/httpsend/httpsend_test.go
+++ b/internal/httpsend/httpsend_test.go
@@ -17,22 +17,22 @@
 	"garnethoist.org/garnethoist/internal/httpsend"
 )
 
-// fakeTarget answers the requests on all its connections, each with the next handler. It counts
-// requests and connections.
+// fakeTarget answers each request with the next of its handlers, whichever connection the request
+// arrives on. It counts requests and connections.
 type fakeTarget struct {
-	t        *testing.T
-	l        net.Listener
-	mu       sync.Mutex
-	requests int
-	conns    int
-	open     []net.Conn
+	t         *testing.T
+	l         net.Listener
+	mu        sync.Mutex
+	requests  int
+	conns     int
+	openConns []net.Conn
 }
 
 // handler writes a response to c and reports whether the connection stays open.
 type handler func(c net.Conn) bool
 
-// newFakeTarget starts a target on a loopback port. It closes a connection on which a request
-// arrives after the last handler was used.
+// newFakeTarget starts a target on a loopback port. The handlers answer one request each, in order.
+// After the last one, the target closes any connection on which a request arrives.
 func newFakeTarget(t *testing.T, handlers ...handler) *fakeTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 			}
 			ft.mu.Lock()
 			ft.conns++
-			ft.open = append(ft.open, c)
+			ft.openConns = append(ft.openConns, c)
 			ft.mu.Unlock()
 			served.Go(func() { ft.serve(c, handlers) })
 		}
@@ -57,7 +57,7 @@
 	t.Cleanup(func() {
 		l.Close()
 		ft.mu.Lock()
-		for _, c := range ft.open {
+		for _, c := range ft.openConns {
 			c.Close()
 		}
 		ft.mu.Unlock()
--- a/internal/httpsend/silent_test.go
+++ b/internal/httpsend/silent_test.go
@@ -20,10 +20,11 @@
 	requestTimeout = 10 * time.Second
 	// unackedTimeout is the requests' limit on unacknowledged bytes.
 	unackedTimeout = 250 * time.Millisecond
-	// detectedWithin is the time within which unacknowledged bytes must have failed a send.
+	// detectedWithin is the longest time that a send may take to fail if its bytes are not
+	// acknowledged.
 	detectedWithin = time.Second
-	// probedWithin is the time within which keep-alive probes, one a second, must have failed a
-	// send on a connection on which nothing is written.
+	// probedWithin is the longest time that a send on a dead connection may take to fail if nothing
+	// is written and only the keep-alive probes, one a second, detect the loss.
 	probedWithin = 3500 * time.Millisecond
 )
 
@@ -70,8 +71,9 @@
 	is.Equal(body, "ok")
 }
 
-// TestIdleConnectionsAreClosedWithDeadOne checks that one dead connection closes all that have
-// been idle as long. Otherwise each of them would fail a request of its own.
+// TestIdleConnectionsAreClosedWithDeadOne checks that if a send finds its connection dead, the
+// connections that were idle when the send began are closed too. Otherwise each of them could fail
+// one more request.
 func TestIdleConnectionsAreClosedWithDeadOne(t *testing.T) {
 	is := is.New(t)
 	const kept = 4
