--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -20,7 +20,7 @@
 // configured duties.
 type dutyModules struct{}
 
-// provideDuties provisions the modules of the duties that the settings list.
+// provideDuties provisions the modules of the duties in the settings.
 func provideDuties(k *kernel.Kernel, cfg *settings.Node) (any, error) {
 	g := &kernel.Getter{Kernel: k}
 	if cfg.Cloud.HasDuty(settings.DutyUsage) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,7 +37,7 @@
 	ModuleFleet         = "watch.fleet"
 	ModuleConfigTable   = "watch.config"
 	ModuleTargetsTable  = "watch.targets"
-	ModuleFreshness     = "watch.knowledge"
+	ModuleFreshness     = "watch.knowledge" // a watch.Freshness; the name of the module differs from that of its type
 	ModulePeers         = "peers"
 	ModulePlacer        = "place.placer"
 	ModuleStats         = "gateway.stats"
@@ -55,9 +55,9 @@
 	ModuleReload        = "node.reload"
 )
 
-// Roots lists the modules that the program starts; the others are started because these depend
-// on them. They stop in reverse order, so that a stopping VM hands over its duties before it
-// drains its requests.
+// Roots lists the modules that the program starts; the others are started because these depend on
+// them. All modules stop in the reverse of the order in which they started, so that a stopping VM
+// hands over its duties before it drains its requests.
 var Roots = []string{ModuleAdmin, ModuleReadyServer, ModulePlacer, ModulePeers, ModuleStages, ModuleReload, ModuleGateway, ModuleDuties}
 
 // Store is a client of the platform's store: transactions on keys, and the feeds of tables.
@@ -89,7 +89,7 @@
 	ReadyPath string
 	// ConfigTable is the name of the store's table that holds the configuration.
 	ConfigTable string
-	// TargetsTable is the name of the store's table that lists the targets.
+	// TargetsTable is the name of the store's table that holds the list of targets.
 	TargetsTable string
 }
 
@@ -100,7 +100,8 @@
 	// targetMaxIdle is how long an unused connection is kept.
 	targetMaxIdle = 3 * time.Second
 	// targetUnackedTimeout is how long sent bytes may stay unacknowledged in calls that set no
-	// limit of their own: orders to engines and reports from them, whose timeout is 700 ms.
+	// limit of their own: orders to engines and requests for their reports, which time out after
+	// 700 ms.
 	targetUnackedTimeout = 250 * time.Millisecond
 )
 
@@ -248,9 +249,8 @@
 	return placer, nil
 }
 
-// decodeDemand returns how many decode engines the running requests of a service occupy. It is 0 if
-// the service runs no model.
-// targets are the engines of that service.
+// decodeDemand returns how many decode engines the running requests of a service occupy, or 0 if
+// the service runs no model. targets are the engines of that service.
 func decodeDemand(p *place.Placer, v *fleet.View, targets []*fleet.Target) float64 {
 	if v.Config == nil || len(targets) == 0 {
 		return 0
