--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -44,8 +44,8 @@
 	// LeaseGap is the minimum time between the last order of one lease holder and the first order
 	// of the next.
 	LeaseGap Duration `json:"lease_gap"`
-	// ConfigBound is the time within which a change of the configuration must take effect on
-	// every VM after it was written.
+	// ConfigBound is the longest time from the writing of a change of the configuration until the
+	// change is in effect on every VM.
 	ConfigBound Duration `json:"config_bound"`
 	// RevokeBound is the time within which every VM, connected to the store or not, must refuse
 	// a key that was removed from the configuration; 0 means no limit.
@@ -84,7 +84,7 @@
 	DutyScaling = "scaling"
 )
 
-// HasDuty reports whether a duty is configured, which takes a cloud address as well.
+// HasDuty reports whether the platform has an address and the duty is in Duties.
 func (c *Cloud) HasDuty(duty string) bool { return c.Address != "" && slices.Contains(c.Duties, duty) }
 
 // DefaultNode returns the default settings of garnet-node.
--- a/internal/settings/programs.go
+++ b/internal/settings/programs.go
@@ -36,7 +36,8 @@
 	AdminListen Addr `json:"admin_listen"`
 	// Stewards lists the addresses of the stewards of this data centre, this VM's own first.
 	Stewards []Addr `json:"stewards"`
-	// Platform is the store in which entries claim the requests that must run at most once.
+	// Platform is the address and timeout of the store in which entries claim the requests that
+	// must run at most once.
 	Platform Endpoint `json:"platform"`
 	// MaxBodyBytes is the largest request body that is accepted.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
@@ -44,9 +45,8 @@
 	BodyTimeout Duration `json:"body_timeout"`
 	// MaxInFlight limits the requests that are in flight at this entry.
 	MaxInFlight int `json:"max_in_flight"`
-	// MaxEntries is the largest number of entry VMs that this data centre will ever run at
-	// once. It determines the share of a limit that an entry may use without a grant from the
-	// steward.
+	// MaxEntries is the largest number of entry VMs that this data centre will ever run at once. It
+	// determines the fraction of a limit that an entry may use without a grant from the steward.
 	MaxEntries int `json:"max_entries"`
 	// StopTimeout limits the wait for requests in flight after SIGTERM.
 	StopTimeout Duration `json:"stop_timeout"`
@@ -87,7 +87,9 @@
 	dec.checkDuplicateAddrs("stewards", s.Stewards)
 }
 
-// Steward holds the settings of garnet-steward.
+// Steward holds the settings of garnet-steward. The role of an engine, in these settings, is the
+// work that the planner of garnet-steward (package roles) assigns to the engine. It differs from
+// the stage of an engine, prefill or decode, which garnet-node controls (package stages).
 type Steward struct {
 	// VM is the name of this entry VM, unique in the organisation.
 	VM string `json:"vm"`
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,8 +11,9 @@
 	"github.com/matryer/is"
 )
 
-// validEntry is a settings file without problems, which TestProblems changes in one place.
-const validEntry = `{
+// validEntrySettings is a valid settings file of garnet-entry. TestProblems replaces one part of
+// the file in each case.
+const validEntrySettings = `{
   // comments are allowed
   "vm": "vm-1", "data_centre": "kakkanad",
   "listen": "10.0.0.1:8080", "admin_listen": "10.0.0.1:8081",
@@ -24,7 +25,7 @@
 func TestValidEntry(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultEntry()
-	is.NoErr(Decode([]byte(validEntry), cfg))
+	is.NoErr(Decode([]byte(validEntrySettings), cfg))
 	is.Equal(cfg.VM, "vm-1")
 	is.Equal(cfg.MaxInFlight, DefaultEntry().MaxInFlight) // a field that is not in the file keeps its default
 }
@@ -55,8 +56,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(validEntry, c.old, c.new, 1)
-			is.True(text != validEntry) // the case changes the file
+			text := strings.Replace(validEntrySettings, c.old, c.new, 1)
+			is.True(text != validEntrySettings) // the case changes the file
 			err := Decode([]byte(text), DefaultEntry())
 			var ps Problems
 			is.True(errors.As(err, &ps))
@@ -84,7 +85,7 @@
 // FuzzDecode checks that no input makes Decode panic, and that every error is of type Problems,
 // with a line and a message for each.
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(validEntry))
+	f.Add([]byte(validEntrySettings))
 	f.Add([]byte(`{"vm": [{"x": 1}], "stewards": {}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		err := Decode(data, DefaultEntry())
@@ -126,8 +127,8 @@
 }
 
 // TestDefaultsCanBeWrittenAndRead checks that settings that a program has written, including the
-// defaults, can be read again. An empty cloud address, which means that the platform has no such
-// calls, was once refused, so that no VM of such a deployment started.
+// defaults, can be read again. It guards against refusing an empty cloud address, which means that
+// the platform has no such calls: no VM of such a deployment would start.
 func TestDefaultsCanBeWrittenAndRead(t *testing.T) {
 	is := is.New(t)
 	n := DefaultNode()
