--- a/internal/telemetry/admin.go
+++ b/internal/telemetry/admin.go
@@ -47,7 +47,7 @@
 	g.GET("/metrics", gin.WrapH(a.metrics.Handler()))
 	a.server = &http.Server{Handler: g, ReadHeaderTimeout: adminHeaderTimeout}
 	a.wg.Go(func() {
-		// The only error that Serve can return here is that of the listener that Stop closed.
+		// Serve returns an error only because Stop closes the listener.
 		_ = a.server.Serve(l)
 	})
 	return nil
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -20,7 +20,7 @@
 	out       io.Writer
 	linesPerS atomic.Int64
 	queue     chan []byte
-	// currentSecond is the Unix time that linesThisSecond counts lines for.
+	// currentSecond is the second, in Unix time, whose lines linesThisSecond counts.
 	currentSecond   atomic.Int64
 	linesThisSecond atomic.Int64
 	// dropped counts the lines dropped since the last report.
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -13,7 +13,7 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// output is a log output whose writes wait for block to be closed, unless it is nil.
+// output is a log output. If block is not nil, writes wait until block is closed.
 type output struct {
 	mu    sync.Mutex
 	text  bytes.Buffer
@@ -36,7 +36,7 @@
 }
 
 // TestLinesAboveRateAreDroppedAndCounted checks that only the lines within the rate are written,
-// and that the output then tells of the others.
+// and that the number of dropped lines is written too.
 func TestLinesAboveRateAreDroppedAndCounted(t *testing.T) {
 	is := is.New(t)
 	out := &output{}
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -31,10 +31,10 @@
 	EventLeaseAcquired    Event = "lease_acquired"
 	EventLeaseLost        Event = "lease_lost"
 	EventOrderSent        Event = "order_sent"    // an order was sent to an engine
-	EventOrderRefused     Event = "order_refused" // an order failed or could not be journalled
+	EventOrderRefused     Event = "order_refused" // an order failed, or the journal of orders could not be read or written
 	EventOrderAdopted     Event = "order_adopted" // an earlier lease holder's order was taken over
 	EventOrderDone        Event = "order_done"    // an engine has carried out an order
-	EventRoleDecision     Event = "role_decision" // a change of an engine's role was planned
+	EventRoleDecision     Event = "role_decision" // the planner of garnet-steward decided to change an engine's role
 	EventPlatformDown     Event = "platform_down" // the platform became unreachable
 	EventPlatformUp       Event = "platform_up"
 	EventStewardLost      Event = "steward_lost" // an entry lost its connection to a steward
@@ -57,7 +57,7 @@
 	EventDescriptorsShort Event = "descriptors_short"   // file descriptors are running out
 	EventHTTPServer       Event = "http_server"         // a line of an HTTP server's error log
 	EventLogDropped       Event = "log_dropped"         // log lines were dropped
-	EventUsage            Event = "usage"               // the usage report of a time window was fixed or sent
+	EventUsage            Event = "usage"               // the usage report of a time window was finalized or sent, or the record of earlier reports was read
 	EventScaling          Event = "scaling"             // engines were ordered from the platform
 	EventClaimUnknown     Event = "claim_unknown"       // the claim of an at-most-once request could not be updated
 	EventClaimsRemoved    Event = "claims_removed"      // old claims were removed
