--- a/internal/place/admit.go
+++ b/internal/place/admit.go
@@ -45,8 +45,8 @@
 	// onTimeShare is the fraction of the objective within which an answer is planned to begin. The
 	// rest allows for errors of the estimate.
 	onTimeShare = 0.9
-	// maxOwnShare is the largest fraction of the objective that the prefill of the request itself
-	// is counted as. A request whose own prefill takes longer would otherwise be refused whenever
+	// maxOwnShare limits the time that is counted for the request's own prefill, as a fraction of
+	// the objective. A request whose own prefill takes longer would otherwise be refused whenever
 	// engines are busy.
 	maxOwnShare = 0.4
 	// idleShare is the largest fraction of the objective that the pending prompts at an engine may
@@ -59,9 +59,8 @@
 	queuedShare = 0.25
 	// prefillMargin is the factor by which a prefill is allowed to exceed its estimate.
 	prefillMargin = 1.25
-	// deferShare is the largest fraction of the time within which the answer must begin for which a
-	// request is deferred. Its caller is then told to come back and has as much time again for
-	// that.
+	// deferShare limits how long a request is deferred, as a fraction of the time within which its
+	// answer must begin. Its caller is then told to come back, and has as much time again for that.
 	deferShare = 0.5
 )
 
--- a/internal/place/cache.go
+++ b/internal/place/cache.go
@@ -90,9 +90,9 @@
 	p.recordOwn(r, now)
 }
 
-// recordOwn updates the state of a target by a record of this VM, and keeps the record for the next
-// report to other VMs. It is not kept if maxSendRecords wait to be reported already. The caller
-// holds p.mu.
+// recordOwn updates the state of a target from a record of this VM, and keeps the record for the
+// next report to other VMs. The record is not kept if maxSendRecords records are waiting to be
+// reported already. The caller holds p.mu.
 func (p *Placer) recordOwn(r SendRecord, now time.Time) {
 	s := p.stateByID(r.Target)
 	s.addRecord(r, now)
@@ -102,7 +102,7 @@
 	}
 }
 
-// addRecord updates the health and the cache model of a target by a record of any VM. The caller
+// addRecord updates the health and the cache model of a target from a record of any VM. The caller
 // holds Placer.mu.
 func (s *state) addRecord(r SendRecord, now time.Time) {
 	if r.Failed {
@@ -113,8 +113,9 @@
 	s.cache.add(r.Parts, r.Missing)
 }
 
-// noteInPlacePrefill updates the state of a decode target by the record of a prompt that it
-// prefills in place, which makes each step of its running requests longer. The caller holds p.mu.
+// noteInPlacePrefill updates the state of a decode target from the record of a prompt that the
+// target prefills in place. Such a prefill makes each decode step of the requests running there
+// longer. The caller holds p.mu.
 func (p *Placer) noteInPlacePrefill(s *state, r SendRecord, now time.Time) {
 	if !r.Prefills || s.stage == fleet.Prefill {
 		return
@@ -137,7 +138,7 @@
 	return out
 }
 
-// Observe updates the state of the targets by records that other VMs report.
+// Observe updates the state of the targets from records that other VMs report.
 func (p *Placer) Observe(records []SendRecord, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/place/demand_test.go
+++ b/internal/place/demand_test.go
@@ -13,7 +13,7 @@
 // Guards against counting prefills in place as decode load. During a burst of prompts, while few
 // engines prefill, prompts are prefilled in place at the decode engines. When each of them counted
 // as a running request that fills a seat, more engines seemed to be needed for decoding, and still
-// fewer were left to prefill: 21 to 34 of 57 engines decoded only few answers.
+// fewer were left to prefill: 21 to 34 of the 57 engines were decode engines with little to decode.
 func TestInPlacePrefillsAreNotDecodeLoad(t *testing.T) {
 	is := is.New(t)
 	targets := []*fleet.Target{engine("d1", fleet.Decode), engine("d2", fleet.Decode)}
--- a/internal/place/pick.go
+++ b/internal/place/pick.go
@@ -36,8 +36,8 @@
 type Seat struct {
 	// Running is the number of other requests that the target ran already.
 	Running int
-	// LongestAnswer is the time that the longest answer that the request may have takes, at the
-	// speed of a batch of that size.
+	// LongestAnswer is the estimated time of the longest answer that the request may have, at the
+	// speed of a batch with Running other requests.
 	LongestAnswer time.Duration
 }
 
@@ -187,10 +187,10 @@
 }
 
 // AllButOne returns the set of all targets except one, so that a request can only be sent to that
-// one. It is the target with the highest hash of its run id and key, among the targets that run
-// requests, can be reached and are not in tried; the set has all targets if there is none.
-// Requests that may crash their targets are sent to different targets this way. If two were sent to
-// the same one, its crash would be held against both.
+// one. The exception is the target with the highest hash of its run id and key, among the targets
+// that run requests, can be reached and are not in tried. If there is no such target, the set holds
+// all targets. Requests that may crash their targets are sent to different targets this way. If two
+// were sent to the same one, its crash would count against both requests.
 func (p *Placer) AllButOne(targets []*fleet.Target, tried Tried, key []byte) Tried {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -212,8 +212,8 @@
 	return out
 }
 
-// usable reports whether t may be given a request: it is neither leaving nor changing its stage,
-// and it is not in tried.
+// usable reports whether t may be given a request: t is neither leaving nor changing its stage, and
+// is not in tried.
 func (p *Placer) usable(t *fleet.Target, tried Tried) bool {
 	return !t.Leaving && !tried[t.ID] && !p.changingStage(t)
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -17,9 +17,10 @@
 //   - A seat is a place in the batch of a decode target. A target has one seat for each request
 //     that it may run concurrently: its slots less a few spare ones, or fewer, if the steps of a
 //     larger batch would be too long for the longest answers to end within their time limits.
-//   - A session is the requests whose prompts are equal except for their last parts.
+//   - A session is a set of requests whose prompts are equal except for their last parts.
 //   - The objective is the time to the first event that a route aims for.
-//   - The handle of a prefilled prompt is what a decode target fetches the KV cache by.
+//   - The handle of a prefilled prompt identifies the prompt's KV cache. A decode target uses it to
+//     fetch the KV cache.
 //   - A run of a target is the time from one start of the target to the next. State is kept by the
 //     id of the run.
 package place
@@ -265,8 +266,8 @@
 	return s
 }
 
-// Forget drops the state of the target runs for whose id listed returns false, except of those at
-// which this VM has work in progress.
+// Forget drops the state of each target run for whose id listed returns false. It keeps the state
+// of those at which this VM has work in progress.
 func (p *Placer) Forget(listed func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -336,7 +337,7 @@
 	return p.stateByID(id).ownWork.Plus(p.others.Work(id))
 }
 
-// currentRefusalRate returns refusalRate, decayed to its value at now.
+// currentRefusalRate returns refusalRate, decayed to its value at now. The caller holds Placer.mu.
 func (s *state) currentRefusalRate(now time.Time) float64 {
 	if s.refusalRate == 0 {
 		return 0
@@ -351,5 +352,5 @@
 }
 
 // reachable reports whether the target may be tried: it was reached last time, or the time to try
-// it again has come.
+// it again has come. The caller holds Placer.mu.
 func (s *state) reachable(now time.Time) bool { return s.connErrors == 0 || !now.Before(s.retryAt) }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -11,7 +11,7 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// peerWork is the work in progress of other VMs, by the id of the target. Its reports are new.
+// peerWork is the work in progress of other VMs, by the id of the target. Its reports have age 0.
 type peerWork map[string]place.Work
 
 func (o peerWork) Work(id string) place.Work { return o[id] }
@@ -73,7 +73,8 @@
 	p.TakeSendRecords()
 }
 
-// replaceableWork is the work of other VMs in a map that may be replaced while it is in use.
+// replaceableWork holds the work of other VMs behind a pointer, so that a test may replace or fill
+// the map after a placer was created with it.
 type replaceableWork struct{ *peerWork }
 
 func (s replaceableWork) Work(id string) place.Work { return (*s.peerWork)[id] }
@@ -82,7 +83,8 @@
 var busy = place.Work{Prefill: 60 * time.Millisecond, Streams: 1, Running: 1}
 
 // sessionPrompt returns a prompt of 9,000 tokens. Its first part is the same for all sessions, its
-// second part, whose hash is part, identifies its session, and its last part belongs to it alone.
+// second part, whose hash is part, identifies its session, and its last part belongs to this prompt
+// alone.
 func sessionPrompt(part uint64) *place.Prompt {
 	return &place.Prompt{
 		Tokens: 9000, Output: 80, MaxOutput: 354,
@@ -99,15 +101,15 @@
 }
 
 // The next prompt of a session is prefilled at the engine that prefilled the one before, as that
-// has the shared parts cached.
+// engine has the shared parts cached.
 func TestSessionGoesBackToItsCache(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(peerWork{})
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("p2", fleet.Prefill), engine("p3", fleet.Prefill), engine("d", fleet.Decode)}
 	now := time.Now()
-	refused, ok := p.Prefill(targets, spec, sessionPrompt(5), nil, now)
+	uncommitted, ok := p.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
-	refused.Ticket.End(place.Neutral, now)
+	uncommitted.Ticket.End(place.Neutral, now)
 	first, ok := p.Prefill(targets, spec, sessionPrompt(5), nil, now)
 	is.True(ok)
 	is.Equal(first.Cached, 0) // the request before was not committed, so nothing is cached
@@ -161,8 +163,8 @@
 	is.Equal(c.Target.ID, "p2")
 }
 
-// The handoff of a short prompt would take longer than its prefill, so it is prefilled in place
-// even at an engine with many streams.
+// The handoff of a short prompt would take longer than its prefill, so the prompt is prefilled in
+// place even at an engine with many streams.
 func TestShortPromptIsNotHandedOff(t *testing.T) {
 	is := is.New(t)
 	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{"d": {Running: 40, Streams: 40}})
@@ -247,8 +249,8 @@
 	is.True(c.Expected < 30*time.Millisecond)
 }
 
-// The prefill estimate for an engine rises when it takes longer than estimated, and a second call
-// of End on a ticket has no effect.
+// The prefill estimate for an engine rises when its prefills take longer than estimated, and a
+// second call of End on a ticket has no effect.
 func TestSlowdownIsLearned(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(peerWork{})
@@ -439,7 +441,7 @@
 
 // Two prefills that took 20 times as long as estimated, as in a stall or an unknown queue, do not
 // make a target count as slow.
-func TestOneSlowRequestDoesNotMakeATargetSlow(t *testing.T) {
+func TestTwoSlowPrefillsDoNotMakeATargetSlow(t *testing.T) {
 	is := is.New(t)
 	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{})
 	targets := []*fleet.Target{engine("p1", fleet.Prefill), engine("d", fleet.Decode)}
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -52,10 +52,10 @@
 	return p.totalWork(queuePrefix + service)
 }
 
-// PrefillOverloaded reports whether the prompts that wait at the prefill engines, and those
-// deferred at the VMs, take longer per prefill engine than the pending prompts of an idle engine
-// may (see idleShare). Admit would then defer a request that is late already. objective is the time
-// to the first event that the service aims for.
+// PrefillOverloaded reports whether the prefill engines have too much work pending. They do if the
+// prompts that wait there or are deferred at the VMs take longer, per prefill engine, than the
+// fraction idleShare of the objective. Admit would then defer a request that is late already.
+// objective is the time to the first event that the service aims for.
 func (p *Placer) PrefillOverloaded(targets []*fleet.Target, objective time.Duration) bool {
 	if len(targets) == 0 {
 		return false
--- a/internal/place/record.go
+++ b/internal/place/record.go
@@ -75,14 +75,14 @@
 
 // expectedTries returns how often a request must be sent to the target on average to be served
 // there. The cost of the target is multiplied by it, since a cached prompt is worth nothing at a
-// target that fails.
+// target that fails. The caller holds Placer.mu.
 func (s *state) expectedTries(now time.Time) float64 {
 	share := max(s.failureRate, s.sends.failureRate(now), s.currentRefusalRate(now))
 	return 1 / (1 - min(share, maxFailureRate))
 }
 
 // healthPenalty returns the cost that is added to a target that fails, refuses requests or cannot
-// be reached.
+// be reached. The caller holds p.mu.
 func (p *Placer) healthPenalty(s *state, now time.Time) time.Duration {
 	failing := max(s.failureRate, s.sends.failureRate(now))
 	penalty := time.Duration(failing*float64(failurePenalty) + s.currentRefusalRate(now)*float64(refusalPenalty))
--- a/internal/place/seats.go
+++ b/internal/place/seats.go
@@ -41,8 +41,8 @@
 // longest answers take.
 const stepLimitTTL = 15 * time.Second
 
-// observe records the longest decode step at which an answer ends in time. It replaces the limit if
-// it is shorter or the limit has expired.
+// observe records the longest decode step at which an answer ends in time. This step becomes the
+// limit unless a shorter limit has not expired yet.
 func (l *stepLimit) observe(step time.Duration, now time.Time) {
 	if have := l.current(now); have == 0 || step <= have {
 		l.step, l.at = step, now
@@ -151,7 +151,7 @@
 }
 
 // fastEnough reports whether a target is fast enough for the longest answers of the service, at
-// least if they run there alone. Only at such targets are the seats limited for their sake.
+// least if they run there alone. Only such targets limit their seats for the sake of these answers.
 func (e estimates) fastEnough(s *state) bool { return e.maxStep > 0 && e.maxBatch(s, e.maxStep) >= 1 }
 
 // leavesStepTime reports whether a decode target that runs streams may prefill a prompt in place:
--- a/internal/place/seats_test.go
+++ b/internal/place/seats_test.go
@@ -11,15 +11,15 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// wideEngine returns a decode engine with 96 slots, twice as many as engine returns.
-func wideEngine(id string) *fleet.Target {
+// engineWith96Slots returns a decode engine of service "m" with 96 slots.
+func engineWith96Slots(id string) *fleet.Target {
 	t := engine(id, fleet.Decode)
 	t.Slots = 96
 	return t
 }
 
-// trainedPlacerWithWork returns a placer that has observed what train describes, for VMs whose work
-// is o. The test may change o later.
+// trainedPlacerWithWork returns a placer that has observed what train describes. o is the work of
+// other VMs, which the test may change later.
 func trainedPlacerWithWork(o peerWork) *place.Placer {
 	p := place.New(place.DefaultConfig("a"), o, noStageChange)
 	train(p)
@@ -49,13 +49,14 @@
 }
 
 // The decode steps of an engine grow by 1.7% with each request in its batch. In a batch with 70
-// others it takes 15.5 s for the 12,000 tokens that an answer may have, longer than the limit of 15
-// s, and so the request has to wait for a seat. With a limit of a minute it does not wait.
+// other requests, an answer with the maximum length, 12,000 tokens, takes 15.5 s. That is longer
+// than the limit of 15 s, so the request has to wait for a seat. With a limit of a minute the
+// request does not wait.
 func TestLongAnswersLimitTheBatch(t *testing.T) {
 	is := is.New(t)
 	o := peerWork{"d1": {Running: 70, Streams: 70}}
 	p := trainedPlacerWithWork(o)
-	d1 := wideEngine("d1")
+	d1 := engineWith96Slots("d1")
 	observeAnswers(p, o, d1, 60, 70*time.Millisecond, 2.4)
 	c, _ := p.Prefill([]*fleet.Target{d1}, spec, longAnswerPrompt(), nil, time.Now())
 	is.True(c.Expected > 250*time.Millisecond)
@@ -78,10 +79,10 @@
 			is := is.New(t)
 			o := peerWork{"d1": {Running: 70, Streams: 70}}
 			p := trainedPlacerWithWork(o)
-			d1 := wideEngine("d1")
+			d1 := engineWith96Slots("d1")
 			observeAnswers(p, o, d1, 60, c.eventGap, c.outputFactor)
-			// The step limit that was observed while no answers were known has expired a minute
-			// later.
+			// After a minute, the step limit that was observed before any answers were known has
+			// expired.
 			later := time.Now().Add(time.Minute)
 			choice, _ := p.Prefill([]*fleet.Target{d1}, spec, longAnswerPrompt(), nil, later)
 			is.True(choice.Expected < 100*time.Millisecond)
@@ -90,12 +91,12 @@
 }
 
 // Of two engines of a service, one is 1.5 times slower. Long answers go to the faster one although
-// it runs more requests, and short ones to the emptier one.
+// it runs more requests. Short answers go to the slower one, which runs fewer.
 func TestLongAnswersGoWhereTheyEndInTime(t *testing.T) {
 	is := is.New(t)
 	o := peerWork{}
 	p := trainedPlacerWithWork(o)
-	fast, slow := wideEngine("fast"), wideEngine("slow")
+	fast, slow := engineWith96Slots("fast"), engineWith96Slots("slow")
 	observeAnswers(p, o, fast, 0, 55*time.Millisecond, 2.4)
 	observeAnswers(p, o, slow, 0, 83*time.Millisecond, 2.4)
 	observeAnswers(p, o, fast, 0, 55*time.Millisecond, 2.4)
@@ -121,7 +122,7 @@
 	countInPlace := func(streams int) (n int) {
 		o := peerWork{}
 		p := trainedPlacerWithWork(o)
-		d1, p1 := wideEngine("d1"), engine("p1", fleet.Prefill)
+		d1, p1 := engineWith96Slots("d1"), engine("p1", fleet.Prefill)
 		observeAnswers(p, o, d1, 0, 55*time.Millisecond, 2.4)
 		o["d1"] = place.Work{Running: streams, Streams: streams}
 		// The prefill engine is busy, so that a prefill in place would be cheaper.
@@ -150,9 +151,10 @@
 }
 
 // Guards against learning step times only from complete answers. An answer of 200 events takes 15
-// s. The answers that were complete were the short ones, and they showed the smaller batches of
-// seconds ago. After a crash that moved 90 streams to each remaining engine, and for seconds after
-// a start, the times of long answers were therefore estimated wrongly:
+// s. When step times were learned in that way, the answers that were complete were the short ones,
+// and they showed the smaller batches of seconds ago. After a crash that moved 90 streams to each
+// remaining engine, and for seconds after a start, the times of long answers were therefore
+// estimated wrongly:
 //
 //	event=request_failed beside=36 longest_ms=16633 event_us=72313 last_event=195
 //	event=request_failed beside=6 longest_ms=38350 event_us=64440 last_event=208
@@ -164,7 +166,7 @@
 			is := is.New(t)
 			o := peerWork{"d1": {Running: 5, Streams: 5}}
 			p := trainedPlacerWithWork(o)
-			d1 := wideEngine("d1")
+			d1 := engineWith96Slots("d1")
 			observeAnswers(p, o, d1, 5, 55*time.Millisecond, 2.4)
 			now := time.Now()
 			running := make([]*place.Ticket, 20)
@@ -192,18 +194,18 @@
 	}
 }
 
-// Guards against estimating one speed for engines that differ. Of two engines of a service, one is
-// 1.3 times slower. It runs smaller batches, but its steps take longer all the same. When both were
-// assumed to be equally fast, steps seemed not to grow with the batch size. The faster engine was
-// therefore given 50 to 60 answers at once, each estimated to end in 13.6 s, and took 72 ms per
-// event, where the longest answer may take 70 ms:
+// Guards against estimating one speed for engines that differ in speed. Of two engines of a
+// service, one is 1.3 times slower. The slower one runs smaller batches, but its steps take longer
+// all the same. When both were assumed to be equally fast, steps seemed not to grow with the batch
+// size. The faster engine was therefore given 50 to 60 answers at once, each estimated to end in
+// 13.6 s, and took 72 ms per event, where the longest answer may take 70 ms:
 //
 //	event=request_failed kind=client_gone ms=14999 beside=52 longest_ms=13765 last_event=210
 func TestStepGrowthIsLearnedOfEnginesThatDifferInSpeed(t *testing.T) {
 	is := is.New(t)
 	o := peerWork{}
 	p := trainedPlacerWithWork(o)
-	fast, slow := wideEngine("fast"), wideEngine("slow")
+	fast, slow := engineWith96Slots("fast"), engineWith96Slots("slow")
 	eventGap := func(t *fleet.Target, running int) time.Duration {
 		ms := 53 + 0.35*float64(running)
 		if t == slow {
@@ -242,7 +244,7 @@
 	o := peerWork{}
 	p := place.New(place.DefaultConfig("a"), delayedWork{o}, noStageChange)
 	train(p)
-	fast, slow := wideEngine("fast"), wideEngine("slow")
+	fast, slow := engineWith96Slots("fast"), engineWith96Slots("slow")
 	for range 3 {
 		observeAnswers(p, o, fast, 0, 55*time.Millisecond, 2.4)
 		observeAnswers(p, o, fast, 60, 78*time.Millisecond, 2.4)
@@ -290,16 +292,17 @@
 // Guards against counting the load of decode engines by slots. The number of engines that decode
 // follows from how far the running requests fill them. Counted by slots, 37 requests filled 0.4 of
 // an engine whose steps were already too long for the longest answers. Those answers were lost, and
-// at the same time another decode engine was ordered to prefill. In this test the longest answers
-// end in time in a batch with 38 others:
+// at the same time another decode engine was ordered to prefill:
 //
 //	event=order_sent engine=i-3783467ec3 stage=prefill
 //	event=request_failed kind=stream_lost beside=33 event_us=70644 last_event=194
+//
+// In this test, the longest answers end in time in a batch with 38 other requests.
 func TestDecodeLoadCountsSeats(t *testing.T) {
 	is := is.New(t)
 	o := peerWork{}
 	p := trainedPlacerWithWork(o)
-	d1 := wideEngine("d1")
+	d1 := engineWith96Slots("d1")
 	observeAnswers(p, o, d1, 0, 55*time.Millisecond, 2.4)
 	observeAnswers(p, o, d1, 60, 78*time.Millisecond, 2.4)
 	o["d1"] = place.Work{Running: 40, Streams: 40}
@@ -314,13 +317,14 @@
 	is.True(p.DecodeLoad(targets, spec, now.Add(time.Minute)) < 0.5)
 }
 
-// Guards against new requests that overtake deferred ones. A request with a long answer that waited
-// for a seat at the only target fast enough for it was overtaken until it was refused.
+// Guards against new requests that overtake deferred ones. When new requests did not count the
+// deferred ones, a request with a long answer, which waited for a seat at the only target fast
+// enough for it, was overtaken until it was refused.
 func TestNewRequestsLeaveSeatsToDeferredOnes(t *testing.T) {
 	is := is.New(t)
 	o := peerWork{}
 	p := trainedPlacerWithWork(o)
-	fast, slow := wideEngine("fast"), wideEngine("slow")
+	fast, slow := engineWith96Slots("fast"), engineWith96Slots("slow")
 	for range 3 {
 		observeAnswers(p, o, fast, 0, 55*time.Millisecond, 2.4)
 		observeAnswers(p, o, fast, 60, 78*time.Millisecond, 2.4)
--- a/internal/place/stale_test.go
+++ b/internal/place/stale_test.go
@@ -34,7 +34,8 @@
 	sendRecords [][][]place.SendRecord
 	// totalWork holds the work of all VMs together, by step.
 	totalWork []map[string]place.Work
-	// freeAt holds, by engine, when the engine will have prefilled all prompts that it was sent.
+	// freeAt holds, by engine, when the engine will have prefilled all prompts that were sent to
+	// it.
 	freeAt map[string]time.Time
 	now    time.Time
 	// step is the number of steps that have been simulated.
@@ -42,7 +43,7 @@
 	// prefilling holds the prompts that were sent and are not prefilled yet.
 	prefilling []prefillJob
 	// waits holds, for each prompt sent, the time from its arrival to the end of its prefill, and
-	// cachedTokens the number of all their tokens that were cached.
+	// cachedTokens the total number of tokens of these prompts that were cached.
 	waits        []time.Duration
 	cachedTokens int
 	// admits enables admission, and takeTurns makes deferred prompts take turns (see
@@ -76,7 +77,7 @@
 	// burstPromptsPerStep is the number of prompts that arrive in each step of a burst: 1.5 times
 	// as many as the engines can prefill if all shared parts are cached.
 	burstPromptsPerStep = 40
-	// simObjective is the time from a prompt's arrival within which it is to be prefilled, and
+	// simObjective is the time after its arrival within which a prompt should be prefilled, and
 	// simPatience the time for which its caller waits.
 	simObjective = 250 * time.Millisecond
 	simPatience  = 2 * time.Second
@@ -199,9 +200,10 @@
 	vm        int
 	arrivedAt time.Time
 	prompt    *place.Prompt
-	// queued counts the prompt as deferred; it is nil if the prompt has not been deferred.
+	// queued is the ticket that counts the prompt as deferred work, or nil if the prompt has not
+	// been deferred.
 	queued *place.Ticket
-	// nextCheck is when a deferred prompt is placed again.
+	// nextCheck is when placing the deferred prompt is tried again.
 	nextCheck time.Time
 }
 
@@ -243,8 +245,8 @@
 	f.send(pending, choice)
 }
 
-// send sends the prompt to the chosen engine, which prefills it after those that it was sent
-// before.
+// send sends the prompt to the chosen engine, which prefills it after all prompts that were sent
+// there before.
 func (f *fleetSim) send(pending *pendingPrompt, choice place.Choice) {
 	f.placers[pending.vm].Commit(choice, pending.prompt, f.now)
 	begin := f.now
@@ -258,7 +260,7 @@
 	f.cachedTokens += choice.Cached
 }
 
-// recheckDeferred places the deferred prompts whose next check is due again.
+// recheckDeferred tries again to place each deferred prompt whose next check is due.
 func (f *fleetSim) recheckDeferred() {
 	deferred := f.deferred
 	f.deferred = nil
--- a/internal/place/ticket.go
+++ b/internal/place/ticket.go
@@ -147,8 +147,8 @@
 	s.retryAt = now.Add(min(wait, maxRetryDelay))
 }
 
-// NoteUnreachable records that the target run with this id is known to be down, so that no request
-// has to find out.
+// NoteUnreachable records that the target run with this id is known to be down, so that requests
+// avoid it without having to try it first.
 func (p *Placer) NoteUnreachable(target string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,10 +194,10 @@
 	inPlaceTokens int
 }
 
-// observedSpan is the number of events of a span, after which its step time is recorded. In so many
-// events a single late one has little weight. They also come soon enough to notice a batch that has
-// just grown, which whole answers would show only when they end.
-const observedSpan = 16
+// eventsPerSpan is the number of events after which a span ends and its step time is recorded.
+// Among so many events, a single late one has little weight. They also come soon enough to show
+// that a batch has just grown, which whole answers would show only when they end.
+const eventsPerSpan = 16
 
 // minObservedEvents is the minimum number of events of a whole answer for its step time to be
 // measured.
@@ -210,7 +210,7 @@
 	}
 	t.span.events += n
 	first := t.span.began.IsZero()
-	if !first && t.span.events < observedSpan {
+	if !first && t.span.events < eventsPerSpan {
 		return
 	}
 	p := t.placer
--- a/internal/place/ways_test.go
+++ b/internal/place/ways_test.go
@@ -22,7 +22,7 @@
 	selectEngines engineSelector
 }
 
-// policies returns the policies to compare. It must be called for each simulation, because a
+// policies returns the policies to compare. It must be called anew for each simulation, because a
 // selector that sessionEngines returns remembers the targets of one simulation.
 func policies() []policy {
 	return []policy{
@@ -75,7 +75,7 @@
 // BenchmarkFigures prints for each policy and fleet size the fraction of the prompts whose prefill
 // ended more than 250 ms after their arrival, and the mean number of a prompt's 6,200 shared tokens
 // that were cached. There is one prefill engine for every three VMs. On average an engine is sent
-// 45 prompts per second, 0.5 of what it can prefill if it has all shared parts cached.
+// 45 prompts per second, half of what it can prefill if it has all shared parts cached.
 func BenchmarkFigures(b *testing.B) {
 	const steps, perSecond = 300, 45
 	for _, size := range fleetSizes {
--- a/internal/place/weigh.go
+++ b/internal/place/weigh.go
@@ -34,7 +34,7 @@
 )
 
 // estimates holds what is known of the timing of the engines of one service, and what the request
-// being placed needs from them.
+// being placed needs from them. Placer.mu must be held while its methods are called.
 type estimates struct {
 	*profile.Profile
 	spec *fleet.EngineSpec
@@ -87,8 +87,8 @@
 	prefillWait time.Duration
 	// running is the number of requests that the target runs already.
 	running int
-	// expected is the time until the answer begins. It includes prefillWait and the three times
-	// that follow.
+	// expected is the time until the answer begins. It includes prefillWait, ownPrefill, seatWait
+	// and overhead.
 	expected time.Duration
 	// ownPrefill is the time of the prefill of this prompt.
 	ownPrefill time.Duration
