--- a/internal/profile/fit.go
+++ b/internal/profile/fit.go
@@ -13,8 +13,7 @@
 	// refitInterval is the number of samples from one fit to the next, after the first
 	// eagerSamples. A fit takes about 20 microseconds.
 	refitInterval = 16
-	// eagerSamples is the number of samples at the start after each of which the estimate is
-	// fitted at once.
+	// eagerSamples is the number of first samples. The estimate is fitted again after each of them.
 	eagerSamples = 24
 	// priorWeight is how many samples the prior counts as. Only the ratios of its coefficients
 	// count, not their magnitude.
@@ -51,8 +50,8 @@
 
 // fit is a robust estimate of the coefficients c of the linear model value = c·features from the
 // newest samples. Its prior gives the ratios of the coefficients. Their magnitude comes from the
-// samples alone as soon as there is one, so that engines a hundred times as fast as the prior are
-// estimated well after the first few samples.
+// samples alone as soon as there is a sample, so that engines a hundred times as fast as the prior
+// are estimated well after the first few samples.
 type fit struct {
 	// prior holds the coefficients that are assumed before there are samples.
 	prior vector
--- a/internal/profile/profile.go
+++ b/internal/profile/profile.go
@@ -133,8 +133,9 @@
 	return millis(p.prefill.at(prefillFeatures(tokens, cached)))
 }
 
-// InPlacePrefillTime returns how long a decode engine takes to prefill the prompt in place, while
-// it runs other requests.
+// InPlacePrefillTime returns how long a decode engine takes to prefill a prompt of this many tokens
+// in place, while it runs other requests. cached is the number of these tokens that the engine has
+// cached.
 func (p *Profile) InPlacePrefillTime(tokens, cached int) time.Duration {
 	return inPlaceFactor * p.PrefillTime(tokens, cached)
 }
@@ -296,8 +297,9 @@
 	seen int
 }
 
-// meanWindow is the number of samples over which a movingMean averages. Up to that number it is the
-// plain mean; after that, the weight of older samples decays exponentially.
+// meanWindow is the number of samples over which a movingMean averages. Up to that number of
+// samples, the value is their plain mean; after that, the weight of older samples decays
+// exponentially.
 const meanWindow = 64
 
 // add adds a sample.
