--- a/internal/fair/fair.go
+++ b/internal/fair/fair.go
@@ -175,8 +175,9 @@
 	return s.route(routeName).favor(size.Prompt)
 }
 
-// Count records one try of a request: whether it is the first one of its caller, and whether it was
-// admitted. All tries of a caller together count as one request, which is admitted at most once.
+// Count records one try of a request. first states whether this is the caller's first try of the
+// request, and admitted whether the try was admitted. All tries of a caller together count as one
+// request, which is admitted at most once.
 func (s *Sizes) Count(routeName string, size Size, first, admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
