--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -27,15 +27,16 @@
 	return &Budget{tokens: burst, ratio: ratio, maxTokens: burst}
 }
 
-// Request counts the first try of a request, which adds ratio retries to the budget.
+// Request counts the first try of a request, which adds ratio retries to the budget. It sends
+// nothing itself.
 func (b *Budget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.ratio, b.maxTokens)
 }
 
-// Retry takes one retry from the budget. It returns false, and takes nothing, if there is none
-// left.
+// Retry takes one retry from the budget, which the caller may then make. It sends nothing itself.
+// It returns false, and takes nothing, if there is no retry left.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -46,7 +46,8 @@
 	return w.cfg.Slack + (1-immediateShare)*w.cfg.Ratio*float64(w.recent.total(now))
 }
 
-// Request counts the first try of a request, which makes more retries available.
+// Request counts the first try of a request, which makes more retries available. It sends nothing
+// itself.
 func (w *Window) Request(now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -54,8 +55,8 @@
 	w.tokens = min(w.tokens+immediateShare*w.cfg.Ratio, w.maxTokens(now))
 }
 
-// Retry takes one of the available retries. It returns false, and takes nothing, if the bound
-// allows none.
+// Retry takes one of the available retries, which the caller may then make. It sends nothing
+// itself. It returns false, and takes nothing, if the bound allows no retry.
 func (w *Window) Retry(now time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
