--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -1,5 +1,5 @@
-// Package silence sets the timeouts after which a TCP connection to a silent peer counts as lost,
-// which is one whose kernel no longer acknowledges anything. Without these timeouts the kernel
+// Package silence sets the timeouts after which a TCP connection to a silent peer counts as lost. A
+// peer is silent if its kernel no longer acknowledges anything. Without these timeouts the kernel
 // waits for minutes, and so does a program that reads from the connection.
 //
 // It is the peer's kernel that has to respond and not its program: a program that takes long to
@@ -38,9 +38,9 @@
 	return lc.Listen(ctx, "tcp", address)
 }
 
-// SetUnackedTimeout sets the time d for which data written to c may remain unacknowledged, or the
-// peer may keep its receive window closed, before the connection is closed with an error. It has no
-// effect on connections other than TCP.
+// SetUnackedTimeout makes the kernel close c with an error once data written to c has been
+// unacknowledged for d, or once the peer has kept its receive window closed for d. It has no effect
+// on connections other than TCP.
 func SetUnackedTimeout(c net.Conn, d time.Duration) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -54,7 +54,7 @@
 }
 
 // Dialer returns a dialer whose connections are probed as KeepAlive configures. timeout limits the
-// time to connect, and unacked the time for which written data may remain unacknowledged.
+// time to connect, and unacked is the timeout that SetUnackedTimeout would set.
 func Dialer(timeout, unacked time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout, KeepAliveConfig: KeepAlive,
--- a/internal/silence/silence_test.go
+++ b/internal/silence/silence_test.go
@@ -40,7 +40,7 @@
 	is.NoErr(err)
 	t.Cleanup(func() { c.Close() })
 	// The relay may not hold both of its connections yet when the second one is accepted. A byte
-	// that has passed through it shows that it does.
+	// that has passed through the relay shows that it holds both.
 	_, err = peer.Write([]byte("x"))
 	is.NoErr(err)
 	_, err = c.Read(make([]byte, 1))
