--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -15,8 +15,8 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// gapSamples sets the weight of a new value in the moving average of the time between reports: it
-// is 1/gapSamples.
+// gapSamples determines the moving average of the time between reports: each new value has a weight
+// of 1/gapSamples.
 const gapSamples = 8
 
 // maxDatagram is the maximum size of a datagram in bytes. It is below the limit of UDP.
@@ -26,15 +26,15 @@
 type sender struct {
 	// number is the number of the last report that was sent.
 	number uint64
-	// last is the encoding of that report without the fields that due ignores, and lastAt when it
-	// was sent.
+	// last is the encoding of that report without the fields that due ignores, and lastAt is when
+	// the report was sent.
 	last   string
 	lastAt time.Time
 }
 
 // due returns whether r must be sent now: if it contains send records, if it differs from the last
-// report or if that is heartbeatInterval old. If so, it assigns r the next number. Ages and store
-// times change all the time and are not compared.
+// report, or if the last report was sent at least heartbeatInterval ago. If so, due assigns r the
+// next number. Ages and store times change all the time and are not compared.
 func (s *sender) due(r *report) bool {
 	records, ages, storeTimes := r.SendRecords, r.AgesMS, r.StoreTimesMS
 	r.SendRecords, r.AgesMS, r.StoreTimesMS = nil, nil, nil
@@ -225,14 +225,14 @@
 }
 
 // forwardSummary forwards a summary of another data centre to the VMs of this one. If this VM is
-// not the relay, as the sender believed, it forwards the summary to the relay instead.
+// not the relay, it forwards the summary to the relay instead.
 func (p *Peers) forwardSummary(r *report) {
 	if relay, ok := p.relayAddr(); ok {
 		p.sendTo(datagram{Report: r}, []netip.AddrPort{relay})
 		return
 	}
 	if p.sendsDigests() {
-		// The next digest will contain it.
+		// The next digest will contain the summary.
 		return
 	}
 	r.Forwarded = true
--- a/internal/peers/fan.go
+++ b/internal/peers/fan.go
@@ -24,7 +24,8 @@
 	// digestMbpsPerVM is the relay bandwidth in Mbit/s required for each VM. Half of it carries a
 	// digest of 10 KB every 80 ms.
 	digestMbpsPerVM = 2.0
-	// reportReceivers is the number of VMs that receive all reports: the relay and its standby.
+	// reportReceivers is the number of VMs that receive all reports of their data centre: the relay
+	// and its standby.
 	reportReceivers = 2
 	// heartbeatSenders is the number of VMs of highest rank that send a report to the whole data
 	// centre every heartbeatInterval. The third one becomes relay if the relay and its standby
@@ -63,8 +64,9 @@
 	return p.liveByRank()[0].LinkMbps >= digestMbpsPerVM*float64(n)
 }
 
-// receivesDigests returns whether a recent digest has arrived. A VM whose member list is incomplete
-// may not expect digests, but must use them: the other VMs do not send it their reports.
+// receivesDigests returns whether a recent digest has arrived. If this VM's member list is
+// incomplete, sendsDigests may return false although the relay sends digests. The VM must use the
+// digests even so, because the other VMs do not send it their reports.
 func (p *Peers) receivesDigests() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,9 +74,9 @@
 	return s != nil && s.isFresh()
 }
 
-// reportAddrs returns the destinations of this VM's report: the relay and its standby, or the
-// whole data centre if its relay sends no digests. If heartbeat is true and this VM is one of the
-// heartbeatSenders VMs of highest rank, the destination is the whole data centre too.
+// reportAddrs returns the destinations of this VM's report: the relay and its standby, or the whole
+// data centre if its relay sends no digests. The whole data centre is also the destination if
+// heartbeat is true and this VM is one of the heartbeatSenders VMs of highest rank.
 func (p *Peers) reportAddrs(heartbeat bool) []netip.AddrPort {
 	if !p.sendsDigests() && !p.receivesDigests() {
 		return p.localAddrs()
@@ -95,7 +97,8 @@
 	return to
 }
 
-// digest returns a digest: the total work of all VMs of all data centres. own is this VM's report.
+// digest returns a digest: the total work of all VMs of all data centres, and the send records
+// queued for the next digest, which it removes from the queue. own is this VM's report.
 func (p *Peers) digest(own *report) *report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,8 +119,8 @@
 	return out
 }
 
-// sentReport is a recent report of this VM. subtractOwn subtracts its work from digests, which
-// include it.
+// sentReport is a recent report of this VM. Digests include this VM's own work, which subtractOwn
+// determines from the sent reports and subtracts.
 type sentReport struct {
 	at   time.Time
 	work map[string]place.Work
@@ -137,8 +140,8 @@
 const maxSentReports = 16
 
 // subtractOwn returns the work of a digest that has just arrived less this VM's own work in it.
-// That is the work of the last report sent before the digest was made, which is assumed to have
-// been digestInterval / 2 ago. The caller must hold p.mu.
+// This VM's own work is taken from the last report that it sent before the digest was made. The
+// digest is assumed to have been made digestInterval / 2 ago. The caller must hold p.mu.
 func (p *Peers) subtractOwn(work map[string]place.Work) map[string]place.Work {
 	var own map[string]place.Work
 	madeAt := clock.Now().Add(-digestInterval / 2)
@@ -155,8 +158,8 @@
 	return work
 }
 
-// selectSource selects the source of the other VMs' work, and recomputes p.sums if it changes: the
-// relay's digests if digests is true, otherwise the reports and summaries themselves.
+// selectSource selects the source of the other VMs' work: the relay's digests if digests is true,
+// otherwise the reports and summaries themselves. It recomputes p.sums if the source changes.
 func (p *Peers) selectSource(digests bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -32,7 +32,7 @@
 )
 
 // registerRetry is the policy for retries of calls to the store. It spreads them over time: a store
-// that rejects calls because they are too many would otherwise receive as many again.
+// that rejects calls because there are too many would otherwise receive as many again.
 var registerRetry = kernel.RetryPolicy{InitialWait: 300 * time.Millisecond, MaxWait: 3 * time.Second,
 	Timeout: 2 * time.Second}
 
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// sendHello announces this VM to all known VMs. They must count it at once when they compute their
-// shares of common limits, and its reports do not reach all of them.
+// sendHello announces this VM to all known VMs. They must count this VM at once when they compute
+// their shares of common limits, and this VM's reports do not reach all of them.
 func (p *Peers) sendHello() {
 	p.mu.Lock()
 	var to []netip.AddrPort
--- a/internal/peers/news.go
+++ b/internal/peers/news.go
@@ -65,8 +65,8 @@
 }
 
 // startGrace starts the grace period of the followed table with index i, for which compareVersions
-// waits for a newer version. It returns false if one is running already, because many reports a
-// second state the same version.
+// waits for a newer version. It returns false if a grace period of the table is running already:
+// many reports a second state the same version.
 func (p *Peers) startGrace(i int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -92,7 +92,8 @@
 	Offer(store.Delta)
 }
 
-// Orders keeps the stage changes of engines that this VM has ordered.
+// Orders keeps the stage changes of engines that this VM has ordered. The stage of an engine
+// (fleet.Stage) is the part of text generation that it performs, prefill or decode.
 type Orders interface {
 	// OpenOrders returns the new stage of each engine whose change is not finished.
 	OpenOrders() map[string]fleet.Stage
@@ -334,9 +335,9 @@
 	return p.sums[target]
 }
 
-// replaceWork subtracts before, the previous work of a report's sender, from p.sums and adds now,
-// its current work. The caller must hold p.mu.
-func (p *Peers) replaceWork(before, now map[string]place.Work) {
+// replaceWork subtracts before, the previous work of a report's sender, from p.sums and adds after,
+// the sender's current work. The caller must hold p.mu.
+func (p *Peers) replaceWork(before, after map[string]place.Work) {
 	for target, w := range before {
 		left := p.sums[target].Minus(w)
 		if left == (place.Work{}) {
@@ -345,7 +346,7 @@
 		}
 		p.sums[target] = left
 	}
-	for target, w := range now {
+	for target, w := range after {
 		p.sums[target] = p.sums[target].Plus(w)
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -17,8 +17,8 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// placer is a fake Placer that holds the work and send records of one VM. observed holds those
-// that other VMs have reported.
+// placer is a fake Placer that holds the work and send records of one VM. observed holds the send
+// records that other VMs have reported.
 type placer struct {
 	mu          sync.Mutex
 	own         map[string]place.Work
@@ -104,7 +104,7 @@
 }
 
 // confirmedAt returns the latest time at which the store confirmed to another VM that version was
-// the newest, or the zero time if no report has stated that.
+// the newest, or the zero time if no report has stated such a time.
 func (f *followed) confirmedAt(version uint64) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -217,8 +217,9 @@
 	is.Equal(a.peers.Size(), 2) // keeps the shares of common limits as they were
 }
 
-// Reports of a restarted VM are accepted at once, even if its wall clock, and thus its
-// incarnation, has gone back.
+// Reports of a restarted VM are accepted even if its wall clock, and thus its incarnation, has gone
+// back. They are then ignored only until the last report of the previous process is older than
+// maxReportAge.
 func TestReportsOfARestartedVMAreAccepted(t *testing.T) {
 	table := store.NewMemory()
 	addr := address(t)
@@ -235,8 +236,8 @@
 		func() bool { return a.peers.Work("e1").Running == 2 })
 }
 
-// When another VM reports a newer version that does not arrive here, NotifyNewer is called, but not
-// for every report, and no longer once the version has arrived.
+// When another VM reports a newer version that does not arrive here, NotifyNewer is called. It is
+// not called for every report, and not after the version has arrived.
 func TestNewerVersionTriggersPoll(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -13,8 +13,9 @@
 )
 
 const (
-	// maxQueuedSendRecords is the length at which the queues for the next summary and digest take no
-	// more send records. It covers about half a second of them at fully grown installations.
+	// maxQueuedSendRecords is the length at which the queues for the next summary and digest take
+	// no more send records. It covers the send records of about half a second in the largest
+	// installations.
 	maxQueuedSendRecords = 512
 	// sentinelCount is the intended number of sentinels in all data centres together.
 	sentinelCount = 4
@@ -105,8 +106,8 @@
 }
 
 // queueOwnSendRecords queues this VM's send records for the next summary and digest if relay is
-// true, that is, if this VM is the relay. Otherwise it drops all queued ones, because the relay has
-// received them too.
+// true, that is, if this VM is the relay. Otherwise it drops all queued send records, because the
+// relay has received them too.
 func (p *Peers) queueOwnSendRecords(records []sendRecord, relay bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +136,8 @@
 	return min(time.Duration(us*float64(time.Microsecond)), maxSummaryPause)
 }
 
-// summary returns a summary: the totals of this data centre. own is this VM's report.
+// summary returns a summary: the totals of this data centre, and the send records queued for the
+// next summary, which it removes from the queue. own is this VM's report.
 func (p *Peers) summary(own *report) *report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -191,9 +193,9 @@
 	return a
 }
 
-// sendSummary sends a summary to the relay of each other data centre, or to all VMs of one whose
-// relay is not known from a fresh report. It returns false if there are other data centres but the
-// summary was sent to none of them.
+// sendSummary sends a summary to the relay of each other data centre, or to all VMs of a data
+// centre whose relay is not known from a fresh report. It returns false if there are other data
+// centres but the summary was sent to none of them.
 func (p *Peers) sendSummary(r *report) bool {
 	d, relays := datagram{Report: r}, p.remoteRelays()
 	sent := len(relays) == 0
@@ -211,9 +213,9 @@
 	return sent
 }
 
-// requeueSendRecords queues the send records of a summary that was not sent for the next
-// summary. Each is sent only once, so it must not be lost while no relay of another data centre is
-// known.
+// requeueSendRecords puts the send records of a summary that could not be sent back into the queue
+// for the next summary. A send record is sent only once, so it must not be lost while no relay of
+// another data centre is known.
 func (p *Peers) requeueSendRecords(records []sendRecord) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -222,8 +224,8 @@
 	}
 }
 
-// remoteRelays returns the last report of the relay of each other data centre that has members,
-// or nil if it is not fresh.
+// remoteRelays returns the last report of the relay of each other data centre that has members, or
+// nil if that report is not fresh.
 func (p *Peers) remoteRelays() map[string]*receivedReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -158,7 +158,7 @@
 }
 
 // The time at which the store confirmed to one VM that its version is the newest reaches the VMs of
-// all data centres, with the right age. It counts for that version only.
+// all data centres, with the right age. The time counts for that version only.
 func TestConfirmationsReachAllDataCentres(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
--- a/internal/peers/report.go
+++ b/internal/peers/report.go
@@ -33,16 +33,19 @@
 	// From is the VM that made the report.
 	From Member `cbor:"1,keyasint"`
 	// Incarnation and Number order the reports of one VM. Incarnation is the wall-clock time in ns
-	// at which the VM's process started, and Number counts the reports of one kind of the process.
+	// at which the VM's process started, and Number counts the process's reports of one kind: its
+	// own reports, summaries or digests.
 	Incarnation int64  `cbor:"2,keyasint"`
 	Number      uint64 `cbor:"3,keyasint"`
 	// Summary is true if the report covers all VMs of From's data centre.
 	Summary bool `cbor:"4,keyasint,omitempty"`
 	// Digest is true if the report covers all VMs of all data centres, its receivers included.
 	Digest bool `cbor:"11,keyasint,omitempty"`
-	// Forwarded is true if a VM of the receiver's data centre has forwarded the summary.
-	Forwarded bool       `cbor:"5,keyasint,omitempty"`
-	Work      []workItem `cbor:"6,keyasint"`
+	// Forwarded is true if the relay of the receiver's data centre has forwarded the summary to the
+	// VMs there.
+	Forwarded bool `cbor:"5,keyasint,omitempty"`
+	// Work holds the work at each target.
+	Work []workItem `cbor:"6,keyasint"`
 	// SendRecords records the requests sent to targets, and those that failed there, since the
 	// last report.
 	SendRecords []sendRecord `cbor:"7,keyasint,omitempty"`
@@ -50,11 +53,11 @@
 	Newest []uint64 `cbor:"8,keyasint"`
 	// Changing holds the engines that have been ordered to change their stage.
 	Changing map[string]fleet.Stage `cbor:"9,keyasint,omitempty"`
-	// AgesMS is, for each followed table, how many ms ago the store confirmed to a VM that the
-	// report covers that no row is newer than Newest.
+	// AgesMS holds, for each followed table, the time in ms since the store last confirmed that no
+	// row is newer than Newest. The store confirmed it to one of the VMs that the report covers.
 	AgesMS []uint32 `cbor:"10,keyasint,omitempty"`
-	// StoreTimesMS is, for each followed table, the store's clock reading in ms when it confirmed
-	// that. Unlike an age, it stays correct however long the report is in transit.
+	// StoreTimesMS holds, for each followed table, the store's clock reading in ms at that
+	// confirmation. Unlike an age, it stays correct however long the report is in transit.
 	StoreTimesMS []uint64 `cbor:"13,keyasint,omitempty"`
 	// HoldsDuties is true if a VM that the report covers holds the duties, see package duty.
 	HoldsDuties bool `cbor:"14,keyasint,omitempty"`
--- a/internal/peers/suspects_test.go
+++ b/internal/peers/suspects_test.go
@@ -59,8 +59,8 @@
 }
 
 // A suspect whose crashes were seen by different VMs becomes known to all VMs of all data centres,
-// within spreadBound. It also becomes known to a VM that starts later and to one that restarts,
-// which the other VMs do not notice. A successful run at any VM clears it on all VMs within the
+// within spreadBound. It also becomes known to a VM that starts later, and to a VM whose restart
+// the other VMs do not notice. A successful run at any VM clears the suspect on all VMs within the
 // same time.
 func TestSuspectsReachAllVMs(t *testing.T) {
 	is := is.New(t)
@@ -104,7 +104,7 @@
 		func() bool { return again.quarantines(deadly) })
 	is.True(time.Since(began) < spreadBound)
 
-	// A successful run at any VM clears it everywhere.
+	// A successful run at any VM clears the suspect everywhere.
 	is.True(vms[8].known.RecordSuccess(&deadly))
 	began = time.Now()
 	for i, v := range vms {
