--- a/internal/watch/current.go
+++ b/internal/watch/current.go
@@ -15,10 +15,10 @@
 }
 
 // ReadAt is like AsOf, but only according to the store's responses to this VM. Reports to other VMs
-// contain ReadAt and not AsOf: the receiver does not know how long a report was in transit and
-// takes the time in it to be later by that. If VMs passed AsOf back and forth, it would advance at
-// each pass and never grow old. Call ReadAt before Newest, so that the version is at least as new
-// as the time.
+// contain ReadAt and not AsOf: the receiver does not know how long a report was in transit, so the
+// time that it computes from the report is too late by the transit time. If VMs passed AsOf back
+// and forth, it would advance at each pass and never grow old. Call ReadAt before Newest, so that
+// the version is at least as new as the time.
 func (t *Table) ReadAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -28,8 +28,8 @@
 // ConservativeAsOf is like AsOf, but is never later than the time at which the copy held all rows.
 // AsOf can be too late by the time that a datagram or a response waited in a queue while the
 // process was stopped. ConservativeAsOf is computed from the store's clock reading instead. If that
-// is unknown or gives an impossible time, it is the time at which the last call began that the
-// store responded to.
+// reading is unknown or gives an impossible time, ConservativeAsOf returns the start time of the
+// last call to which the store responded.
 func (t *Table) ConservativeAsOf() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,13 +106,13 @@
 	return t.confirmed
 }
 
-// behind returns whether other VMs have had rows for long that this copy lacks, while the store was
-// reachable for them. That is the case if
+// behind returns whether other VMs, which could reach the store, have long had rows that this copy
+// lacks. That is the case if
 //   - a copy that was confirmed at most bound ago has a version that this copy has not reached, and
-//   - this copy was last confirmed, and the first such version was reported, more than bound ago,
-//     less maxCallGap, the time that a sentinel may take to read a change.
+//   - both the last confirmation of this copy and the first report of such a version are older than
+//     bound minus maxCallGap, the time that a sentinel may take to read a change.
 //
-// Until the first such report, this copy was as new as any.
+// Before that first report, this copy was as new as any other.
 func (t *Table) behind(bound time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/watch/freshness.go
+++ b/internal/watch/freshness.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// reportDelay is how long another VM's report may be delayed on a full link. The age that it
-	// states is too short by that.
+	// reportDelay is how long another VM's report may be delayed on a full link. The age of the
+	// configuration that the report states is too short by this delay.
 	reportDelay = 500 * time.Millisecond
 	// confirmWait is how long a request waits for the store to confirm that there is no newer
 	// configuration. It is a few times the duration of a call across data centres (12 ms each
@@ -46,37 +46,37 @@
 	keysPollShare = 0.75
 )
 
-// SetRevokeBound sets the time after which no request with a removed API key may be served; 0 means
-// no bound. It must be called before the first request.
-func (k *Freshness) SetRevokeBound(bound time.Duration) {
-	k.keysMaxAge = time.Duration((1 - inFlightShare) * float64(bound))
+// SetRevokeBound sets the maximum time after the removal of an API key for which requests with that
+// key may still be served; 0 means no maximum. It must be called before the first request.
+func (f *Freshness) SetRevokeBound(bound time.Duration) {
+	f.keysMaxAge = time.Duration((1 - inFlightShare) * float64(bound))
 }
 
 // KeysCurrent returns whether the copy was confirmed to be the newest configuration at most
 // keysMaxAge ago, so that requests with the API keys in it may be served. If the last confirmation
 // is older than keysPollShare of keysMaxAge, it requests a poll of the store, but does not wait for
 // it.
-func (k *Freshness) KeysCurrent() bool {
-	if k.keysMaxAge == 0 {
+func (f *Freshness) KeysCurrent() bool {
+	if f.keysMaxAge == 0 {
 		return true
 	}
-	age := clock.Since(k.config.ConservativeAsOf())
-	if age > time.Duration(keysPollShare*float64(k.keysMaxAge)) {
-		k.config.Confirm()
+	age := clock.Since(f.config.ConservativeAsOf())
+	if age > time.Duration(keysPollShare*float64(f.keysMaxAge)) {
+		f.config.Confirm()
 	}
-	return age <= k.keysMaxAge
+	return age <= f.keysMaxAge
 }
 
 // Confirmed returns whether the copy is the newest configuration, apart from changes so recent that
 // they need not have taken effect yet. If it has not been confirmed recently, Confirmed requests a
 // poll of the store and waits for it for at most confirmWait. A view of the fleet that is read
 // after Confirmed contains the confirmed configuration.
-func (k *Freshness) Confirmed(ctx context.Context) bool {
+func (f *Freshness) Confirmed(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, confirmWait)
 	defer cancel()
-	for !k.recent() {
+	for !f.recent() {
 		select {
-		case <-k.config.Confirm():
+		case <-f.config.Confirm():
 		case <-ctx.Done():
 			return false
 		}
@@ -85,10 +85,10 @@
 }
 
 // recent returns whether the copy was confirmed at most maxAge ago.
-func (k *Freshness) recent() bool { return clock.Since(k.config.AsOf()) <= k.maxAge }
+func (f *Freshness) recent() bool { return clock.Since(f.config.AsOf()) <= f.maxAge }
 
 // Behind returns whether other VMs, which can reach the store, have read a configuration that this
 // VM lacks and that must have taken effect by now. Callers are then better served by those VMs.
 // While no VM can reach the store, none is behind, and all keep serving with the configuration that
 // they have.
-func (k *Freshness) Behind() bool { return k.config.behind(k.maxAge) }
+func (f *Freshness) Behind() bool { return f.config.behind(f.maxAge) }
--- a/internal/watch/keys_test.go
+++ b/internal/watch/keys_test.go
@@ -13,7 +13,8 @@
 	"garnethoist.org/garnethoist/internal/watch"
 )
 
-// revokeBound is the time after which no request with a removed API key may be served.
+// revokeBound is the maximum time after the removal of an API key for which requests with that key
+// may still be served.
 const revokeBound = 5 * time.Second
 
 // timeStore is a store whose responses state its clock reading. The clock can be set, and the store
@@ -54,8 +55,9 @@
 	return c.serve(ctx)
 }
 
-// startCutOff returns the configuration table and its Freshness on a VM that has read the store
-// once, before the store went down, and the store and the clock, which the test controls.
+// startCutOff starts a VM that has read the store once, before the store went down. It returns the
+// VM's configuration table with its Freshness, and the store and the clock, which the test
+// controls.
 func startCutOff(t *testing.T) (*watch.Table, *watch.Freshness, *timeStore, *clock.Simulated) {
 	t.Helper()
 	sim := clock.Simulate()
@@ -86,9 +88,9 @@
 	is.True(!fresh.KeysCurrent())
 }
 
-// Guards against serving removed keys after a pause. A VM is stopped for 10 s while a datagram
-// waits in its socket that says that its configuration is the newest. The VM reads the datagram
-// after the pause, and the age that the datagram states does not include the pause.
+// Guards against serving removed keys after a pause. A VM is stopped for 10 s. Meanwhile a datagram
+// that confirms the VM's configuration as the newest waits in the VM's socket. The VM reads the
+// datagram after the pause, and the age that the datagram states does not include the pause.
 func TestOldReportDoesNotConfirmKeys(t *testing.T) {
 	is := is.New(t)
 	config, fresh, c, sim := startCutOff(t)
--- a/internal/watch/knowledge_test.go
+++ b/internal/watch/knowledge_test.go
@@ -39,8 +39,8 @@
 	return s.serve(ctx)
 }
 
-// startIdle returns the configuration table and its Freshness on a VM that has read the store once
-// and calls it only for polls, and the store.
+// startIdle starts a VM that has read the store once and calls it only for polls. It returns the
+// VM's configuration table with its Freshness, and the store.
 func startIdle(t *testing.T) (*watch.Table, *watch.Freshness, *fakeStore) {
 	t.Helper()
 	f := &fakeStore{}
@@ -49,8 +49,8 @@
 	return config, watch.NewFreshness(config, bound), f
 }
 
-// The store confirms an old copy, with one call for all requests in a row. While the store is
-// unreachable, the copy is not confirmed.
+// The store confirms an old copy. One call serves all requests that follow in succession. While the
+// store is unreachable, the copy is not confirmed.
 func TestStoreConfirmsOldCopy(t *testing.T) {
 	is := is.New(t)
 	_, fresh, f := startIdle(t)
@@ -66,7 +66,7 @@
 	is.True(!fresh.Confirmed(context.Background()))
 }
 
-// Reports of other VMs confirm an old copy without a call, if it has reached their version.
+// Reports of other VMs confirm an old copy without a call, if the copy has reached their version.
 func TestOtherVMsConfirmOldCopy(t *testing.T) {
 	is := is.New(t)
 	config, fresh, f := startIdle(t)
@@ -98,8 +98,8 @@
 	is.True(!fresh.Behind())
 }
 
-// A VM with an old copy is not behind at once when it first learns of a newer version: it has as
-// long as any other VM to read it.
+// A VM with an old copy is not behind at once when it first learns of a newer version: the VM has
+// as much time to read that version as any other VM.
 func TestVMIsNotBehindAtTheFirstReport(t *testing.T) {
 	is := is.New(t)
 	config, fresh, f := startIdle(t)
@@ -135,7 +135,8 @@
 	return rows, nil
 }
 
-// The age of a copy counts from when the store made its response, even if that was long in transit.
+// The age of a copy counts from when the store made its response, even if the response was in
+// transit for long.
 func TestAgeIncludesTransitOfTheResponse(t *testing.T) {
 	is := is.New(t)
 	f := &delayedStore{started: time.Now().Add(-time.Hour), delay: 400 * time.Millisecond}
--- a/internal/watch/link.go
+++ b/internal/watch/link.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// recoveryTime returns when the store is assumed to have become reachable again if the first call
-// succeeds at now. That may be long before now, because a failed call had to time out and was
-// followed by a pause. The caller must hold l.mu.
+// recoveryTime returns when the store is assumed to have become reachable again if the first
+// successful call after an outage ends at now. The result may be long before now, because a failed
+// call had to time out and was followed by a pause. The caller must hold l.mu.
 func (l *Link) recoveryTime(now time.Time) time.Time {
 	if latest := l.failedAt.Add(maxRecoveryDelay); latest.Before(now) {
 		return latest
@@ -94,9 +94,9 @@
 	}
 }
 
-// SinceRecovery returns for at least how long the store has been reachable since the last outage.
-// If calls still fail, it returns the time that would result if they succeeded now. It returns
-// false if there has been no outage.
+// SinceRecovery returns the time for which the store is assumed to have been reachable since the
+// last outage. If calls still fail, it returns the time that would result if they succeeded now. It
+// returns false if there has been no outage.
 func (l *Link) SinceRecovery() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/watch/storeclock.go
+++ b/internal/watch/storeclock.go
@@ -6,8 +6,8 @@
 )
 
 // windowLength is the length of the windows over which storeClock keeps the minimum delay of the
-// store's responses. It uses the current and the previous window. Two clocks that drift by 100
-// parts per million differ by 60 ms after two windows.
+// store's responses. storeClock uses the current and the previous window. Two clocks that drift by
+// 100 parts per million differ by 60 ms after two windows.
 const windowLength = 5 * time.Minute
 
 // storeClock maps readings of the store's clock to local times. The time at which a response
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -24,7 +24,8 @@
 
 const (
 	// sentinelWait is the long-poll timeout of a sentinel. A call on a dead connection fails one
-	// call timeout after it, so this limits how long the end of a network cut can go unnoticed.
+	// call timeout after sentinelWait, so sentinelWait limits how long the end of a network outage
+	// can go unnoticed.
 	sentinelWait = 2 * time.Second
 	// followerWait is the long-poll timeout of other VMs, which sentinels inform of changes.
 	followerWait = 20 * time.Second
@@ -102,8 +103,8 @@
 	asOf   time.Time
 	readAt time.Time
 	// asOfStoreTime and readStoreTime are the store's clock readings at asOf and readAt.
-	// lastCallBegan is when the last call began that the store responded to. It is used instead of
-	// asOfStoreTime if the responses state no clock reading.
+	// lastCallBegan is the start time of the last call to which the store responded. It is used
+	// instead of asOfStoreTime if the responses state no clock reading.
 	asOfStoreTime time.Duration
 	readStoreTime time.Duration
 	lastCallBegan time.Time
@@ -319,8 +320,8 @@
 var errStale = errors.New("watch: the store returned an older revision than the one already applied")
 
 // callStore makes one call to the store and applies the response. The call is a poll if poll is
-// true, otherwise a long poll. It reads the whole table if that has not been done yet, if polls do
-// so (see SetListOnPoll), or if the store no longer has the changes.
+// true, otherwise a long poll. It reads the whole table if that has not been done yet, if the call
+// is a poll of a table with SetListOnPoll, or if the store no longer has the changes.
 func (t *Table) callStore(ctx context.Context, poll bool) error {
 	if !t.listed || (poll && t.listOnPoll) {
 		return t.list(ctx)
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -233,7 +233,8 @@
 }
 
 // A target whose entry disappears just after an outage of the store is kept for removalGrace, and
-// stays if it registers again in that time. Later, targets are removed at once again.
+// stays if it registers again in that time. Once removalGrace has passed since the outage, targets
+// are removed at once, as without an outage.
 func TestTargetIsKeptForAWhileAfterAnOutage(t *testing.T) {
 	is := is.New(t)
 	w := newFleetFixture()
@@ -257,8 +258,8 @@
 	eventually(t, func() bool { return !w.has("i-a") })
 }
 
-// failingStore is a store whose first call of Changes fails after a while, as on a link that is
-// cut. The next one returns the removal of a target.
+// failingStore is a store whose first call of Changes fails after a while, as in a network outage.
+// The next call returns the removal of a target.
 type failingStore struct {
 	// takes is how long the first call of Changes takes.
 	takes time.Duration
@@ -284,14 +285,16 @@
 	return store.Rows{}, ctx.Err()
 }
 
-// Guards against sending requests to a target 3.4 s after its entry disappeared, although the VM
-// had been undisturbed for 3 s. A VM is cut off from the store, the entry disappears, and the cut
-// ends during a call that must time out. The VM learns of the removal after the timeout and a
-// pause, and keeps the target for another 1.7 s, because the entry may have expired only because of
-// the outage. The end of the outage had been taken to be the first response to the VM, up to 1.5 s
-// after the end of the cut. The logs showed store_call_failed ms=700, store_regained 1.5 s after
-// the end of the cut, and gone=true lapsed=true another 1.7 s later.
-func TestRemovalGraceCountsFromTheEndOfTheCut(t *testing.T) {
+// Guards against sending requests to a target 3.4 s after the target's entry disappeared. By then
+// the VM has been able to reach the store again for 3 s and must no longer use the target. A
+// network outage separates a VM from the store, the target's entry disappears, and the outage ends
+// during a call that must still time out. The VM learns of the removal only after the timeout and a
+// pause, and keeps the target for 1.7 s (removalGrace), because the entry may have expired only for
+// lack of renewals. The failure occurs if removalGrace counts from the first response that the VM
+// receives, up to 1.5 s after the end of the outage. The logs then show store_call_failed with
+// ms=700, store_regained 1.5 s after the end of the outage, and gone=true with lapsed=true, which
+// marks a delayed removal, another 1.7 s later.
+func TestRemovalGraceCountsFromTheEndOfTheOutage(t *testing.T) {
 	is := is.New(t)
 	w := newFleetFixture()
 	f := &failingStore{takes: 1300 * time.Millisecond}
