--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -80,8 +80,8 @@
 // and last in each later one, so that the computed suspended time is never too short. It is too
 // long by the time between the readings.
 const (
-	// maxReadingGap is the time between the readings from which they are repeated, and maxReadings
-	// the maximum number of times that the clocks are read.
+	// If the time between the two readings is maxReadingGap or longer, both clocks are read again,
+	// up to maxReadings times in all.
 	maxReadingGap = time.Millisecond
 	maxReadings   = 5
 )
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -136,8 +136,8 @@
 	return t.Fence
 }
 
-// Held returns this VM's tenure, or false while it may not make calls. A new holder first waits
-// for Config.HandoverGap, as the previous one may have made a call until the end of its tenure.
+// Held returns this VM's tenure, or false while it may not make calls. A new holder first waits for
+// Config.HandoverGap, because the previous holder may have made calls until the end of its tenure.
 func (h *Holder) Held() (Tenure, bool) {
 	t, ok := h.lease.Held()
 	if !ok || (t.Fence > 1 && h.clock()-t.Since < h.cfg.HandoverGap) {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -21,8 +21,8 @@
 // ErrNotHeld says that the lease is not held, or not any more.
 var ErrNotHeld = errors.New("lease: not held")
 
-// clockDriftDivisor determines how much longer than the TTL an observer waits before it regards a
-// lease as lapsed, for clocks that run at different rates: a twentieth of the TTL.
+// clockDriftDivisor allows for clocks that run at different rates: an observer waits for a
+// twentieth of the TTL longer than the TTL before it regards a lease as lapsed.
 const clockDriftDivisor = 20
 
 // Record is the JSON value of a lease's record in the store.
@@ -282,9 +282,10 @@
 	return l.table.Commit(ctx, txn)
 }
 
-// confirm records that r is known to be written with the given version, and extends the validity
-// of the lease to the TTL after sent. A tenure begins with its first confirmed write. The version
-// of the fence record is read then, as the response to the acquisition may have been lost.
+// confirm records that r is known to be written with the given version, and extends the validity of
+// the lease to the TTL after sent. A tenure begins with its first confirmed write. confirm then
+// reads the version of the fence record, because the response to the acquisition may have been
+// lost.
 func (l *Lease) confirm(ctx context.Context, r Record, version uint64, sent time.Duration) error {
 	l.haveRecord = true
 	l.unchangedSince = sent
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -92,7 +92,7 @@
 	first, _ := a.Held()
 	clock.add(time.Hour)
 	is.True(!held(a))
-	mustStep(t, a) // observes its own record, which needs a new tenure
+	mustStep(t, a) // its lease has lapsed, so it begins a new tenure
 	clock.add(ttl + ttl/2)
 	mustStep(t, a)
 	second, ok := a.Held()
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -14,16 +14,16 @@
 	// at fault, would be refused.
 	suspectCrashes    = 2
 	quarantineCrashes = 3
-	// BlameWindow is how long after the first event of a request's answer a crash of its target may
-	// be blamed on the request. A request that runs for longer is not at fault: when a target
-	// crashes later, while it runs other requests too, that says nothing about this one.
+	// BlameWindow is the time after the first event of a request's answer within which a crash of
+	// the target may be blamed on the request. A request that runs for longer is not at fault: when
+	// a target crashes later, while it runs other requests too, that says nothing about this one.
 	BlameWindow = 500 * time.Millisecond
-	// othersFactor is how many times longer than the VM that runs the trial all other VMs keep a
-	// request from their targets. They may send it after that, because the VM that runs the trial
-	// may be down, or may not receive the request.
+	// othersFactor times the delay before a trial is the time for which the VMs that do not run the
+	// trial keep a request from their targets. They may send the request after that, because the VM
+	// that runs the trial may be down, or may not receive the request.
 	othersFactor = 12
-	// maxBlockTime is the longest time for which a crash quarantines a request. It applies once
-	// the targets of the trials after all trialDelays have crashed too.
+	// maxBlockTime is the longest time for which a crash quarantines a request. It applies once the
+	// trials after all of trialDelays have crashed their targets too.
 	maxBlockTime = 24 * time.Hour
 	// retention is how long the crashes of a request that is not quarantined are remembered.
 	retention = 10 * time.Minute
@@ -110,9 +110,9 @@
 
 // trialDelays are the minimum times after the third, fourth and fifth crash before one VM sends the
 // request to a target again, as a trial. A request of which many callers send identical copies may
-// only have run on the same targets as another request, which is at fault. The first trial soon
-// shows that. A request that does crash its targets crashes three more targets in these trials.
-// After that there is one trial every maxBlockTime.
+// merely have run on the same targets as another request, which is at fault. The first trial soon
+// shows whether that is so. A request that does crash its targets crashes three more targets in
+// these trials. After that there is one trial every maxBlockTime.
 var trialDelays = []time.Duration{5 * time.Second, time.Minute, 10 * time.Minute}
 
 // trialDelay returns the minimum time after the last of n crashes before the trial.
--- a/internal/quarantine/print.go
+++ b/internal/quarantine/print.go
@@ -31,9 +31,9 @@
 type Request struct {
 	// Account is the client account; it is empty if the platform states none.
 	Account string
-	// Source is whose limit of entries in the table (maxPerSource) applies to the request: the
-	// client account or, if there is none, the caller's address. It is not part of the request's
-	// identity, because callers at many addresses may send the same request.
+	// Source identifies the sender against whose limit of table entries (maxPerSource) the request
+	// counts: the client account or, if there is none, the caller's address. Source is not part of
+	// the request's identity, because callers at many addresses may send the same request.
 	Source string
 	Method string
 	Host   string
--- a/internal/quarantine/print_test.go
+++ b/internal/quarantine/print_test.go
@@ -41,7 +41,7 @@
 }
 
 // The key covers the length of the body but not its content, which would take long to hash. The key
-// is computed for each request while the table has an entry, and the fingerprint only for requests
+// is computed for each request while the table has any entry, and the fingerprint only for requests
 // that share an entry's key.
 func TestKeyIgnoresContentOfBody(t *testing.T) {
 	is := is.New(t)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -43,7 +43,8 @@
 }
 
 // lookup returns the entry and the ID of a request, or nil if there is no entry. It hashes the body
-// only if an entry has the same key. The caller must hold t.mu to use the entry.
+// only if an entry has the same key. lookup locks t.mu itself; the caller must lock it again to use
+// the entry.
 func (t *Table) lookup(r *Request) (*entry, ID) {
 	if t.size.Load() == 0 {
 		return nil, ID{}
@@ -103,7 +104,7 @@
 }
 
 // RecordCrash records that a target crashed as it began to run the request. It returns the verdict
-// on the request, and whether this crash started or extended its quarantine.
+// on the request, and whether this crash started or extended the request's quarantine.
 func (t *Table) RecordCrash(r *Request, c Crash) (v Verdict, starts bool) {
 	id := r.ID()
 	t.mu.Lock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -113,8 +113,9 @@
 
 // VMList is the platform's list of live and leaving VMs.
 type VMList interface {
-	// VMs returns the list. If the list's revision is known, that is, if the list has not changed
-	// since the caller read it, only Revision is set. It fails with ErrUnavailable.
+	// VMs returns the list. known is the revision of the list that the caller has read, or 0. If
+	// the list has not changed since that revision, only Revision is set. It fails with
+	// ErrUnavailable.
 	VMs(ctx context.Context, known uint64) (VMListing, error)
 }
 
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -115,7 +115,8 @@
 	return sendOrder(conn, req)
 }
 
-// sendOrder writes the order to conn and maps the engine's response to the errors of orders.
+// sendOrder writes the order to conn. It returns nil, ErrFenced or ErrRefused according to the
+// engine's response, or ErrUnreachable if there is no valid response.
 func sendOrder(conn net.Conn, req *http.Request) error {
 	if err := req.Write(conn); err != nil {
 		return errors.Wrapf(ErrUnreachable, "%v", err)
--- a/internal/target/engine.go
+++ b/internal/target/engine.go
@@ -114,7 +114,7 @@
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// Equal reports whether w and o ask for the same state. The order of adapters counts.
+// Equal reports whether d and o ask for the same state. The order of adapters counts.
 func (d DesiredState) Equal(o DesiredState) bool {
 	if d.Role != o.Role || d.Model != o.Model || d.Version != o.Version || len(d.Adapters) != len(o.Adapters) {
 		return false
