--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -20,7 +20,7 @@
 	// stepInterval is the time between two checks whether to renew the lease or to contend for it.
 	stepInterval = 200 * time.Millisecond
 	// leaseTTL is how long a lease that is not renewed stays valid, and renewInterval the time
-	// between renewals: three in a row may fail.
+	// between renewals: three successive renewals may fail.
 	leaseTTL      = 4 * time.Second
 	renewInterval = time.Second
 	// contendInterval is the time between two attempts of a candidate to take over. The lease
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -112,7 +112,9 @@
 	}
 }
 
-// violation describes the first call that violates the rule of a single holder, or returns "".
+// violation describes the first call that breaks a rule, or returns "" if there is none. The rules:
+// fencing numbers never decrease, each belongs to one VM, and a VM makes no call within gap after
+// its own last call if another VM has made one since.
 func (cl *cluster) violation() string {
 	last := make(map[string]time.Duration)
 	for i, c := range cl.calls {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -21,8 +21,8 @@
 // ErrNotHeld says that the lease is not held, or not any more.
 var ErrNotHeld = errors.New("lease: not held")
 
-// clockDriftDivisor allows for clocks that run at different rates: an observer waits for a
-// twentieth of the TTL longer than the TTL before it regards a lease as lapsed.
+// clockDriftDivisor allows for clocks that run at different rates: an observer regards a lease as
+// lapsed once its record has been unchanged for more than TTL + TTL/clockDriftDivisor.
 const clockDriftDivisor = 20
 
 // Record is the JSON value of a lease's record in the store.
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -152,8 +152,9 @@
 func (p *Peers) aggregate(own *report, others []*receivedReport) *report {
 	work := decodeWork(own.Work)
 	newest := append([]uint64(nil), own.Newest...)
-	// At its read time each copy held all rows of the store, and the highest version of all copies
-	// is at least that copy's. The latest read time is therefore valid for the highest version.
+	// A copy held all rows of the store at its read time, so no row was then newer than the highest
+	// version of that copy, nor than the highest version of all copies. The latest read time is
+	// therefore valid for the highest version of all copies.
 	now := clock.Now()
 	holdsDuties := own.HoldsDuties
 	readTimes, storeTimes := own.readTimes(now), slices.Clone(own.StoreTimesMS)
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -40,9 +40,9 @@
 	Rows Rows
 	// AfterOutage is true if the store has ever been unreachable for the forwarding VM.
 	AfterOutage bool
-	// SinceRecovery is for how long the store had been reachable again when the changes were read,
-	// as far as the forwarding VM knows. It is 0 if the store is not known to have been reachable
-	// before that, and is set only if AfterOutage is true.
+	// SinceRecovery is the time for which, as far as the forwarding VM knows, the store had been
+	// reachable again when that VM read the changes. It is 0 if the store is not known to have been
+	// reachable before that, and is set only if AfterOutage is true.
 	SinceRecovery time.Duration
 }
 
--- a/internal/watch/current.go
+++ b/internal/watch/current.go
@@ -14,7 +14,7 @@
 	return t.asOf
 }
 
-// ReadAt is like AsOf, but only according to the store's responses to this VM. Reports to other VMs
+// ReadAt is like AsOf, but goes only by the store's responses to this VM. Reports to other VMs
 // contain ReadAt and not AsOf: the receiver does not know how long a report was in transit, so the
 // time that it computes from the report is too late by the transit time. If VMs passed AsOf back
 // and forth, it would advance at each pass and never grow old. Call ReadAt before Newest, so that
@@ -50,7 +50,7 @@
 
 // ObservePeer records that another VM's copy, whose highest row version is version, held all rows
 // of the store at asOf, when the store's clock read storeTime. If this copy has reached that
-// version, it held all rows at that time too. Otherwise the other copy is ahead, see behind.
+// version, this copy held all rows at that time too. Otherwise the other copy is ahead, see behind.
 func (t *Table) ObservePeer(version uint64, asOf time.Time, storeTime time.Duration) {
 	if version <= t.sharedRevision.Load() {
 		t.raiseStoreTime(storeTime)
--- a/internal/watch/freshness.go
+++ b/internal/watch/freshness.go
@@ -22,11 +22,11 @@
 // removed from the configuration since.
 type Freshness struct {
 	config *Table
-	// maxAge is the maximum age, by AsOf, at which the copy is taken for the newest
+	// maxAge is the maximum age, counted from AsOf, at which the copy counts as the newest
 	// configuration.
 	maxAge time.Duration
-	// keysMaxAge is the maximum age, by ConservativeAsOf, at which requests with API keys of the
-	// copy are served; 0 means no maximum.
+	// keysMaxAge is the maximum age, counted from ConservativeAsOf, at which requests with API keys
+	// of the copy are served; 0 means no maximum.
 	keysMaxAge time.Duration
 }
 
--- a/internal/watch/knowledge_test.go
+++ b/internal/watch/knowledge_test.go
@@ -13,7 +13,7 @@
 )
 
 // bound is the time within which changes must take effect. A copy that was confirmed more than
-// bound - 500 ms ago is not taken for the newest.
+// bound - 500 ms ago does not count as the newest.
 const bound = 1500 * time.Millisecond
 
 // fakeStore is a store that responds to all calls at once or, while down is true, to none. calls
--- a/internal/watch/link.go
+++ b/internal/watch/link.go
@@ -18,7 +18,7 @@
 	// downSince holds the tables whose last call failed, by name, with the time at which the first
 	// of the successive failures was noticed.
 	downSince map[string]time.Time
-	// failedAt is when the latest of the calls that failed began: the store was unreachable then.
+	// failedAt is the start time of the latest call that failed. The store was unreachable then.
 	failedAt time.Time
 	// recoveredAt is when the store is assumed to have become reachable again after the last
 	// outage. It is zero if there has been none.
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -72,8 +72,8 @@
 
 	// revision is the newest applied revision of the store. lastChange is the revision at which the
 	// table last changed or was read whole; no row has changed between the two. listed is true once
-	// the whole table has been read, until the store loses its history. Only followLoop uses these
-	// fields.
+	// the whole table has been read. It becomes false when the store no longer keeps the changes
+	// since revision. Only followLoop uses these fields.
 	revision   uint64
 	lastChange uint64
 	listed     bool
