--- a/internal/stages/controller.go
+++ b/internal/stages/controller.go
@@ -48,9 +48,9 @@
 	// The request mix swings within seconds, and a stage change that follows each swing comes
 	// too late.
 	peakWindow = 15 * time.Second
-	// backlogPeakWindow replaces peakWindow while prompts queue at the prefill engines. It is
-	// longer than the few seconds of one swing, so that engines do not change back and forth with
-	// it.
+	// backlogPeakWindow replaces peakWindow while prompts queue at the prefill engines. One swing
+	// lasts a few seconds; the window is longer, so that engines do not change their stage back and
+	// forth with each swing.
 	backlogPeakWindow = 3 * time.Second
 	// maxChangesPerTxn bounds the changes of one step: the store accepts 100 entries in one
 	// transaction, including the condition on the lease tenure.
@@ -72,13 +72,13 @@
 // Report is the state that an engine reports.
 type Report struct {
 	Stage fleet.Stage
-	// Busy engines are sent no order.
+	// Busy says that the engine is still changing its stage. A busy engine is sent no order.
 	Busy bool
 	// Sequence is the number of orders that the engine has accepted.
 	Sequence uint64
 }
 
-// The errors of Engines.Order.
+// Errors that EngineClient.Order returns.
 var (
 	// ErrRefused says that the engine rejected the order and will never carry it out.
 	ErrRefused = errors.New("stages: engine refused the order")
@@ -122,8 +122,8 @@
 
 	// mu guards openOrders and decodePeaks.
 	mu sync.Mutex
-	// openOrders holds the journal rows by run id of the engine, see fleet.Target.RunID: an
-	// engine that restarts has lost its orders.
+	// openOrders holds the journal rows by the run id of the engine (fleet.Target.RunID). An engine
+	// that restarts gets another run id and has lost its orders.
 	openOrders map[string]*openOrder
 
 	// load returns the number of streams at an engine.
@@ -139,13 +139,14 @@
 	// isCandidate reports whether this VM may contend for the lease.
 	isCandidate func() bool
 
-	// changesSince is when the plan first contained changes, or 0 if it contains none. Like the
-	// fields below, only the goroutine of step uses it.
+	// changesSince is when step first found changes to order or closed orders to remove, or 0 if it
+	// found neither. ensureLease moves it to set the time of the next attempt to acquire the lease.
+	// Like the fields below, only the goroutine of step uses it.
 	changesSince time.Duration
 	// renewedAt is when the lease was last renewed or contended for.
 	renewedAt time.Duration
-	// heldFence is the fencing number of the tenure whose start was last logged, or 0 once its
-	// end has been logged or the lease released.
+	// heldFence is the fencing number of the last tenure whose start was logged. It is 0 once the
+	// end of that tenure has been logged or the lease has been released.
 	heldFence uint64
 	// journalFence is the fencing number of the tenure in which the journal was read.
 	journalFence uint64
@@ -164,8 +165,9 @@
 	}
 }
 
-// SetEngineState sets the functions that return the streams at an engine and whether another VM has
-// ordered an engine to change its stage. It must be called before Start.
+// SetEngineState sets two functions: load returns the number of streams at an engine, and changing
+// reports whether another VM has ordered an engine to change its stage. It must be called before
+// Start.
 func (c *Controller) SetEngineState(load Load, changing func(engine string) bool) {
 	c.load, c.changingElsewhere = load, changing
 }
@@ -318,8 +320,8 @@
 type slidingPeak struct {
 	// window is the length of a window.
 	window time.Duration
-	// current is the maximum of the current window, which began at start; previous is that of the
-	// window before.
+	// current is the maximum of the current window, which began at start; previous is the maximum
+	// of the window before it.
 	current  float64
 	previous float64
 	start    time.Duration
@@ -457,8 +459,8 @@
 	}
 	o := Order{Stage: ch.Stage, Holder: c.cfg.VM, Fence: t.Fence, Sequence: report.Sequence}
 	stillHeld := func() bool {
-		now, ok := c.lease.Held()
-		return ok && now.Fence == t.Fence
+		current, ok := c.lease.Held()
+		return ok && current.Fence == t.Fence
 	}
 	err = c.engines.Order(call, ch.Target, o, stillHeld)
 	c.mu.Lock()
--- a/internal/stages/journal.go
+++ b/internal/stages/journal.go
@@ -32,7 +32,7 @@
 	outcomeUnknown bool
 }
 
-// readJournal replaces openOrders by the rows of the journal. It is called at the start of a
+// readJournal replaces openOrders with the rows of the journal. It is called at the start of a
 // tenure.
 func (c *Controller) readJournal(ctx context.Context) error {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
--- a/internal/stages/peaks_test.go
+++ b/internal/stages/peaks_test.go
@@ -14,9 +14,9 @@
 	swingLength = 2800 * time.Millisecond
 )
 
-// observeFor calls p.observe with the demand in every stepInterval of a span of time, which starts
-// at *at, and advances *at to its end. It returns the lowest and the highest result within the
-// final part of the span, whose length is last.
+// observeFor calls p.observe with the demand once every stepInterval for the given span, which
+// starts at *at, and advances *at to the end of the span. It returns the lowest and the highest
+// result of the calls within the duration last before the end of the span.
 func observeFor(p *demandPeaks, at *time.Duration, span, last time.Duration, backlogged bool, demand func(at time.Duration) float64) (lowest, highest float64) {
 	lowest = 1e9
 	for end := *at + span; *at < end; *at += stepInterval {
@@ -33,7 +33,7 @@
 	return func(time.Duration) float64 { return n }
 }
 
-// Guards against keeping decode engines, which only earlier long answers needed, while prompts
+// Engines that only earlier long answers needed for decoding must not be kept for it while prompts
 // queue for prefill.
 func TestBackloggedPrefillReleasesDecodeEngines(t *testing.T) {
 	is := is.New(t)
--- a/internal/stages/plan.go
+++ b/internal/stages/plan.go
@@ -23,11 +23,11 @@
 // id of the engine, as returned by fleet.Target.RunID.
 type Load func(engine string) int
 
-// Plan returns the changes that bring a service to want prefill engines, spread over the data
-// centres in proportion to their size. Each data centre with two or more engines keeps one engine
-// of each stage, and one with twoPerStageSize or more keeps two of each, as a data centre may be
-// cut off from the others. Leaving engines are not counted. The engines with the fewest streams
-// change first.
+// Plan returns the changes after which a service has want prefill engines, spread over the data
+// centres in proportion to the number of engines in each. Each data centre with two or more engines
+// keeps one engine of each stage, and one with twoPerStageSize or more keeps two of each, as a data
+// centre may be cut off from the others. Leaving engines are not counted. The engines with the
+// fewest streams change first.
 func Plan(targets []*fleet.Target, want int, load Load) []Change {
 	var out []Change
 	groups := byDataCentre(targets)
@@ -122,8 +122,8 @@
 	return 2
 }
 
-// planDataCentre returns the changes that bring the engines in one data centre to want prefill
-// engines, within the limits of minPerStage. A single engine is never changed.
+// planDataCentre returns the changes after which one data centre has want prefill engines, within
+// the limits of minPerStage. A single engine is never changed.
 func planDataCentre(group []*fleet.Target, want int, load Load) []Change {
 	n := len(group)
 	if n < 2 {
--- a/internal/stages/stages_test.go
+++ b/internal/stages/stages_test.go
@@ -49,8 +49,8 @@
 	return n
 }
 
-// The plan brings each data centre to the wanted share of prefill engines, keeps engines of both
-// stages in it and changes no engine otherwise.
+// The plan brings each data centre to the wanted share of prefill engines while engines of both
+// stages remain there. It changes no more engines than that requires.
 func TestPlan(t *testing.T) {
 	leaving := engine("x", "a", fleet.Prefill)
 	leaving.Leaving = true
@@ -103,8 +103,8 @@
 	is.Equal(got, []string{"4", "2"})
 }
 
-// The number of prefill engines is met over all data centres together, except where a data centre
-// has to keep engines of both stages.
+// The wanted number of prefill engines is reached over all data centres together, except where a
+// data centre has to keep engines of both stages.
 func TestPlanSpreadsOverDataCentres(t *testing.T) {
 	is := is.New(t)
 	var targets []*fleet.Target
@@ -131,7 +131,7 @@
 // fakeEngines is a fake EngineClient that carries out orders and records them.
 type fakeEngines struct {
 	mu sync.Mutex
-	// keepers are given the new stage of an engine that has carried out an order.
+	// keepers hold the views of the VMs. Order stores the new stage of an engine in each of them.
 	keepers []*fleet.Keeper
 	orders  []executedOrder
 	// unanswered makes Order carry out orders and return ErrUnknown.
@@ -203,12 +203,12 @@
 // suspended.
 func bootClock() time.Duration { return clock.Boot() }
 
-// gap is the HandoverGap of the controllers.
-const gap = 500 * time.Millisecond
+// handoverGap is the HandoverGap of the controllers.
+const handoverGap = 500 * time.Millisecond
 
 // newController returns a controller that plans half of the engines to prefill.
 func newController(vm string, k *fleet.Keeper, table store.Table, e *fakeEngines, c lease.Clock) *stages.Controller {
-	return stages.New(stages.Config{VM: vm, PrefillShare: 0.5, HandoverGap: gap}, k, table, e, c, 1, telemetry.Discard())
+	return stages.New(stages.Config{VM: vm, PrefillShare: 0.5, HandoverGap: handoverGap}, k, table, e, c, 1, telemetry.Discard())
 }
 
 // start starts a controller and stops it at the end of the test.
@@ -298,7 +298,7 @@
 	}
 	k.ApplyTargets(changes, 1)
 	e := &fakeEngines{keepers: []*fleet.Keeper{k}}
-	start(t, stages.New(stages.Config{VM: "a", PrefillShare: 0.5, HandoverGap: gap}, k, table, e, bootClock, 1, telemetry.Discard()))
+	start(t, stages.New(stages.Config{VM: "a", PrefillShare: 0.5, HandoverGap: handoverGap}, k, table, e, bootClock, 1, telemetry.Discard()))
 	eventually(t, "half of the engines are ordered to change", func() bool { return len(e.executed()) == count/2 })
 	eventually(t, "the journal is empty", func() bool {
 		rows, err := table.List(context.Background(), stages.KeyPrefix)
@@ -319,7 +319,7 @@
 	}
 	k.ApplyTargets(changes, 1)
 	e := &fakeEngines{keepers: []*fleet.Keeper{k}}
-	c := stages.New(stages.Config{VM: "a", PrefillShare: 0.8, HandoverGap: gap}, k, store.NewMemory(), e, bootClock, 1, telemetry.Discard())
+	c := stages.New(stages.Config{VM: "a", PrefillShare: 0.8, HandoverGap: handoverGap}, k, store.NewMemory(), e, bootClock, 1, telemetry.Discard())
 	var asked atomic.Int64
 	c.SetDecodeDemand(func([]*fleet.Target) float64 {
 		if asked.Add(1) > 3 {
@@ -399,7 +399,7 @@
 	eventually(t, "the new holder sends an order", func() bool { return len(e.executed()) > 0 })
 	for _, g := range e.executed() {
 		is.True(g.engine != "1") // the open order may still be carried out
-		is.True(g.at.Sub(released) > gap)
+		is.True(g.at.Sub(released) > handoverGap)
 		is.True(g.order.Fence > 1)
 	}
 }
@@ -437,7 +437,8 @@
 }
 
 // Guards against a deadlock: the placer calls Changing while it holds its own lock, and the
-// controller asks the placer for the decode demand, so the controller must not hold its lock.
+// controller asks the placer for the decode demand, so the controller must not hold its own lock
+// while it asks.
 func TestControllerHoldsNoLockWhileItAsksForDemand(t *testing.T) {
 	k := newKeeper()
 	c := newController("a", k, store.NewMemory(), &fakeEngines{keepers: []*fleet.Keeper{k}}, bootClock)
