--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -24,17 +24,18 @@
 	// retryDelay is the time after which an order that was refused, or whose outcome is unknown,
 	// is sent again.
 	retryDelay = 1500 * time.Millisecond
-	// bootMargin is how much longer than their boot time ordered engines may take before they are
-	// ordered again: some may have crashed, or been reclaimed while they booted.
+	// bootMargin is added to the boot time of ordered engines. Engines that are still missing after
+	// that time are ordered again, as they may have crashed or been reclaimed while they booted.
 	bootMargin = 4 * time.Second
-	// spotUnavailableFor is how long a data centre counts as having no spot engines after an
-	// order for some was refused, or after it lost those that it had.
+	// spotUnavailableFor is how long a data centre counts as having no spot engines after an order
+	// for spot engines there was refused, or after the data centre lost all its spot engines.
 	spotUnavailableFor = 4 * time.Second
-	// listSettleTime is how long the number of a service's engines must not have grown before its
-	// first plan: engines enter the list of targets one by one, with their heartbeats.
+	// listSettleTime delays the first plan of a service: a service is first planned once its number
+	// of engines has not grown for listSettleTime. Engines enter the list of targets one by one,
+	// with their heartbeats.
 	listSettleTime = 2 * time.Second
-	// idleTimeout is how long all engines of a service must have had no work for it to count as
-	// idle.
+	// idleTimeout is the time without work at any target of a service after which the service
+	// counts as idle.
 	idleTimeout = 10 * time.Second
 	// KeyPrefix is the prefix of the store keys under which orders are journalled.
 	KeyPrefix = "scaling/"
@@ -49,7 +50,7 @@
 	Spot       bool
 }
 
-// Platform is the service that provides the engines.
+// Platform provides the engines.
 type Platform interface {
 	// Scale sends one order. It fails with an error of package duty; duty.ErrRefused says that no
 	// such engines are available at the moment.
@@ -134,9 +135,9 @@
 	// and spotCounts the number of its spot engines in the last step.
 	spotUnavailableUntil map[pool]time.Time
 	spotCounts           map[pool]int
-	// maxListed is the highest number of engines that a service has had in the list of targets,
-	// and listGrewAt when that number was reached. lastBusyAt is when the service was last seen
-	// to have work.
+	// The following maps are by service. maxListed is the highest number of engines that the
+	// service has had in the list of targets, and listGrewAt when that number was reached.
+	// lastBusyAt is when the service was last seen to have work.
 	maxListed  map[string]int
 	listGrewAt map[string]time.Time
 	lastBusyAt map[string]time.Time
@@ -254,8 +255,8 @@
 }
 
 // dueOrders returns the orders to send: those that differ from the last ones, and repetitions of
-// those that have not brought the engines they asked for. Spot engines are ordered before
-// on-demand engines are given back.
+// last orders whose engines are still missing or have not been given back. Spot engines are ordered
+// before on-demand engines are given back.
 func (c *Controller) dueOrders(name string, dataCentres []DataCentre, planned map[string]Counts, boot time.Duration, now time.Time) []Order {
 	var spot, onDemand []Order
 	for _, dc := range dataCentres {
@@ -270,8 +271,8 @@
 	return append(spot, onDemand...)
 }
 
-// isDue reports whether an order for want engines of a pool is due, when have engines are
-// present.
+// isDue reports whether an order that sets pool p to want engines is due while p has have engines.
+// boot is the boot time of the engines.
 func (c *Controller) isDue(p pool, want, have int, boot time.Duration, now time.Time) bool {
 	last := c.lastOrders[p]
 	switch {
--- a/internal/scaling/controller_test.go
+++ b/internal/scaling/controller_test.go
@@ -40,12 +40,12 @@
 	if p.noSpot && o.Spot {
 		return duty.ErrRefused
 	}
-	p.set(o.DataCentre, o.Spot, o.Count)
+	p.setCount(o.DataCentre, o.Spot, o.Count)
 	return p.err
 }
 
-// set makes the list of targets hold n engines of one kind in a data centre.
-func (p *fakePlatform) set(dataCentre string, spot bool, n int) {
+// setCount makes the list of targets hold n engines of one kind in a data centre.
+func (p *fakePlatform) setCount(dataCentre string, spot bool, n int) {
 	var changes []fleet.TargetChange
 	for i := range 40 {
 		id := fmt.Sprintf("%s-%t-%d", dataCentre, spot, i)
@@ -79,8 +79,8 @@
 		Min: 1, Max: 20, BootTime: time.Second, SpotPrice: 0.2, Prices: map[string]float64{"a": 1, "b": 1},
 	}}}, fleet.Limits{}))
 	s.platform = &fakePlatform{keeper: keeper}
-	s.platform.set("a", false, 10)
-	s.platform.set("b", false, 10)
+	s.platform.setCount("a", false, 10)
+	s.platform.setCount("b", false, 10)
 	s.Controller = s.successor()
 	return s
 }
@@ -127,7 +127,7 @@
 	s.run(8 * time.Second)
 	s.run(8 * time.Second)
 	s.platform.noSpot = true
-	s.platform.set("a", true, 0)
+	s.platform.setCount("a", true, 0)
 	s.platform.orders = nil
 	s.run(20 * time.Second)
 	is.True(len(s.platform.orders) > 0 && len(s.platform.orders) < 20) // not in every step
--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -38,8 +38,8 @@
 	// Min and Max bound the engines of both kinds together in one data centre.
 	Min int
 	Max int
-	// SpotPrice is the price of a spot engine as a fraction of the on-demand price; 0 is none
-	// available.
+	// SpotPrice is the price of a spot engine as a fraction of the on-demand price; 0 means that
+	// there are no spot engines.
 	SpotPrice float64
 	// Idle says that the service has had no requests recently.
 	Idle        bool
@@ -91,8 +91,9 @@
 	return onDemand, min(max(spot, in.Min-onDemand), in.Max-onDemand)
 }
 
-// coverShortage adds engines to the plan out for data centres where no spot engines are available:
-// spot engines in the other data centres first, and on-demand engines for what is still missing.
+// coverShortage changes the plan in out to make up for data centres where no spot engines are
+// available: it adds spot engines in the other data centres first, and on-demand engines for what
+// is still missing.
 func (in *PlanInput) coverShortage(out map[string]Counts) {
 	available := 0
 	for _, c := range in.DataCentres {
@@ -131,9 +132,9 @@
 	}
 }
 
-// keepUntilReplaced keeps on-demand engines in the plan out until the engines that replace them
-// serve. An idle service has no requests that would have to wait, so its engines are given back
-// at once.
+// keepUntilReplaced raises the numbers of on-demand engines in out, so that on-demand engines are
+// kept until the engines that replace them serve. An idle service has no requests that would have
+// to wait, so its engines are given back at once.
 func (in *PlanInput) keepUntilReplaced(out map[string]Counts) {
 	if in.Idle {
 		return
--- a/internal/scaling/series_test.go
+++ b/internal/scaling/series_test.go
@@ -17,8 +17,9 @@
 )
 
 // Load pattern: all spot engines of one data centre are reclaimed, none are available anywhere for
-// 9.8 s, and those of a second data centre are reclaimed before the first ones are replaced. With
-// spares for only one data centre, 32 of 84 engines were left during a burst of prompts.
+// 9.8 s, and those of a second data centre are reclaimed before the first ones are replaced. The
+// test guards against planning spares for only one data centre: then 32 of 84 engines were left
+// during a burst of prompts.
 const (
 	// boot is how long a new engine takes until it serves.
 	boot = 4 * time.Second
@@ -74,7 +75,7 @@
 	p.updateTargets()
 }
 
-// finishBoots makes engines serve whose boot time is over.
+// finishBoots puts engines into service once their boot time is over.
 func (p *simulatedPlatform) finishBoots() {
 	for key, c := range p.booting {
 		if !clock.Now().Before(c.readyAt) {
