--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -28,8 +28,8 @@
 	maxReplyCounts = 600
 )
 
-// Window numbers a window of time. Its start, in Unix time, is its number times the window
-// length.
+// Window is the number of a window of time. A window starts, in Unix time, at its number times the
+// window length.
 type Window int64
 
 // WindowAt returns the window of the given length that contains t.
@@ -54,8 +54,8 @@
 
 // Question asks a VM for its counts.
 type Question struct {
-	// Incarnation and Revision say what the sender already knows: all counts of that process of
-	// the VM up to that revision.
+	// Incarnation identifies a process of the asked VM, and Revision is the revision up to which
+	// the sender already knows the counts of that process.
 	Incarnation int64
 	Revision    uint64
 	// Number is the number of the round of questions. It is returned in the reply.
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -38,8 +38,7 @@
 type ledger struct {
 	// anySent says whether the store holds the row of sentKey.
 	anySent bool
-	// lastSent is the latest window such that its report and all earlier ones are known to have
-	// been sent.
+	// lastSent is the window up to which, inclusive, all reports are known to have been sent.
 	lastSent Window
 	// unsent holds the reports that were finalized and not sent yet, in the order of windows.
 	unsent []*report
@@ -57,7 +56,8 @@
 	Window Window `json:"window"`
 }
 
-// readLedger reads the ledger from the store. It fails if the store does or if a row is malformed.
+// readLedger reads the ledger from the store. It fails if the store cannot be read or a row is
+// malformed.
 func readLedger(ctx context.Context, table store.Table) (*ledger, error) {
 	records, err := table.List(ctx, KeyPrefix)
 	if err != nil {
@@ -111,7 +111,8 @@
 
 // finalize returns the transaction that makes a report final, and sets r.rows. The transaction
 // fails if the window was finalized before or the condition of the tenure does not hold. It also
-// stores lastSent and removes the first stale rows; removed is the number of rows that it removes.
+// stores lastSent and removes the first stale rows; removed is the number of stale rows that the
+// transaction deletes.
 func (l *ledger) finalize(r *report, tenure store.Cond) (txn store.Txn, removed int, err error) {
 	value, err := json.Marshal(r.counts)
 	if err != nil {
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -21,9 +21,9 @@
 	// since the last round are lost.
 	queryInterval        = 500 * time.Millisecond
 	standbyQueryInterval = 2 * time.Second
-	// countGrace is how long after a window's end its counts are final. The run of a plain
-	// request belongs to the window in which the request was sent, but is counted only after the
-	// call to the target, which may be that long after the window's end.
+	// countGrace is the time after a window's end at which the counts of the window are final. The
+	// run of a plain request belongs to the window in which the request was sent, but is counted
+	// only after the call to the target, which may be as late as countGrace after the window's end.
 	countGrace = time.Second
 	// missingVMTimeout is how long after a window's end the holder waits for VMs that do not
 	// reply.
@@ -138,9 +138,9 @@
 	r.sendReports(ctx, t)
 }
 
-// queryVMs starts a round of questions to all VMs, this one included, if the last round is long
-// enough ago: queryInterval while this VM holds the duty, as held says, and standbyQueryInterval
-// otherwise. A VM that is neither the holder nor a candidate asks no questions.
+// queryVMs starts a round of questions to all VMs, this one included, if the last round began at
+// least queryInterval ago, or standbyQueryInterval if held is false. held says whether this VM
+// holds the duty. A VM that is neither the holder nor a candidate asks no questions.
 func (r *Reporter) queryVMs(now time.Time, held bool) {
 	every := standbyQueryInterval
 	if held {
@@ -198,7 +198,7 @@
 	}
 	w := r.nextWindow(now)
 	end := w.End(r.cfg.Length)
-	missing := r.tally.Missing(append(r.group.Others(), r.cfg.VM), end.Add(countGrace))
+	missing := r.tally.CountMissing(append(r.group.Others(), r.cfg.VM), end.Add(countGrace))
 	if now.Before(end.Add(countGrace)) || (missing > 0 && now.Before(end.Add(missingVMTimeout))) {
 		return false
 	}
@@ -224,7 +224,7 @@
 }
 
 // sendReports sends the finalized reports that have not been sent yet, in the order of windows and
-// at most maxReportsPerStep. It stops at the first one that has to be sent again.
+// at most maxReportsPerStep. It stops at the first report that has to be sent again.
 func (r *Reporter) sendReports(ctx context.Context, t duty.Tenure) {
 	for range maxReportsPerStep {
 		if r.ledger == nil || len(r.ledger.unsent) == 0 {
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -14,7 +14,8 @@
 	processes map[process]*processCounts
 	// latestIncarnation is the highest incarnation of each VM that has replied.
 	latestIncarnation map[string]int64
-	// repliedAt is, for each VM, the start of the latest round to which its reply is complete.
+	// repliedAt holds, for each VM, the start of the latest round to which the VM has replied
+	// completely.
 	repliedAt map[string]time.Time
 	// roundStart holds the start of each of the last rounds of questions by the round's number,
 	// and lastRound the number of the latest round.
@@ -112,9 +113,9 @@
 	return sums
 }
 
-// Missing returns how many of the VMs have not replied completely to any round that began after
-// the given time.
-func (t *Tally) Missing(vms []string, after time.Time) int {
+// CountMissing returns how many of the VMs have not replied completely to any round that began
+// after the given time.
+func (t *Tally) CountMissing(vms []string, after time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -122,9 +122,9 @@
 	return s
 }
 
-// reporter returns the reporter of a further VM, and the holder that decides whether it has the
-// duty.
-func (s *fixture) reporter(fence uint64) (*Reporter, *holder) {
+// newReporter returns the reporter of a third VM, and a fake holder with the given fencing number
+// that decides whether this VM holds the duty.
+func (s *fixture) newReporter(fence uint64) (*Reporter, *holder) {
 	h := &holder{fence: fence}
 	r := NewReporter(Config{VM: "own", Length: length}, NewCounter(length, 1), s.table, s.platform, h, telemetry.NewLogger(&bytes.Buffer{}, "test", "own"))
 	r.SetGroup(s.group)
@@ -141,8 +141,8 @@
 	}
 }
 
-// currentWindow returns the current window. It first lets time pass until more than half of the
-// window is left, for tests that take real time.
+// currentWindow returns the current window. It first advances the time until more than half of the
+// window is left, so that the window does not end because of the real time that a test takes.
 func (s *fixture) currentWindow(r *Reporter) Window {
 	for {
 		now := clock.Now()
@@ -167,7 +167,7 @@
 func TestWindowsAreReportedInTime(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t)
-	r, _ := s.reporter(1)
+	r, _ := s.newReporter(1)
 	for i := range 60 {
 		s.group.vms["vm-1"].Ran("a", clock.Now())
 		s.group.vms["vm-2"].Ran("b", clock.Now())
@@ -189,7 +189,7 @@
 func TestCountsOfAKilledProcessAreKept(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t)
-	r, _ := s.reporter(1)
+	r, _ := s.newReporter(1)
 	for range 10 {
 		s.group.vms["vm-1"].Ran("a", clock.Now())
 	}
@@ -204,7 +204,7 @@
 func TestUnreachableVMsAreWaitedFor(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t)
-	r, _ := s.reporter(1)
+	r, _ := s.newReporter(1)
 	s.run(r, time.Second)
 	first := s.group.vms["vm-1"]
 	w := s.currentWindow(r)
@@ -228,7 +228,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := newFixture(t)
-			r, h := s.reporter(1)
+			r, h := s.newReporter(1)
 			s.run(r, time.Second)
 			w := s.currentWindow(r)
 			s.group.vms["vm-1"].Ran("a", clock.Now())
@@ -237,7 +237,7 @@
 			h.fence = 0
 			s.platform.err = nil
 			s.group.vms["vm-1"].Ran("a", w.End(length).Add(-time.Second)) // counted late
-			next, _ := s.reporter(2)
+			next, _ := s.newReporter(2)
 			s.run(next, 3*length)
 			is.Equal(s.platform.reports[w], map[string]int{"a": 1})
 			is.Equal(len(s.platform.conflicting), 0)
@@ -250,7 +250,7 @@
 func TestUnknownWritesAreReadBack(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t)
-	r, _ := s.reporter(1)
+	r, _ := s.newReporter(1)
 	s.run(r, time.Second)
 	w := s.currentWindow(r)
 	s.group.vms["vm-1"].Ran("a", clock.Now())
@@ -272,7 +272,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := newFixture(t)
-			r, _ := s.reporter(1)
+			r, _ := s.newReporter(1)
 			s.run(r, time.Second)
 			out(s, true)
 			w := s.currentWindow(r)
@@ -310,7 +310,7 @@
 	is := is.New(t)
 	const accounts = 16000
 	s := newFixture(t)
-	r, _ := s.reporter(1)
+	r, _ := s.newReporter(1)
 	s.run(r, time.Second)
 	w := s.currentWindow(r)
 	at := clock.Now()
