--- a/internal/live/world.go
+++ b/internal/live/world.go
@@ -185,12 +185,10 @@
 	})
 }
 
-// attemptID returns the request id of an attempt. request is the number of the request, and attempt
-// counts its attempts from 0. The id holds the number of tokens of the answer, from which engines
-// learn how long an answer to produce.
-func attemptID(request, attempt, tokens int) string {
-	return fmt.Sprintf("r%d-%d-%d", request, attempt, tokens)
-}
+// attemptID returns the id that the n-th attempt of a request, counted from 0, sends. request is the
+// number of the request. The id holds the number of tokens of the answer, from which engines learn
+// how long an answer to produce.
+func attemptID(request, n, tokens int) string { return fmt.Sprintf("r%d-%d-%d", request, n, tokens) }
 
 // answerTokens returns the number of answer tokens that a request id holds, or 1 if it holds none.
 func answerTokens(id string) int {
