--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -150,13 +150,13 @@
 	case r.Status < 200 || r.Status >= 300:
 		return Answer{}
 	}
-	engine := strings.TrimSuffix(strings.TrimPrefix(r.Signature, "seal-"), "-"+id)
+	target := strings.TrimSuffix(strings.TrimPrefix(r.Signature, "seal-"), "-"+id)
 	body := platformtest.StreamBody()
 	if kind.tokens == 0 {
-		body = platformtest.PlainBody(engine, id)
+		body = platformtest.PlainBody(target, id)
 	}
-	return Answer{Succeeded: true, Engine: engine,
-		Whole: r.Body == body && r.Signature == platformtest.Signature(engine, id)}
+	return Answer{Succeeded: true, Target: target,
+		Whole: r.Body == body && r.Signature == platformtest.Signature(target, id)}
 }
 
 // outcomeName returns the outcome of a request as reports count it.
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -87,9 +87,9 @@
 	Refused   bool
 	// Cut: no complete answer came, and the caller had not timed out.
 	Cut bool
-	// Engine is the target named in the signature. Whole says that the body is that target's
+	// Target is the target named in the signature. Whole says that the body is that target's
 	// complete answer to this request.
-	Engine string
+	Target string
 	Whole  bool
 }
 
@@ -223,24 +223,24 @@
 
 // Ran checks that a target may run a request. source is the request whose KV cache it
 // continues from, empty if there is none.
-func (c *Checker) Ran(id, engine, source string, at time.Duration) {
+func (c *Checker) Ran(id, target, source string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.requests[id]
 	c.check(SentByCaller, r != nil && (source == "" || source == id), at, "%s runs %q from %q",
-		engine, id, source)
+		target, id, source)
 	if r == nil {
 		return
 	}
 	if r.nonIdempotent {
-		c.check(AtMostOnce, len(r.ranOn) == 0, at, "%s runs on %s after %v", id, engine, r.ranOn)
+		c.check(AtMostOnce, len(r.ranOn) == 0, at, "%s runs on %s after %v", id, target, r.ranOn)
 	}
-	c.check(RefusalNotRun, !r.refused, at, "%s runs on %s after it was refused", id, engine)
-	r.ranOn = append(r.ranOn, engine)
+	c.check(RefusalNotRun, !r.refused, at, "%s runs on %s after it was refused", id, target)
+	r.ranOn = append(r.ranOn, target)
 	if removed, ok := c.revokedAt[r.key]; ok {
 		// This bound applies to every VM, disturbed or not.
 		c.check(RevokedKeyDenied, r.sent-removed <= revokeBound, at,
-			"%s runs on %s, sent %s after its key was removed", id, engine, r.sent-removed)
+			"%s runs on %s, sent %s after its key was removed", id, target, r.sent-removed)
 	}
 }
 
@@ -318,8 +318,8 @@
 	}
 	switch {
 	case a.Succeeded:
-		c.check(WholeAnswer, a.Whole && contains(r.ranOn, a.Engine), at,
-			"%s: answer of %q, whole %t, ran on %v", id, a.Engine, a.Whole, r.ranOn)
+		c.check(WholeAnswer, a.Whole && contains(r.ranOn, a.Target), at,
+			"%s: answer of %q, whole %t, ran on %v", id, a.Target, a.Whole, r.ranOn)
 	case a.Refused:
 		r.refused = true
 		if _, crashing := crashingRequestOf(id); crashing {
@@ -353,34 +353,34 @@
 }
 
 // Leaves records that a target's entry says that it leaves, or is removed.
-func (c *Checker) Leaves(engine string, at time.Duration) {
+func (c *Checker) Leaves(target string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leavingSince[engine] = at
+	c.leavingSince[target] = at
 }
 
 // Arrived checks that a target may receive a request: that the target did not begin to leave more
 // than leaveBound ago, and that the request is not a crashing one that should be contained.
-func (c *Checker) Arrived(id, engine string, at time.Duration) {
+func (c *Checker) Arrived(id, target string, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.requests[id]
 	c.checkContained(id, r, at)
-	since, ok := c.leavingSince[engine]
+	since, ok := c.leavingSince[target]
 	if !ok || r == nil || !c.allUndisturbed(since-undisturbedBefore, at, r.vm) {
 		return
 	}
 	c.check(NoneAfterLeaving, at-since <= leaveBound, at,
-		"%s reaches %s from %s %s after it began to leave", id, engine, r.vm, at-since)
+		"%s reaches %s from %s %s after it began to leave", id, target, r.vm, at-since)
 }
 
 // TargetCrashed records that a crashing request crashed a target at the time at. The target counts
 // as disturbed until the time until.
-func (c *Checker) TargetCrashed(request, engine string, at, until time.Duration) {
+func (c *Checker) TargetCrashed(request, target string, at, until time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.crashes[request] = append(c.crashes[request], at)
-	c.disturbances[engine] = append(c.disturbances[engine], interval{at, until})
+	c.disturbances[target] = append(c.disturbances[target], interval{at, until})
 }
 
 // checkContained checks that a crashing request which a target receives was not sent on more often
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -15,7 +15,7 @@
 // The checker finds the violation in sequences of events that violate one invariant each, and none
 // in similar sequences that violate no invariant.
 func TestCheckerFindsViolations(t *testing.T) {
-	good := soak.Answer{Succeeded: true, Engine: "e1", Whole: true}
+	good := soak.Answer{Succeeded: true, Target: "e1", Whole: true}
 	cases := []struct {
 		name     string
 		events   func(c *soak.Checker)
@@ -26,7 +26,7 @@
 			func(c *soak.Checker) { c.Ran("q", "e2", "", s); c.Answered("q", good, s) }, soak.WholeAnswer},
 		{"truncated answer reported as a success", func(c *soak.Checker) {
 			c.Ran("q", "e1", "", s)
-			c.Answered("q", soak.Answer{Succeeded: true, Engine: "e1"}, s)
+			c.Answered("q", soak.Answer{Succeeded: true, Target: "e1"}, s)
 		}, soak.WholeAnswer},
 		{"idempotent request runs twice",
 			func(c *soak.Checker) { c.Sent("r", "vm", false, 0); c.Ran("r", "e1", "", s); c.Ran("r", "e2", "", s) },
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -66,7 +66,7 @@
 // targetRestartDelay.
 func (h *harness) replaceCrashed(s *slot, e *platformtest.Engine) {
 	s.mu.Lock()
-	here := s.engine == e && !s.unavailable
+	here := s.target == e && !s.unavailable
 	if here {
 		s.unavailable = true
 	}
--- a/internal/soak/deal.go
+++ b/internal/soak/deal.go
@@ -228,14 +228,14 @@
 func (h *harness) targetID(s *slot) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.engine.ID
+	return s.target.ID
 }
 
 // injectTargetFault makes a slot's current target misbehave for the duration d.
 func (h *harness) injectTargetFault(
 	ctx context.Context, s *slot, f platformtest.EngineFault, d time.Duration) {
 	s.mu.Lock()
-	e := s.engine
+	e := s.target
 	s.mu.Unlock()
 	e.SetFault(f)
 	kernel.Sleep(ctx, d)
@@ -261,7 +261,7 @@
 		return nil
 	}
 	s.unavailable = true
-	return s.engine
+	return s.target
 }
 
 // minTargets is the number of targets of a service that always stay available.
@@ -314,7 +314,7 @@
 // next heartbeat.
 func (h *harness) writeForeignEntries(ctx context.Context, s *slot) {
 	s.mu.Lock()
-	e := s.engine
+	e := s.target
 	sound := platformtest.WithAddress(e.Row(s.service, s.dataCentre()), s.link.Addr())
 	s.mu.Unlock()
 	for i, entry := range platformtest.ForeignEntries(sound) {
@@ -325,7 +325,7 @@
 	kernel.Sleep(ctx, heartbeatInterval)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.engine == e && !s.unavailable {
+	if s.target == e && !s.unavailable {
 		h.writeEntry(s, e)
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -71,9 +71,9 @@
 	address string
 
 	mu sync.Mutex
-	// engine is the stand-in of the current target, which may also be a plain one. incarnation
+	// target is the stand-in that runs here now, an engine or a plain target. incarnation
 	// counts the ids that were given to targets of the slot.
-	engine      *platformtest.Engine
+	target      *platformtest.Engine
 	incarnation int
 	// unavailable is set while the target leaves or has crashed.
 	unavailable bool
@@ -192,7 +192,7 @@
 	e.SetGap(gap)
 	h.inspectAccounts(e)
 	e.CrashOn(crashingBody, func(e *platformtest.Engine) { h.replaceCrashed(s, e) })
-	s.engine, s.unavailable = e, false
+	s.target, s.unavailable = e, false
 	h.writeEntry(s, e)
 	return nil
 }
@@ -292,8 +292,8 @@
 	for _, s := range h.slots {
 		s.link.Close()
 		s.mu.Lock()
-		if s.engine != nil {
-			s.engine.Close()
+		if s.target != nil {
+			s.target.Close()
 		}
 		s.mu.Unlock()
 	}
@@ -340,7 +340,7 @@
 	for _, s := range h.slots {
 		s.link.Heal()
 		s.mu.Lock()
-		s.engine.SetFault(platformtest.EngineHealthy)
+		s.target.SetFault(platformtest.EngineHealthy)
 		s.mu.Unlock()
 	}
 }
@@ -379,7 +379,7 @@
 	time.AfterFunc(stageChangeTime, func() {
 		e.SetStage(order.Stage)
 		o.s.mu.Lock()
-		listed := o.s.engine == e && !o.s.unavailable
+		listed := o.s.target == e && !o.s.unavailable
 		o.s.mu.Unlock()
 		if listed {
 			o.h.writeEntry(o.s, e)
