--- a/internal/standin/chat.go
+++ b/internal/standin/chat.go
@@ -124,7 +124,7 @@
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.nextStream++
+	e.lastStream++
 	tokens := len(text)/bytesPerToken + 1
 	start := now
 	if req.KV == nil || !req.KV.DoRemotePrefill {
@@ -136,7 +136,7 @@
 		e.status.PrefillTokens += uint64(tokens)
 	}
 	st := &stream{
-		id: fmt.Sprintf("%x-%d", e.boot, e.nextStream), prompt: PromptHash(text), tokenOffset: present,
+		id: fmt.Sprintf("%x-%d", e.boot, e.lastStream), prompt: PromptHash(text), tokenOffset: present,
 		maxTokens: req.maxTokens(), start: start, interval: e.cfg.TokenInterval,
 		ended: make(chan struct{}), lastUsed: now, readers: 1,
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -55,13 +55,13 @@
 	changeUntil      time.Time
 	prefillBusyUntil time.Time
 	streams          map[string]*stream
-	// nextStream is the number of the latest stream.
-	nextStream uint64
+	// lastStream is the number of the latest stream.
+	lastStream uint64
 	// kvBlocks holds the KV blocks that were computed for other engines, by prompt hash. The value
 	// is false if dropKV made the engine lose the block.
 	kvBlocks map[uint64]bool
 	dropKV   bool
-	// cancelled, interrupted and orders are the fields of Counts.
+	// cancelled, interrupted and orders are the counters that Counts holds.
 	cancelled   int
 	interrupted int
 	orders      []target.Order
@@ -70,7 +70,7 @@
 // stream is the generation of one answer. prompt is the hash of the prompt. Token i, counted from
 // 1, is due at start + i*interval. If the request continues a message, tokenOffset is the number of
 // tokens that the message already holds. ended is closed when the stream was cancelled, interrupted
-// or dropped. readers counts the responses that are being written from the stream, and lastUsed is
+// or expired. readers counts the responses that are being written from the stream, and lastUsed is
 // when the latest of them ended.
 type stream struct {
 	id          string
@@ -117,7 +117,7 @@
 }
 
 // Cancelled returns the number of streams that were cancelled by request, or whose client
-// disconnected before the complete answer.
+// disconnected while it waited for the answer as one response.
 func (e *Engine) Cancelled() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -314,7 +314,7 @@
 	// Cut is the number of streams that an order interrupted.
 	Cut int `json:"cut"`
 	// Cancelled is the number of streams that were cancelled by request, or whose client
-	// disconnected before the complete answer.
+	// disconnected while it waited for the answer as one response.
 	Cancelled int `json:"cancelled"`
 	// Orders holds the orders that took effect, in sequence.
 	Orders []target.Order `json:"orders"`
