--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -34,6 +34,8 @@
 // of a real data centre and service. No other lease uses this data centre, so its sequence of
 // fencing numbers belongs to this lease alone.
 const (
+	// leaseDataCentre is used in the key of the lease in place of the name of a data centre, and
+	// leaseService in place of the name of a service.
 	leaseDataCentre = "duties"
 	leaseService    = "cloud"
 )
@@ -47,7 +49,7 @@
 	// ErrRefused says that the platform did not do what was asked and never will.
 	ErrRefused = errors.New("duty: platform refused the call")
 	// ErrUnknown says that the call may have been carried out, or may still be. The same call may
-	// be made again, but no other one in its place.
+	// be made again, but no different call may be made in its place.
 	ErrUnknown = errors.New("duty: outcome of the call unknown")
 )
 
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -43,8 +43,10 @@
 	frozen      bool
 }
 
+// Candidate implements Group.
 func (v *vm) Candidate() bool { return true }
 
+// OtherHolderKnown implements Group.
 func (v *vm) OtherHolderKnown() bool {
 	for _, o := range v.cluster.vms {
 		if o != v && !v.partitioned && !o.partitioned && !o.frozen && o.Fence() != 0 {
@@ -60,6 +62,7 @@
 	v *vm
 }
 
+// Get implements store.Table. It fails while the VM is partitioned.
 func (s vmStore) Get(ctx context.Context, key string) (store.Record, error) {
 	if s.v.partitioned {
 		return store.Record{}, store.ErrUnavailable
@@ -67,6 +70,7 @@
 	return s.Table.Get(ctx, key)
 }
 
+// Commit implements store.Table. It fails while the VM is partitioned.
 func (s vmStore) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	if s.v.partitioned {
 		return 0, store.ErrUnavailable
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -180,8 +180,9 @@
 // recordIsOwn reports whether the observed record is this candidate's.
 func (l *Lease) recordIsOwn() bool { return l.haveRecord && l.isOwn(l.record) }
 
-// tenureUnknown reports whether this candidate knows of no tenure of its own. If the record is its
-// own nevertheless, an acquisition whose response was lost has taken effect.
+// tenureUnknown reports whether this candidate knows of no current tenure of its own. If the record
+// in the store names this candidate although no tenure is known, an acquisition has taken effect
+// and its response was lost.
 func (l *Lease) tenureUnknown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -282,10 +283,10 @@
 	return l.table.Commit(ctx, txn)
 }
 
-// confirm records that r is known to be written with the given version, and extends the validity of
-// the lease to the TTL after sent. A tenure begins with its first confirmed write. confirm then
-// reads the version of the fence record, because the response to the acquisition may have been
-// lost.
+// confirm is called once r is known to be in the store with the given version. It records r and
+// extends the validity of the lease to the TTL after sent, the time at which the write was sent. A
+// tenure begins with its first confirmed write. At that write, confirm also reads the version of
+// the fence record, because the response to the acquisition may have been lost.
 func (l *Lease) confirm(ctx context.Context, r Record, version uint64, sent time.Duration) error {
 	l.haveRecord = true
 	l.unchangedSince = sent
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -23,12 +23,14 @@
 	now time.Duration
 }
 
+// read returns the time that the test has set. It is the Clock of a candidate.
 func (c *fakeClock) read() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
+// add advances the clock by d.
 func (c *fakeClock) add(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +57,7 @@
 }
 
 // While the holder renews the lease, no other candidate acquires it. Once the lease has lapsed,
-// another one does, with a higher fencing number.
+// another candidate acquires it, with a higher fencing number.
 func TestOneHolderAndSuccession(t *testing.T) {
 	is := is.New(t)
 	p, clock := store.NewMemory(), &fakeClock{}
--- a/internal/live/live_test.go
+++ b/internal/live/live_test.go
@@ -14,12 +14,14 @@
 // bin is the directory of the garnet-node program built for the tests.
 var bin string
 
+// TestMain builds the garnet-node program and runs the tests.
 func TestMain(m *testing.M) {
 	os.Exit(proctest.Main("../../cmd/garnet-node", func(dir string) { bin = dir }, m.Run))
 }
 
-// oneDataCentre returns an example site with only its first data centre and engines at the given
-// factor of their speed, and that data centre's traffic in the first until seconds of a day.
+// oneDataCentre returns an example site and one of its days. The site has only its first data
+// centre, and engines at the given factor of their speed. The day has only the traffic of that data
+// centre and ends after until seconds.
 func oneDataCentre(t *testing.T, site, day string, speed, until float64) (*model.Site, *model.Day) {
 	t.Helper()
 	s, err := model.Load("../../examples/model/" + site + ".jsonc")
@@ -37,8 +39,8 @@
 	return s, d
 }
 
-// allDataCentres returns an example site and the first until seconds of a day, with the traffic
-// multiplied by traffic.
+// allDataCentres returns an example site and one of its days. The traffic of the day is multiplied
+// by traffic, and the day ends after until seconds.
 func allDataCentres(t *testing.T, site, day string, traffic, until float64) (*model.Site, *model.Day) {
 	t.Helper()
 	s, err := model.Load("../../examples/model/" + site + ".jsonc")
@@ -55,11 +57,11 @@
 }
 
 // Guards against large requests being served less than half as often as their class on engines
-// slower than those the system was tuned with: the longest answers ended at their callers'
-// deadline. With real processes and all of a site's engines at 0.6 of their speed, 0.26 of the
-// largest tenth were served, but 0.85 of all. TestLargeRequestsAreServedBySlowEngines in package
-// model shows the same in virtual time and explains it. Here processes are also stopped for a
-// fraction of the time, as on busy hosts.
+// slower than those the system was tuned with. In that fault, the longest answers ended at their
+// callers' deadline. With real processes and all of a site's engines at 0.6 of their speed, 0.26 of
+// the largest tenth were served, but 0.85 of all. TestLargeRequestsAreServedBySlowEngines in
+// package model checks the same in virtual time and explains the fault. Here processes are also
+// stopped for a fraction of the time, as on busy hosts.
 func TestLargeRequestsAreServedOnTheWallClock(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -68,8 +70,8 @@
 	checkSizes(t, live.Config{Site: s, Day: d, Seed: 1, Busy: 0.2})
 }
 
-// Guards against large requests being served less than half as often as their class while more
-// prompts arrive than the engines can prefill, for longer than callers wait.
+// Guards against large requests being served less than half as often as their class in an overload
+// that lasts longer than callers wait, with more prompts arriving than the engines can prefill.
 func TestLargePromptsAreServedInOverloadOnTheWallClock(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
--- a/internal/live/report.go
+++ b/internal/live/report.go
@@ -22,11 +22,13 @@
 type outcome int
 
 const (
-	// inTime is a complete answer within the objectives of its class, late another complete
-	// answer, refused a refusal of the last attempt, and failed any other outcome.
+	// inTime is a complete answer within the objectives of its class.
 	inTime outcome = iota + 1
+	// late is a complete answer that misses an objective of its class.
 	late
+	// refused is a refusal of the last attempt.
 	refused
+	// failed is any other outcome.
 	failed
 )
 
@@ -50,7 +52,10 @@
 // The measures of size: the tokens of the prompt, those of the answer, the bytes of the request
 // body, and the weighted sum of prompt and answer tokens.
 const (
+	// ByPrompt is the number of prompt tokens.
 	ByPrompt Measure = "prompt tokens"
+	// ByAnswer is the number of answer tokens, ByBody the size of the request body in bytes, and
+	// ByWork the number of prompt tokens plus ten times the number of answer tokens.
 	ByAnswer Measure = "answer tokens"
 	ByBody   Measure = "body bytes"
 	ByWork   Measure = "tokens in + 10 x tokens out"
@@ -148,7 +153,8 @@
 	Measure Measure
 	// Band names the size band: the largest tenth or the next fifth.
 	Band string
-	// Share is the fraction of requests served in the band, and All the one in the class.
+	// Share is the fraction of the requests of the band that were served, and All that of the whole
+	// class.
 	Share float64
 	All   float64
 }
--- a/internal/model/arrivals.go
+++ b/internal/model/arrivals.go
@@ -26,9 +26,10 @@
 	// the value for a late one. Both are in the arbitrary unit of Class.Worth.
 	Worth     float64
 	LateWorth float64
-	// size is the prompt tokens plus the weighted output tokens. It scales the worth and
-	// determines band, the size band within the class.
+	// size is the number of prompt tokens plus outputTokenWeight times the number of output tokens.
+	// The worth depends on size.
 	size float64
+	// band is the size band of the request within its class: Largest, Large or Rest.
 	band int
 	// refusalDelay is the time from sending the first attempt to its refusal.
 	refusalDelay time.Duration
@@ -38,9 +39,9 @@
 	// outputTokenWeight is the weight of an output token in a request's size; a prompt token
 	// has weight 1.
 	outputTokenWeight = 10
-	// fixedWorthPart is the fraction of a request's worth that does not depend on its size, and
-	// maxWorthFactor limits the worth, in multiples of the class's worth.
+	// fixedWorthPart is the fraction of a request's worth that does not depend on its size.
 	fixedWorthPart = 0.3
+	// maxWorthFactor limits the worth of a request, in multiples of the worth of its class.
 	maxWorthFactor = 4
 	// defaultSkew is the Zipf exponent of prefix levels that the file gives no skew for. It
 	// was estimated from the prompts of days played.
--- a/internal/model/bound.go
+++ b/internal/model/bound.go
@@ -59,6 +59,8 @@
 // of its level. A level holds at most 1/minLevels of the tasks, whose densities are at most the
 // fraction levelWidth below the highest.
 const (
+	// minLevels limits a level to the fraction 1/minLevels of all tasks, and levelWidth limits how
+	// far, as a fraction, densities in a level may be below the highest one.
 	minLevels  = 200
 	levelWidth = 0.02
 )
@@ -261,6 +263,7 @@
 // deadlineHeap implements heap.Interface for open tasks. The one whose window ends first is on top.
 type deadlineHeap []openTask
 
+// Len, Less, Swap, Push and Pop implement heap.Interface.
 func (h deadlineHeap) Len() int           { return len(h) }
 func (h deadlineHeap) Less(i, j int) bool { return h[i].end < h[j].end }
 func (h deadlineHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
--- a/internal/model/clock.go
+++ b/internal/model/clock.go
@@ -23,6 +23,7 @@
 // timerQueue implements heap.Interface for timers. The earliest one is on top.
 type timerQueue []timer
 
+// Len, Less, Swap, Push and Pop implement heap.Interface.
 func (q timerQueue) Len() int { return len(q) }
 func (q timerQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].seq < q[j].seq)
--- a/internal/model/day.go
+++ b/internal/model/day.go
@@ -72,8 +72,8 @@
 	SwitchS float64 `json:"switch_s"`
 }
 
-// Network holds the one-way delays within a data centre, between two, and between a caller and
-// its VM, in milliseconds, and the link speed of a VM in Mbit/s.
+// Network holds the one-way delays within a data centre, between two data centres, and between a
+// caller and its VM, in milliseconds, and the link speed of a VM in Mbit/s.
 type Network struct {
 	WithinMS  float64 `json:"within_ms"`
 	BetweenMS float64 `json:"between_ms"`
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -23,8 +23,8 @@
 	prompt   *place.Prompt
 	priority int
 	// prefillOnly says that the engine only prefills the prompt and keeps its KV cache for another
-	// engine. The sequence is then the handle by which that engine fetches it. fetched says that
-	// another engine has prefilled the prompt and this one fetches the KV cache.
+	// engine, which uses the sequence as a handle to fetch the KV cache. fetched says that another
+	// engine has prefilled the prompt and this engine fetches the KV cache.
 	prefillOnly bool
 	fetched     bool
 	// output is the number of answer tokens to produce, and produced those produced so far.
--- a/internal/model/faults.go
+++ b/internal/model/faults.go
@@ -114,8 +114,9 @@
 	}
 }
 
-// retryAfterStop schedules the n-th attempt, counted from 0, for shortly after the VMs run again,
-// which is at back. If the request's deadline has passed by then, it records the request as failed.
+// retryAfterStop schedules the n-th attempt, counted from 0, for shortly after back, the time at
+// which the VMs run again. If the request's deadline has passed by then, it records the request as
+// failed.
 func (sim *simulation) retryAfterStop(r *Request, n int, back time.Duration) {
 	at := back + time.Duration(sim.random.Float64()*float64(reconnectSpread))
 	if deadline := r.At + millis(sim.site.Classes[r.Class].DeadlineMS); at >= deadline {
--- a/internal/model/held.go
+++ b/internal/model/held.go
@@ -7,10 +7,10 @@
 )
 
 // A session is all requests whose prompts have the same last shared part. The sessions with the
-// most requests are hot, the others cold. hotShareCandidates are the fractions of hot sessions
-// that BestHitRate tries, and coldEngineCandidates the numbers of engines that it tries for the
-// cold sessions.
+// most requests are hot, the others cold.
 var (
+	// hotShareCandidates holds the fractions of hot sessions that BestHitRate tries, and
+	// coldEngineCandidates the numbers of engines that it tries for the cold sessions.
 	hotShareCandidates   = []float64{1, 0.8, 0.6, 0.5, 0.4, 0.3, 0.2}
 	coldEngineCandidates = []int{1, 2, 3}
 )
--- a/internal/model/live.go
+++ b/internal/model/live.go
@@ -178,9 +178,9 @@
 	})
 }
 
-// Submit submits a job to an engine. It returns nil if the engine's queue is full or the engine
-// is changing its stage. A job with From is queued after the transfer of its KV cache, and dropped
-// if the queue is full then.
+// Submit submits a job to an engine. It returns nil if the engine's queue is full or the engine is
+// changing its stage. A job with From is queued after the transfer of its KV cache. It is dropped
+// if the queue is full at the end of the transfer.
 func (l *Live) Submit(id string, j Job) *LiveRun {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -266,12 +266,14 @@
 	}
 }
 
-// prefilled, eventProduced and dropped implement sequenceObserver.
+// prefilled implements sequenceObserver.
 func (r *LiveRun) prefilled(int) {
 	r.hasHandle = r.seq.prefillOnly
 	r.notify(Progress{Prefilled: true})
 }
 
+// eventProduced implements sequenceObserver.
 func (r *LiveRun) eventProduced(n int, last bool) { r.notify(Progress{Event: n, Last: last}) }
 
+// dropped implements sequenceObserver.
 func (r *LiveRun) dropped(bool) { r.notify(Progress{Dropped: true}) }
--- a/internal/model/live_test.go
+++ b/internal/model/live_test.go
@@ -57,6 +57,7 @@
 	}
 }
 
+// A live engine produces all events of an answer, at the interval that its figures give.
 func TestLiveEngineProducesEventsAtItsSpeed(t *testing.T) {
 	is := is.New(t)
 	l := newTestLive(t)
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -50,6 +50,7 @@
 	is.True(err != nil)
 }
 
+// Two runs with the same seed must give identical reports.
 func TestSameSeedGivesTheSameReport(t *testing.T) {
 	is := is.New(t)
 	s := exampleSite(t)
@@ -93,6 +94,7 @@
 	}
 }
 
+// A report on a policy with an unknown name must fail.
 func TestUnknownPolicyIsAnError(t *testing.T) {
 	is := is.New(t)
 	s := exampleSite(t)
@@ -112,6 +114,7 @@
 	started     bool
 }
 
+// prefilled, eventProduced and dropped implement sequenceObserver.
 func (s *recorder) prefilled(cached int) { s.prefilledAt, s.cached = s.clock.now, cached }
 func (s *recorder) eventProduced(_ int, last bool) {
 	s.events = append(s.events, s.clock.now)
@@ -130,7 +133,8 @@
 	}, c
 }
 
-// prompt returns a prompt with one shared and one own part.
+// prompt returns a prompt with one shared part and one part that no other prompt has. The arguments
+// are the lengths of the parts in tokens.
 func prompt(shared, own int) *place.Prompt {
 	return &place.Prompt{Tokens: shared + own, Parts: []place.Part{{Hash: 1, Tokens: shared}, {Hash: uint64(1000 + own), Tokens: own}}}
 }
@@ -138,6 +142,8 @@
 // noExpiry is an expiry beyond the end of every test.
 const noExpiry = time.Hour
 
+// A prefill engine takes one step for each chunk of a prompt, and does not prefill a shared part
+// again that is in its cache.
 func TestPrefillEngineProcessesPromptInChunks(t *testing.T) {
 	is := is.New(t)
 	e, c := newTestEngine(fleet.Prefill)
@@ -159,6 +165,7 @@
 	is.Equal(b.cached, 600)
 }
 
+// The space that the end of one prompt leaves in a chunk is used for the next prompt.
 func TestTwoPromptsShareAChunk(t *testing.T) {
 	is := is.New(t)
 	e, c := newTestEngine(fleet.Prefill)
@@ -174,6 +181,8 @@
 	is.Equal(b.prefilledAt, 17*time.Millisecond)
 }
 
+// A decode engine prefills at half speed, and its running streams are slowed only during the steps
+// in which it prefills.
 func TestDecodeEnginePrefillsBetweenTokens(t *testing.T) {
 	is := is.New(t)
 	e, c := newTestEngine(fleet.Decode)
@@ -202,6 +211,8 @@
 	is.True(prefilling.ended)
 }
 
+// An engine whose slots and queue are full refuses further sequences. Sequences are dropped once
+// their time has expired, and their slots and cache memory are released.
 func TestFullEngineRefusesAndExpiredSequencesAreDropped(t *testing.T) {
 	is := is.New(t)
 	e, c := newTestEngine(fleet.Decode)
@@ -233,6 +244,7 @@
 	is.True(high.prefilledAt < low.prefilledAt)
 }
 
+// A crash drops all sequences and clears the cache, and the engine refuses sequences from then on.
 func TestCrashLosesSequencesAndCache(t *testing.T) {
 	is := is.New(t)
 	e, c := newTestEngine(fleet.Decode)
@@ -245,6 +257,7 @@
 	is.True(!e.submit(&sequence{prompt: prompt(50, 50), output: 1, expiresAt: noExpiry, observer: a}))
 }
 
+// The cache evicts the least recently used part first and never a pinned one.
 func TestCacheEvictsLeastRecentlyUsedParts(t *testing.T) {
 	is := is.New(t)
 	c := newKVCache(100)
@@ -265,6 +278,8 @@
 	is.True(c.pin(1))
 }
 
+// maxTotalWorth must respect the windows of tasks, prefer tasks of higher density, and move a task
+// within its window to make room for another.
 func TestMaxTotalWorth(t *testing.T) {
 	is := is.New(t)
 	near := func(got, want float64) bool { return math.Abs(got-want) < 1e-9 }
@@ -281,6 +296,8 @@
 	is.Equal(maxTotalWorth(nil, 1), 0.0)
 }
 
+// BestHitRate must count only the shared tokens that the cache of an engine can hold between two
+// requests of a session.
 func TestBestHitRateCountsCachedTokens(t *testing.T) {
 	is := is.New(t)
 	s := &Site{Engine: Engine{KVTokens: 1000}, DataCentres: []DataCentre{{Engines: 2}}}
--- a/internal/model/placed.go
+++ b/internal/model/placed.go
@@ -114,7 +114,10 @@
 // latency objective, but waits for at most the fraction maxRetryShare of its remaining time, as in
 // package gateway.
 const (
+	// minRetryObjectives is the minimum delay of a retry in multiples of the latency objective.
 	minRetryObjectives = 1.2
+	// maxRetryObjectives is the maximum delay of a retry in multiples of the latency objective, and
+	// maxRetryShare the largest fraction of its remaining time for which a refused caller waits.
 	maxRetryObjectives = 3.0
 	maxRetryShare      = 1.0 / 3
 )
@@ -241,8 +244,8 @@
 // ShareAdmission reserves a fraction of the engines' time for each class: the admitted work of a
 // class over all VMs stays within its limit.
 //
-// limits, admitted and work hold engine time in milliseconds: the limits and the unfinished
-// work by class, and the work of each unfinished attempt.
+// limits holds the limit of each class, admitted the unfinished work of each class, and work the
+// work of each unfinished attempt. All are engine time in milliseconds.
 type ShareAdmission struct {
 	limits   map[*Class]float64
 	admitted map[*Class]float64
--- a/internal/model/plot.go
+++ b/internal/model/plot.go
@@ -11,6 +11,8 @@
 
 // Dimensions of the plot in pixels.
 const (
+	// plotWidth and plotHeight are the dimensions of the plot without its legend, plotMargin is the
+	// space around the lines, and legendRow the height of one entry of the legend.
 	plotWidth  = 760
 	plotHeight = 260
 	plotMargin = 40
--- a/internal/model/result.go
+++ b/internal/model/result.go
@@ -7,9 +7,13 @@
 
 // Size bands of a class: the largest tenth of its requests, the fifth below it, and the rest.
 const (
+	// Largest is the band of the largest tenth of the requests of a class.
 	Largest = iota
+	// Large is the band of the next fifth.
 	Large
+	// Rest is the band of all smaller requests.
 	Rest
+	// numBands is the number of size bands.
 	numBands
 )
 
@@ -81,16 +85,17 @@
 // recordRetry records the refusal of a first attempt that will be retried.
 func (r *Result) recordRetry(a *Attempt) { r.update(a.Request, func(c *Count) { c.FirstRefused++ }) }
 
-// recordRefused and recordFailed record an attempt's outcome as final for its request, and
-// recordLost records a request that fails without an attempt in progress.
+// recordRefused records a request as refused and recordFailed records it as failed, where a is the
+// last attempt of the request. recordLost records a request that fails while none of its attempts
+// is in progress.
 func (r *Result) recordRefused(a *Attempt) { r.update(a.Request, func(c *Count) { c.Refused++ }) }
 func (r *Result) recordFailed(a *Attempt)  { r.recordLost(a.Request) }
 func (r *Result) recordLost(q *Request)    { r.update(q, func(c *Count) { c.Failed++ }) }
 
 // recordServed records a complete answer and the worth that it earns. An answer is in time if it
 // begins within the latency objective, counted from the first attempt, and no gap between events
-// was too long. A retry whose answer begins within the objective counted from the retry, after an
-// early refusal of the first attempt, earns the mean of worth and late worth.
+// was too long. If the first attempt was refused early and the answer to the retry begins within
+// the objective counted from the retry, the answer earns the mean of worth and late worth.
 func (r *Result) recordServed(a *Attempt) {
 	q, aim := a.Request, millis(a.Class.AimMS)
 	whole := !a.gapExceeded
--- a/internal/model/sizes_test.go
+++ b/internal/model/sizes_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Guards against the refusal of long prompts at waits at which shorter ones are admitted, which
-// happened for as long as more prompts arrived than the engines could prefill.
+// Guards against the refusal of long prompts while shorter prompts with the same expected wait are
+// admitted. This happened for as long as more prompts arrived than the engines could prefill.
 func TestLargeRequestsAreServedInOverload(t *testing.T) {
 	for _, site := range []string{"nairobi", "kochi"} {
 		for _, day := range []string{"quiet-1", "scale-1"} {
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -82,8 +82,8 @@
 	result    *Result
 	// attempts holds the attempts made since VMs were last stopped, ended or not.
 	attempts []*Attempt
-	// changeWantedSince is since when stage changes have been wanted without interruption; 0 means
-	// that none are wanted.
+	// changeWantedSince is the start of the present period in which stage changes are wanted
+	// without interruption, or 0 if none are wanted.
 	changeWantedSince time.Duration
 	// replacements counts the engines that replaced drained ones.
 	replacements int
@@ -119,6 +119,8 @@
 // Second PCG seeds of the random generators of the simulation and of the policy; the first seed is
 // the one given to Play. The generator of the requests has Day.Seed as its second seed.
 const (
+	// simulationStream is the second seed of the random generator of the simulation, and
+	// policyStream that of the policy.
 	simulationStream = 1
 	policyStream     = 2
 )
--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -222,9 +222,9 @@
 	}
 }
 
-// dataCentres counts the engines of a service in each data centre, sorted by name. For
-// spotUnavailableFor after a data centre has lost all its spot engines, it counts as having none
-// available.
+// dataCentres counts the engines of a service in each data centre, sorted by name. A data centre
+// that has lost all its spot engines counts as having none available for the next
+// spotUnavailableFor.
 func (c *Controller) dataCentres(v *fleet.View, name string, now time.Time) []DataCentre {
 	byName := make(map[string]*DataCentre)
 	for dataCentre := range v.Config.Services[name].Scaling.Prices {
@@ -271,8 +271,8 @@
 	return append(spot, onDemand...)
 }
 
-// isDue reports whether an order that sets pool p to want engines is due while p has have engines.
-// boot is the boot time of the engines.
+// isDue reports whether an order that sets pool p to want engines is due. have is the present
+// number of engines in the pool, and boot the boot time of an engine.
 func (c *Controller) isDue(p pool, want, have int, boot time.Duration, now time.Time) bool {
 	last := c.lastOrders[p]
 	switch {
@@ -294,8 +294,8 @@
 	return now.After(again)
 }
 
-// sendOrder sends one order and reports whether further orders may be sent in this step: not after
-// an error other than duty.ErrRefused.
+// sendOrder sends one order. It returns false after an error other than duty.ErrRefused, which
+// means that no further orders may be sent in this step.
 func (c *Controller) sendOrder(ctx context.Context, t duty.Tenure, o Order) bool {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -355,8 +355,8 @@
 	return true
 }
 
-// decodeRow decodes the journal row with the given key. It returns false if the row does not
-// exist or is malformed; the latter is logged.
+// decodeRow decodes the journal row with the given key. It returns false if the row does not exist
+// or is malformed. A malformed row is logged.
 func decodeRow[T any](c *Controller, rows map[string]store.Record, key string) (T, bool) {
 	var v T
 	r, ok := rows[key]
@@ -374,8 +374,8 @@
 func needKey(service string) string { return KeyPrefix + service + "/need" }
 
 // writeJournal writes the due orders of a service to the journal before they are sent, on the
-// condition that tenure t has not ended, and with the first orders also the service's need. It
-// reports whether it succeeded.
+// condition that tenure t has not ended. With the first orders of the service it also writes need,
+// the number of engines that the service needs at peak load. It reports whether it succeeded.
 func (c *Controller) writeJournal(ctx context.Context, t duty.Tenure, name string, need int, due []Order) bool {
 	txn := store.Txn{Conds: []store.Cond{t.Condition}}
 	put := func(key string, v any) {
--- a/internal/scaling/controller_test.go
+++ b/internal/scaling/controller_test.go
@@ -20,10 +20,12 @@
 // holder is a fake Holder that holds the duty while fence is not 0.
 type holder struct{ fence uint64 }
 
+// Held implements Holder.
 func (h *holder) Held() (duty.Tenure, bool) {
 	return duty.Tenure{Tenure: lease.Tenure{Fence: h.fence}, Condition: store.Cond{Key: "fence"}}, h.fence != 0
 }
 
+// Call implements Holder.
 func (h *holder) Call(t duty.Tenure) duty.Call { return duty.Call{Holder: "vm", Fence: t.Fence} }
 
 // fakePlatform carries out orders at once and records them. It refuses orders for spot engines
@@ -35,6 +37,7 @@
 	err    error
 }
 
+// Scale implements Platform.
 func (p *fakePlatform) Scale(_ context.Context, _ duty.Call, o Order) error {
 	p.orders = append(p.orders, o)
 	if p.noSpot && o.Spot {
--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -12,9 +12,9 @@
 import "sort"
 
 const (
-	// minOnDemand is how many on-demand engines each data centre keeps. With one engine of each
-	// stage it can serve while no spot engines are available anywhere, also when it is cut off
-	// from the others.
+	// minOnDemand is how many on-demand engines each data centre keeps. With two engines, one of
+	// each stage, a data centre can serve while no spot engines are available anywhere, even when
+	// it is cut off from the other data centres.
 	minOnDemand = 2
 	// maxSpotCostShare is the highest cost of spot engines, spares included, as a fraction of the
 	// price of the on-demand engines that they replace.
--- a/internal/scaling/plan_test.go
+++ b/internal/scaling/plan_test.go
@@ -21,8 +21,8 @@
 	return onDemand, spot
 }
 
-// All spot engines of a data centre are reclaimed at once: the other engines must be enough for the
-// peak load.
+// When all spot engines of a data centre are reclaimed at once, the remaining engines must be
+// enough for the peak load.
 func TestPlanCoversTheLossOfADataCentresSpotEngines(t *testing.T) {
 	is := is.New(t)
 	planned := Plan(PlanInput{Need: 57, Min: 1, Max: 60, SpotPrice: 0.3, Idle: true, DataCentres: threeDataCentres(19, 0)})
@@ -33,8 +33,8 @@
 	}
 }
 
-// The spot engines of a second data centre are reclaimed before those of the first are replaced:
-// spares for that are planned only where their price is low enough.
+// The spot engines of a second data centre may be reclaimed before those of the first are replaced.
+// Spare engines for this case are planned only if the price of spot engines is low enough.
 func TestPlanCoversReclaimsInARow(t *testing.T) {
 	for _, tc := range []struct {
 		price float64
--- a/internal/scaling/series_test.go
+++ b/internal/scaling/series_test.go
@@ -51,6 +51,7 @@
 	readyAt time.Time
 }
 
+// Scale implements Platform.
 func (p *simulatedPlatform) Scale(_ context.Context, _ duty.Call, o Order) error {
 	key, now := pool{o.Service, o.DataCentre, o.Spot}, clock.Now()
 	switch {
@@ -111,8 +112,9 @@
 	return n
 }
 
-// After the first reclaim enough engines for the peak load are left, and after the second one all
-// engines of the third data centre and the on-demand engines of the other two.
+// The spot engines of two data centres are reclaimed one after the other. After the first reclaim,
+// enough engines for the peak load must remain. After the second one, all engines of the third data
+// centre and the on-demand engines of the first two must remain.
 func TestReclaimsInARowLeaveOneDataCentreComplete(t *testing.T) {
 	is := is.New(t)
 	sim := clock.Simulate()
--- a/internal/stages/controller.go
+++ b/internal/stages/controller.go
@@ -48,12 +48,12 @@
 	// The request mix swings within seconds, and a stage change that follows each swing comes
 	// too late.
 	peakWindow = 15 * time.Second
-	// backlogPeakWindow replaces peakWindow while prompts queue at the prefill engines. One swing
-	// lasts a few seconds; the window is longer, so that engines do not change their stage back and
-	// forth with each swing.
+	// backlogPeakWindow replaces peakWindow while prompts queue at the prefill engines. The window
+	// is longer than one swing of the request mix, so that engines do not change their stage back
+	// and forth with each swing.
 	backlogPeakWindow = 3 * time.Second
-	// maxChangesPerTxn bounds the changes of one step: the store accepts 100 entries in one
-	// transaction, including the condition on the lease tenure.
+	// maxChangesPerTxn bounds the changes of one step, because the store accepts at most 100
+	// entries in one transaction, including the condition on the lease tenure.
 	maxChangesPerTxn = 90
 	// KeyPrefix is the prefix of the store keys under which orders are journalled.
 	KeyPrefix = "order/"
@@ -93,7 +93,7 @@
 	// Report returns the current state of engine t.
 	Report(ctx context.Context, t *fleet.Target) (Report, error)
 	// Order sends o at most once. It calls stillHeld immediately before it writes the first byte
-	// and sends nothing if that returns false. It fails with one of this package's errors.
+	// and sends nothing if stillHeld returns false. It fails with one of this package's errors.
 	Order(ctx context.Context, t *fleet.Target, o Order, stillHeld func() bool) error
 }
 
@@ -251,8 +251,8 @@
 	c.issueOrders(ctx, t, changes)
 }
 
-// pendingChanges returns the planned changes of engines that have no open order, neither one that
-// this VM knows from the journal nor one that another VM has announced.
+// pendingChanges returns the planned changes of engines that have no open order. An order counts if
+// this VM knows it from the journal or another VM has announced it.
 func (c *Controller) pendingChanges(v *fleet.View) []Change {
 	var out []Change
 	for _, ch := range PlanAll(v, c.prefillCount, c.load) {
@@ -303,8 +303,8 @@
 	short slidingPeak
 }
 
-// observe records the demand at a time and returns the peak to plan for: that of the short window
-// while prefill is backlogged, and that of the long window otherwise.
+// observe records the demand at the time at and returns the peak to plan for. This is the peak of
+// the short window while prefill is backlogged, and the peak of the long window otherwise.
 func (p *demandPeaks) observe(demand float64, backlogged bool, at time.Duration) float64 {
 	long, short := p.long.observe(demand, at), p.short.observe(demand, at)
 	if backlogged {
@@ -327,7 +327,7 @@
 	start    time.Duration
 }
 
-// observe records a value at a time and returns the maximum of the last one to two windows.
+// observe records the value at the time at and returns the maximum of the last one to two windows.
 func (p *slidingPeak) observe(value float64, at time.Duration) float64 {
 	if at-p.start >= p.window {
 		p.current, p.previous, p.start = 0, p.current, at
@@ -336,7 +336,8 @@
 	return max(p.current, p.previous)
 }
 
-// hasClosedOrders reports whether there are journal rows that can be removed.
+// hasClosedOrders reports whether the journal holds rows of orders that are no longer open. Such
+// rows can be removed.
 func (c *Controller) hasClosedOrders(v *fleet.View) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/stages/peaks_test.go
+++ b/internal/stages/peaks_test.go
@@ -10,7 +10,9 @@
 // Load pattern: 14 s of long answers, then 14 s of prompts, and in both the demand swings every
 // 2.8 s.
 const (
+	// phaseLength is how long a phase of long answers or a phase of prompts lasts.
 	phaseLength = 14 * time.Second
+	// swingLength is the period of the swings of the demand within a phase.
 	swingLength = 2800 * time.Millisecond
 )
 
@@ -33,8 +35,8 @@
 	return func(time.Duration) float64 { return n }
 }
 
-// Engines that only earlier long answers needed for decoding must not be kept for it while prompts
-// queue for prefill.
+// Engines that were needed for decoding only by earlier long answers must not be kept as decode
+// engines while prompts queue for prefill.
 func TestBackloggedPrefillReleasesDecodeEngines(t *testing.T) {
 	is := is.New(t)
 	for _, backlogged := range []bool{false, true} {
--- a/internal/stages/stages_test.go
+++ b/internal/stages/stages_test.go
@@ -149,12 +149,16 @@
 	at     time.Time
 }
 
+// Report implements stages.EngineClient. The Sequence of the report counts the orders that all
+// engines together have carried out.
 func (e *fakeEngines) Report(context.Context, *fleet.Target) (stages.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return stages.Report{Sequence: uint64(len(e.orders))}, nil
 }
 
+// Order implements stages.EngineClient. It carries out o unless stillHeld returns false or refuse
+// is set.
 func (e *fakeEngines) Order(_ context.Context, t *fleet.Target, o stages.Order, stillHeld func() bool) error {
 	if e.beforeOrder != nil {
 		e.beforeOrder()
@@ -236,7 +240,8 @@
 	t.Fatal(what)
 }
 
-// Three VMs plan the same two changes: only the lease holder sends the orders, each of them once.
+// When three VMs plan the same two changes, only the lease holder sends the orders, and sends each
+// of them once.
 func TestOnlyOneVMSendsOrders(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
@@ -278,6 +283,7 @@
 // limitedTable is a store that rejects transactions of more than 100 entries.
 type limitedTable struct{ store.Table }
 
+// Commit implements store.Table. It fails if txn has more than 100 entries.
 func (l limitedTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	if len(txn.Conds)+len(txn.Puts)+len(txn.Deletes) > 100 {
 		return 0, store.ErrUnavailable
--- a/internal/target/client_test.go
+++ b/internal/target/client_test.go
@@ -28,7 +28,7 @@
 	return e, l.Addr().String()
 }
 
-// leaseHeld is the check of a lease that has not lapsed.
+// leaseHeld is passed to Client.Order and reports that the lease has not lapsed.
 func leaseHeld() bool { return true }
 
 // newOrder returns an order to serve a version of the model m in both roles.
--- a/internal/target/engine.go
+++ b/internal/target/engine.go
@@ -16,6 +16,8 @@
 
 // Roles of an engine.
 const (
+	// RoleBoth is the role of an engine that does prefill and decode, RolePrefill that of a prefill
+	// engine, and RoleDecode that of a decode engine.
 	RoleBoth    = roles.RoleBoth
 	RolePrefill = roles.RolePrefill
 	RoleDecode  = roles.RoleDecode
@@ -23,6 +25,9 @@
 
 // Paths of the HTTP protocol of targets.
 const (
+	// PathChat accepts chat completion requests, PathStreams is the prefix of the paths of streams,
+	// PathStatus returns a Status, PathOrders accepts an Order, and PathCacheEvents returns events
+	// of type CacheEvent.
 	PathChat        = "/v1/chat/completions"
 	PathStreams     = "/v1/streams/"
 	PathStatus      = "/status"
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -69,7 +69,7 @@
 	Incarnation int64
 	From        uint64
 	Revision    uint64
-	// Number is that of the question.
+	// Number is the Number of the question that this reply answers.
 	Number uint64
 	// More says that there are further changed counts, which did not fit.
 	More   bool
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -14,14 +14,15 @@
 const (
 	// KeyPrefix is the prefix of the store keys of reports.
 	KeyPrefix = "usage/"
-	// sentKey is the key of the sentRow.
+	// sentKey is the key of the row that holds a sentRow.
 	sentKey = KeyPrefix + "sent"
 	// windowsPrefix is the prefix of the keys of finalized reports that may not have been sent
 	// yet.
 	windowsPrefix = KeyPrefix + "w/"
 	// maxRowBytes bounds a row's value. It is below the largest value that the store accepts.
 	maxRowBytes = 40 << 10
-	// maxDeletes bounds the rows that one transaction removes, as the store bounds its entries.
+	// maxDeletes bounds the rows that one transaction removes, because the store limits the number
+	// of entries in a transaction.
 	maxDeletes = 40
 )
 
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -189,9 +189,10 @@
 	return max(next, WindowAt(now, r.cfg.Length)-retainedWindows(r.cfg.Length)+1)
 }
 
-// finalizeNext finalizes the report of the next window, and reports whether it did. It does so
-// countGrace after the window's end if all VMs have replied since, and after missingVMTimeout in
-// any case.
+// finalizeNext finalizes the report of the next window if it is due, and reports whether it has
+// finalized one. A report is due once all VMs have replied to a round of questions that began more
+// than countGrace after the end of the window. It is due missingVMTimeout after the end of the
+// window in any case.
 func (r *Reporter) finalizeNext(ctx context.Context, t duty.Tenure, now time.Time) bool {
 	if r.ledger == nil {
 		return false
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -33,12 +33,14 @@
 	deliver func(vm string, a Reply)
 }
 
+// AskUsage implements Group.
 func (g *group) AskUsage(name string, q Question) {
 	if v := g.vms[name]; !v.unreachable {
 		g.deliver(name, v.Reply(q))
 	}
 }
 
+// Others implements Group.
 func (g *group) Others() []string {
 	var names []string
 	for name := range g.vms {
@@ -47,6 +49,7 @@
 	return names
 }
 
+// Candidate implements Group.
 func (g *group) Candidate() bool { return true }
 
 // fakePlatform records the reports, and the windows that were reported twice with different
@@ -60,6 +63,7 @@
 	loseResponses bool
 }
 
+// ReportUsage implements Platform.
 func (p *fakePlatform) ReportUsage(_ context.Context, _ duty.Call, w Window, counts map[string]int) error {
 	if p.err != nil && !p.loseResponses {
 		return p.err
@@ -74,10 +78,12 @@
 // holder is a fake Holder that holds the duty while fence is not 0.
 type holder struct{ fence uint64 }
 
+// Held implements Holder.
 func (h *holder) Held() (duty.Tenure, bool) {
 	return duty.Tenure{Tenure: lease.Tenure{Fence: h.fence}, Condition: store.Cond{Key: "fence"}}, h.fence != 0
 }
 
+// Call implements Holder.
 func (h *holder) Call(t duty.Tenure) duty.Call { return duty.Call{Holder: "vm", Fence: t.Fence} }
 
 // faultyTable is a store whose writes fail while unavailable is set, and take effect but return
@@ -88,6 +94,7 @@
 	unavailable   bool
 }
 
+// Commit implements store.Table.
 func (f *faultyTable) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	if f.unavailable {
 		return 0, store.ErrUnavailable
@@ -290,8 +297,8 @@
 	}
 }
 
-// Guards against retention by number of windows instead of by time: an outage of half a minute left
-// nine windows of one second unreported, because as few short windows were kept as long ones.
+// Counts must be kept for a length of time, not for a number of windows. An outage of half a minute
+// left nine windows of one second unreported when as few short windows were kept as long ones.
 func TestRetentionDoesNotDependOnWindowLength(t *testing.T) {
 	for _, length := range []time.Duration{time.Second, 5 * time.Second, time.Minute} {
 		is := is.New(t)
