--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -177,7 +177,8 @@
 	return r.Holder == l.cfg.Holder && r.Incarnation == l.cfg.Incarnation && !r.Released
 }
 
-// recordIsOwn reports whether the observed record is this candidate's.
+// recordIsOwn reports whether the record that was last observed was written by this candidate's
+// process and has not been released.
 func (l *Lease) recordIsOwn() bool { return l.haveRecord && l.isOwn(l.record) }
 
 // tenureUnknown reports whether this candidate knows of no current tenure of its own. If the record
@@ -256,9 +257,9 @@
 }
 
 // commit writes next on the condition that the lease record still has the observed version, and
-// returns the new version. When the lease changes hands, f is the new fencing number, and commit
-// also writes the counter, on the condition that the counter has not changed, and the fence
-// record, which is the record at FenceKey. For a renewal or a release f is nil.
+// returns the new version. f is the new fencing number if the lease changes hands, and nil for a
+// renewal or a release. If f is not nil, commit also writes the number to the counter and to the
+// fence record, which is the record at FenceKey, on the condition that the counter has not changed.
 func (l *Lease) commit(ctx context.Context, next Record, f *newFence) (uint64, error) {
 	value, err := json.Marshal(next)
 	if err != nil {
--- a/internal/model/day.go
+++ b/internal/model/day.go
@@ -127,9 +127,10 @@
 	Worth     float64 `json:"worth"`
 	LateWorth float64 `json:"late_worth"`
 	Priority  int     `json:"priority"`
-	// Resumable answers may continue on another engine after a failure.
+	// Resumable says that an answer may continue on another engine after a failure.
 	Resumable bool `json:"resumable,omitempty"`
-	// Plain requests go to other services; they count as served in time without simulation.
+	// Plain says that the requests go to other services. They are not simulated and count as served
+	// in time.
 	Plain bool `json:"plain,omitempty"`
 	// Own is the distribution of the number of prompt tokens that are not shared, Chain holds
 	// the levels of the shared prefix, and Events is the distribution of the number of stream
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -356,8 +356,9 @@
 	}
 }
 
-// reserveToken reserves memory for one more token of s. While there is none, it preempts the most
-// recently submitted of the least urgent running sequences. It returns false if that was s itself.
+// reserveToken reserves memory for one more token of s. While no memory is free, it preempts the
+// most recently submitted of the least urgent running sequences. It returns false once it has
+// preempted s itself.
 func (e *engine) reserveToken(s *sequence) bool {
 	for !e.cache.reserve(1) {
 		victim := e.running[0]
--- a/internal/model/live_test.go
+++ b/internal/model/live_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// A live engine produces all events of an answer, at the interval that its figures give.
+// A live engine produces all events of an answer, and no faster than its figures say.
 func TestLiveEngineProducesEventsAtItsSpeed(t *testing.T) {
 	is := is.New(t)
 	l := newTestLive(t)
--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -91,9 +91,9 @@
 // lastOrder is the last order for a pool.
 type lastOrder struct {
 	count int
-	// sentAt is when the order was last sent, or when it was read from the journal. retryAt is
-	// the earliest time for the next order for the pool; it is zero if the platform has accepted
-	// the last one.
+	// sentAt is when the order was last sent, or when it was read from the journal. retryAt is the
+	// earliest time for the next order for the pool. It is zero if the platform has accepted the
+	// last order.
 	sentAt  time.Time
 	retryAt time.Time
 }
--- a/internal/scaling/series_test.go
+++ b/internal/scaling/series_test.go
@@ -44,8 +44,8 @@
 	spotUnavailableUntil time.Time
 }
 
-// bootingEngines is an order whose engines serve from readyAt on: count is the number of engines
-// that the pool has then.
+// bootingEngines is an order whose engines are still booting. From readyAt on, count engines of the
+// pool serve.
 type bootingEngines struct {
 	count   int
 	readyAt time.Time
--- a/internal/stages/controller.go
+++ b/internal/stages/controller.go
@@ -36,8 +36,8 @@
 	// callTimeout bounds one call to the store or to an engine.
 	callTimeout = 700 * time.Millisecond
 	// orderTimeout is the time after which an order that the engine has responded to counts as
-	// closed. unknownOrderTimeout applies to an order without a response, which may still be
-	// carried out seconds later.
+	// closed, so that it no longer blocks another order to the engine. unknownOrderTimeout is that
+	// time for an order without a response, which may still be carried out seconds later.
 	orderTimeout        = 8 * time.Second
 	unknownOrderTimeout = 15 * time.Second
 	// decodeUtilization is the average fraction of a decode engine's capacity that running
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -83,10 +83,11 @@
 }
 
 // Order sends o to the engine at address, at most once. It opens the connection, then calls
-// leaseHeld, and then writes the order. If this process is paused between the last two steps
-// for longer than the engine's read timeout, the engine has closed the connection by then and
-// the late bytes have no effect. Order fails with ErrFenced if leaseHeld returns false or the
-// engine rejects the fencing number, and with ErrRefused or ErrUnreachable otherwise.
+// leaseHeld, and then writes the order. This process may be paused between the call to leaseHeld
+// and the write. If the pause is longer than the engine's read timeout, the engine has closed the
+// connection by the end of the pause and the late bytes have no effect. Order fails with ErrFenced
+// if leaseHeld returns false or the engine rejects the fencing number, and with ErrRefused or
+// ErrUnreachable otherwise.
 func (c *Client) Order(ctx context.Context, address string, o Order, leaseHeld func() bool) error {
 	body, err := json.Marshal(o)
 	if err != nil {
--- a/internal/target/engine.go
+++ b/internal/target/engine.go
@@ -25,9 +25,9 @@
 
 // Paths of the HTTP protocol of targets.
 const (
-	// PathChat accepts chat completion requests, PathStreams is the prefix of the paths of streams,
-	// PathStatus returns a Status, PathOrders accepts an Order, and PathCacheEvents returns events
-	// of type CacheEvent.
+	// PathChat accepts chat completion requests. PathStreams is the prefix of the path of a stream,
+	// on which a DELETE request cancels the stream. PathStatus returns a Status, PathOrders accepts
+	// an Order, and PathCacheEvents is the path of cache events, see CacheEvent.
 	PathChat        = "/v1/chat/completions"
 	PathStreams     = "/v1/streams/"
 	PathStatus      = "/status"
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -132,7 +132,7 @@
 	n.revision = c.revision
 }
 
-// forget drops the windows up to and including last. The caller must hold c.mu.
+// forget drops the counts of all windows up to and including last. The caller must hold c.mu.
 func (c *Counter) forget(last Window) {
 	for key := range c.counts {
 		if key.window <= last {
