--- a/internal/model/result.go
+++ b/internal/model/result.go
@@ -9,7 +9,7 @@
 const (
 	// Largest is the band of the largest tenth of the requests of a class.
 	Largest = iota
-	// Large is the band of the next fifth.
+	// Large is the band of the fifth of the requests below the largest tenth.
 	Large
 	// Rest is the band of all smaller requests.
 	Rest
--- a/internal/stages/controller.go
+++ b/internal/stages/controller.go
@@ -49,8 +49,8 @@
 	// too late.
 	peakWindow = 15 * time.Second
 	// backlogPeakWindow replaces peakWindow while prompts queue at the prefill engines. The window
-	// is longer than one swing of the request mix, so that engines do not change their stage back
-	// and forth with each swing.
+	// is longer than one swing of the request mix, which lasts a few seconds, so that engines do
+	// not change their stage back and forth with each swing.
 	backlogPeakWindow = 3 * time.Second
 	// maxChangesPerTxn bounds the changes of one step, because the store accepts at most 100
 	// entries in one transaction, including the condition on the lease tenure.
