--- a/internal/errkind/body.go
+++ b/internal/errkind/body.go
@@ -16,7 +16,8 @@
 	Error errorDetail `json:"error"`
 }
 
-// errorDetail holds the fields of the error object; retry_after_s is in whole seconds, rounded up.
+// errorDetail holds the fields of the error object. RetryAfterSeconds is rounded up to whole
+// seconds.
 type errorDetail struct {
 	Message           string  `json:"message"`
 	Type              string  `json:"type"`
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is a class of refusal or failure; its value is the error code in response bodies, logs and
-// metrics. The set is closed: a new kind needs an entry in the responses table.
+// Kind is a class of refusal or failure. The value of a kind is the error code in response bodies,
+// logs and metrics. Each kind needs an entry in the responses table.
 type Kind string
 
 // The kinds. The responses table gives the HTTP response for each.
@@ -167,7 +167,7 @@
 	return r
 }
 
-// Error is an error of a listed Kind.
+// Error is an error that has one of the kinds of this package.
 type Error struct {
 	Kind Kind
 	// Detail is a message for the caller. It must not contain other callers' data.
--- a/internal/errkind/errkind_test.go
+++ b/internal/errkind/errkind_test.go
@@ -43,8 +43,8 @@
 	is.Equal(b.Error.Message, "too many")
 }
 
-// An error that is no *Error is reported as Internal, without its text: that could contain other
-// callers' data.
+// An error that is no *Error is reported as Internal, without its text, because the text could
+// contain other callers' data.
 func TestUnlistedErrorsAreInternal(t *testing.T) {
 	is := is.New(t)
 	e := From(errors.New("secret detail"))
--- a/internal/fair/fair.go
+++ b/internal/fair/fair.go
@@ -35,9 +35,9 @@
 	// sizeWindow is the number of recent requests of a route that a size is compared with.
 	sizeWindow = 256
 	// largestShare is the fraction of the recent requests that are larger than the smallest request
-	// of LargestTenth, and upperShare the fraction that are larger than the smallest of NextFifth.
+	// of LargestTenth.
 	largestShare = 0.1
-	upperShare   = 0.3
+	upperShare   = 0.3 // fraction that are larger than the smallest request of NextFifth
 	// decayRequests is the number of calls of Count for a route over which the route's counts of
 	// requests and admissions decay by a factor of e.
 	decayRequests = 512
@@ -45,7 +45,7 @@
 	// all requests of the route. At fullFavorRate or below, the band is favored fully; at
 	// noFavorRate or above, it is not favored.
 	fullFavorRate = 0.5
-	noFavorRate   = 0.8
+	noFavorRate   = 0.8 // relative admission rate at or above which a band is not favored
 )
 
 // recentSizes holds the sizes of the most recent requests of a route.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -57,7 +57,7 @@
 	// Objective is the latency within which an answer is on time. For a stream it is the latency
 	// of the first event.
 	Objective time.Duration
-	// MaxGap is the longest time between two events of a stream that is on time.
+	// MaxGap is the longest time after an event of a stream within which the next event is on time.
 	MaxGap time.Duration
 	// Patience is the longest time for which callers wait for the next event of a stream,
 	// including its first one, before they disconnect; 0 is no limit.
@@ -158,8 +158,8 @@
 	// accounts is nil if the configuration does not use client accounts. It is empty if all of
 	// them have been removed.
 	accounts accountsByKey
-	// byHost holds the routes by host name in lower case, those of a host with the longest prefix
-	// first.
+	// byHost holds the routes by host name in lower case. The routes of each host are sorted by the
+	// length of their prefix, longest first.
 	byHost map[string][]*Route
 }
 
@@ -225,9 +225,9 @@
 
 // The stages. A target of a plain service has NoStage.
 const (
-	NoStage Stage = ""
-	Prefill Stage = "prefill"
-	Decode  Stage = "decode"
+	NoStage Stage = ""        // stage of the targets of a plain service
+	Prefill Stage = "prefill" // the engine prefills prompts
+	Decode  Stage = "decode"  // the engine decodes answers and may prefill prompts in place
 )
 
 // Target is one entry of the list of targets.
@@ -256,8 +256,8 @@
 const runIDBase = 36
 
 // RunID returns the id of the target's current run. A run is the time from the start of a target's
-// process to its end. All state that is kept of a target is kept by run id: the next run under the
-// same target id has no cache, no work and no KV handles of the previous one.
+// process to its end. All state that is kept of a target is kept by run id, because the next run
+// under the same target id has no cache, no work and no KV handles of the previous one.
 func (t *Target) RunID() string {
 	if t.Run == "" {
 		return t.ID
--- a/internal/place/admit.go
+++ b/internal/place/admit.go
@@ -25,13 +25,14 @@
 	TooLongToPrefill Reason = "too_long_to_read"
 	// BehindPrompts: the prompts that the targets still have to prefill take too long.
 	BehindPrompts Reason = "behind_prompts"
-	// NoSeat: the batches that the request could join are full, and the wait for a seat in one of
-	// them is longer than the wait for pending prompts.
+	// NoSeat: the batches that the request could join are full, and the wait for a seat, which is a
+	// free place in one of them, is longer than the wait for pending prompts.
 	NoSeat Reason = "no_seat"
 	// NotItsTurn: the requests that are deferred on all VMs need more than the capacity that is
-	// free, and this one was not drawn to be sent now.
+	// free, and this request was not drawn at random to be sent now.
 	NotItsTurn Reason = "not_its_turn"
-	// QueueFull: the requests deferred earlier take up too much of the time that this one has left.
+	// QueueFull: the requests deferred earlier take up too much of the time that this request has
+	// left.
 	QueueFull Reason = "queue_full"
 )
 
@@ -46,21 +47,22 @@
 	// rest allows for errors of the estimate.
 	onTimeShare = 0.9
 	// maxOwnShare limits the time that is counted for the request's own prefill, as a fraction of
-	// the objective. A request whose own prefill takes longer would otherwise be refused whenever
-	// engines are busy.
+	// the objective. Without the limit, a request whose own prefill takes longer would be refused
+	// whenever engines are busy.
 	maxOwnShare = 0.4
 	// idleShare is the largest fraction of the objective that the pending prompts at an engine may
 	// take for the engine to count as idle. A request that is late already is still sent to an idle
-	// engine: requests that arrive later are on time even behind it.
+	// engine: requests that arrive later can wait for it and still be on time.
 	idleShare = 0.3
 	// queuedShare is the largest fraction of a request's remaining time that the requests deferred
-	// earlier may take, divided over all engines. It is small because only some of the engines are
-	// free for them.
+	// earlier may take if they are divided over all engines. The fraction is small because only
+	// some of the engines are free for these requests.
 	queuedShare = 0.25
 	// prefillMargin is the factor by which a prefill is allowed to exceed its estimate.
 	prefillMargin = 1.25
 	// deferShare limits how long a request is deferred, as a fraction of the time within which its
-	// answer must begin. Its caller is then told to come back, and has as much time again for that.
+	// answer must begin. After that the caller is told to try again, and as much time is left for
+	// the next try.
 	deferShare = 0.5
 )
 
@@ -79,13 +81,13 @@
 	// QueueTime is the time that the engines, all together, will take for the requests deferred
 	// earlier.
 	QueueTime time.Duration
-	// QueuedPrefill is the total prefill time of the requests deferred on all VMs, including this
-	// one, or 0 if this one has not been deferred. CheckInterval is the time between two checks of
-	// whether a deferred request can be sent.
+	// QueuedPrefill is the total prefill time of the requests deferred on all VMs, including the
+	// request itself, or 0 if the request has not been deferred. CheckInterval is the time between
+	// two checks of whether a deferred request can be sent.
 	QueuedPrefill time.Duration
 	CheckInterval time.Duration
-	// Favor is the fraction of the request's own prefill time that is not counted, from 0 to 1. It
-	// favors prompt sizes that are admitted less often than others.
+	// Favor is the fraction of the request's own prefill time that is not counted, from 0 to 1. The
+	// reduction favors prompt sizes that are admitted less often than others.
 	Favor float64
 	// Random is a random number, uniform in [0, 1).
 	Random float64
@@ -105,22 +107,22 @@
 	return time.Duration(idleShare * float64(objective))
 }
 
-// maxWait returns the longest queueing delay with which a request is sent: the longest at which its
-// answer is on time, or at which the target counts as idle if that is longer. own is the estimated
-// time of the request's own prefill.
+// maxWait returns the longest queueing delay with which a request is sent. This is the larger of
+// two delays: the longest at which the answer is on time, and the longest at which the target
+// counts as idle. own is the estimated time of the request's own prefill.
 func (a AdmissionInput) maxWait(own time.Duration) time.Duration {
 	own = time.Duration((1 - a.Favor) * float64(min(own, time.Duration(maxOwnShare*float64(a.Objective)))))
 	return max(time.Duration(onTimeShare*float64(a.Objective))-a.Waited-own, idleWait(a.Objective))
 }
 
-// MaxWait returns the longest queueing delay with which the request is sent, for use while the time
-// of its own prefill is not known yet: that prefill is counted as 0.
+// MaxWait returns the longest queueing delay with which the request is sent. It is for use while
+// the time of the request's own prefill is not known yet, and counts that prefill as 0.
 func (a AdmissionInput) MaxWait() time.Duration { return a.maxWait(0) }
 
 // isTurn reports whether a deferred request may be sent now.
 //
 // Load pattern: after a burst, hundreds of requests are deferred on as many VMs. When an engine
-// becomes idle, all VMs learn it from the same report and would send at once. Each request is
+// becomes idle, all VMs learn of this from the same report and would send at once. Each request is
 // therefore sent only with some probability, which is chosen so that the requests checked by all
 // VMs within the age of a report together fill the free capacity once.
 func isTurn(c Choice, a AdmissionInput) bool {
--- a/internal/place/cache.go
+++ b/internal/place/cache.go
@@ -9,7 +9,7 @@
 // cacheModel estimates which prompt parts a target's KV cache holds. It assumes least-recently-used
 // eviction: a part stays cached until the number of tokens added since its last use exceeds the
 // size of the cache. VMs report to each other the prompts that they send, so that the model covers
-// those of all VMs.
+// the prompts of all VMs.
 type cacheModel struct {
 	// tokensAdded is the number of tokens added to the cache so far.
 	tokensAdded float64
@@ -39,7 +39,7 @@
 }
 
 // add records that the target now holds all parts with these hashes. missing is the number of the
-// prompt's tokens that it did not hold before.
+// prompt's tokens that the target did not hold before.
 func (c *cacheModel) add(parts []uint64, missing int) {
 	c.tokensAdded += float64(missing)
 	for _, hash := range parts {
--- a/internal/place/config.go
+++ b/internal/place/config.go
@@ -29,7 +29,8 @@
 	// Cache disables the cache model: no prompt is assumed to be cached.
 	Cache bool
 	// Stay disables the higher weight of prefill work, which makes sessions stay at the engine that
-	// has them cached: a prefill then costs no more than the time that its own request waits.
+	// has them cached. If Stay is set, a prefill costs no more than the time that its own request
+	// waits.
 	Stay bool
 }
 
--- a/internal/place/load_test.go
+++ b/internal/place/load_test.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// If the only engine left is a decode engine with streams, it prefills the prompt nevertheless.
+// If the only engine left is a decode engine with streams, it prefills the prompt, although this
+// delays the streams.
 func TestStreamsWaitIfNoOtherTargetIsLeft(t *testing.T) {
 	is := is.New(t)
 	p := trainedPlacer(t, place.DefaultConfig("a"), peerWork{"d": {Running: 8, Streams: 8, Prefill: 60 * time.Millisecond, Prefills: 2}})
--- a/internal/place/pick.go
+++ b/internal/place/pick.go
@@ -32,7 +32,8 @@
 	Seat Seat
 }
 
-// Seat is the estimate with which a request was placed in a decode target's batch.
+// Seat holds the estimates for a request's place in the batch of a decode target, made when the
+// target was chosen.
 type Seat struct {
 	// Running is the number of other requests that the target ran already.
 	Running int
@@ -187,10 +188,10 @@
 }
 
 // AllButOne returns the set of all targets except one, so that a request can only be sent to that
-// one. The exception is the target with the highest hash of its run id and key, among the targets
-// that run requests, can be reached and are not in tried. If there is no such target, the set holds
-// all targets. Requests that may crash their targets are sent to different targets this way. If two
-// were sent to the same one, its crash would count against both requests.
+// target. The target left out is the one with the highest hash of its run id and key, among the
+// targets that run requests, can be reached and are not in tried. If there is no such target, the
+// set holds all targets. Requests that may crash their targets are sent to different targets this
+// way. If two were sent to the same one, its crash would count against both requests.
 func (p *Placer) AllButOne(targets []*fleet.Target, tried Tried, key []byte) Tried {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,9 +226,9 @@
 	return s, t != nil
 }
 
-// pickDecode returns the decode target with the cheapest seat for a prefilled prompt and that seat,
-// or nil if no target can decode the prompt. near is the data centre of the target that holds the
-// prompt's KV cache, or empty if it is not known. The caller holds p.mu.
+// pickDecode returns the decode target with the cheapest seat for a prefilled prompt, together with
+// that seat. It returns a nil target if none can decode the prompt. near is the data centre of the
+// target that holds the prompt's KV cache, or empty if it is not known. The caller holds p.mu.
 func (p *Placer) pickDecode(targets []*fleet.Target, est estimates, near string, tried Tried, now time.Time) (*fleet.Target, seat) {
 	var best *fleet.Target
 	var lowest seat
@@ -248,8 +249,8 @@
 }
 
 // Decode chooses the decode target for a prefilled prompt and records that the request is sent to
-// it. near is the data centre of the target that holds the prompt's KV cache, or empty if it is not
-// known. It returns false if no target can be used.
+// that target. near is the data centre of the target that holds the prompt's KV cache, or empty if
+// it is not known. It returns false if no target can be used.
 func (p *Placer) Decode(targets []*fleet.Target, spec *fleet.EngineSpec, q *Prompt, near string, tried Tried, now time.Time) (Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -47,8 +47,8 @@
 type Prompt struct {
 	// Tokens is the length of the prompt in tokens.
 	Tokens int
-	// Output is the length of the answer that the caller expects, and MaxOutput the largest that it
-	// allows, in tokens.
+	// Output is the length of the answer that the caller expects, and MaxOutput the maximum length
+	// that the caller allows, both in tokens.
 	Output    int
 	MaxOutput int
 	// Limit is the time that the whole answer may take, or 0 for no limit. InitialLimit is the
@@ -157,8 +157,8 @@
 	// It is reset to 1 when the target changes its stage.
 	stepSlowdown float64
 	stage        fleet.Stage
-	// connErrors counts the failures in a row to reach the target, and retryAt is when the target
-	// may be tried again if there are any.
+	// connErrors is the number of consecutive failures to reach the target. If it is above 0,
+	// retryAt is when the target may be tried again.
 	retryAt    time.Time
 	connErrors int
 }
@@ -266,8 +266,9 @@
 	return s
 }
 
-// Forget drops the state of each target run for whose id listed returns false. It keeps the state
-// of those at which this VM has work in progress.
+// Forget drops the state of each target run that is no longer listed. The function listed reports
+// whether the run with the given id is listed. Forget keeps the state of target runs at which this
+// VM has work in progress.
 func (p *Placer) Forget(listed func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -298,9 +299,9 @@
 	return p.totalWork(id).Streams
 }
 
-// DecodeLoad returns how many decode engines the running requests of a service fill, counted by
-// seats and not by slots: a batch that fills half of the slots may already be too large for the
-// longest answers to end in time.
+// DecodeLoad returns how many decode engines the running requests of a service fill. An engine is
+// full when all its seats are taken, even if slots are free, because a batch that fills half of the
+// slots may already be too large for the longest answers to end in time.
 func (p *Placer) DecodeLoad(targets []*fleet.Target, spec *fleet.EngineSpec, now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -14,8 +14,10 @@
 // peerWork is the work in progress of other VMs, by the id of the target. Its reports have age 0.
 type peerWork map[string]place.Work
 
+// Work returns the work at the target with this id, or no work if the map has no entry.
 func (o peerWork) Work(id string) place.Work { return o[id] }
 
+// Age implements place.PeerWork.
 func (o peerWork) Age() time.Duration { return 0 }
 
 // noStageChange reports that no engine is changing its stage.
@@ -77,6 +79,7 @@
 // the map after a placer was created with it.
 type replaceableWork struct{ *peerWork }
 
+// Work returns the work that the current map holds for the target with this id.
 func (s replaceableWork) Work(id string) place.Work { return (*s.peerWork)[id] }
 
 // busy is the work of a decode target at which long prompts are not prefilled in place.
@@ -100,8 +103,8 @@
 	}
 }
 
-// The next prompt of a session is prefilled at the engine that prefilled the one before, as that
-// engine has the shared parts cached.
+// The next prompt of a session is prefilled at the engine that prefilled the previous prompt, as
+// that engine has the shared parts cached.
 func TestSessionGoesBackToItsCache(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(peerWork{})
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -7,13 +7,13 @@
 )
 
 // queuePrefix followed by the name of a service is the id of a pseudo target, under which VMs
-// report the deferred requests of that service. Reports and summaries can then add them up like
-// other work.
+// report the deferred requests of that service. Reports and summaries can then add up the deferred
+// requests like other work.
 const queuePrefix = "queue/"
 
-// AddDeferred counts a deferred request of a service until End is called on the returned ticket. It
-// counts as a pending prefill and, if it waits for a seat, as a running request too. c is the
-// choice with which it was deferred.
+// AddDeferred counts a deferred request of a service until End is called on the returned ticket.
+// The request counts as a pending prefill and, if it waits for a seat, as a running request too. c
+// is the choice with which the request was deferred.
 func (p *Placer) AddDeferred(service string, c Choice) *Ticket {
 	work := Work{Prefill: c.OwnPrefill, Prefills: 1}
 	if c.waitReason() == NoSeat {
--- a/internal/place/record.go
+++ b/internal/place/record.go
@@ -74,8 +74,8 @@
 const maxFailureRate = 0.9
 
 // expectedTries returns how often a request must be sent to the target on average to be served
-// there. The cost of the target is multiplied by it, since a cached prompt is worth nothing at a
-// target that fails. The caller holds Placer.mu.
+// there. The cost of the target is multiplied by this number, since a cached prompt is worth
+// nothing at a target that fails. The caller holds Placer.mu.
 func (s *state) expectedTries(now time.Time) float64 {
 	share := max(s.failureRate, s.sends.failureRate(now), s.currentRefusalRate(now))
 	return 1 / (1 - min(share, maxFailureRate))
--- a/internal/place/seats.go
+++ b/internal/place/seats.go
@@ -15,9 +15,9 @@
 }
 
 const (
-	// answerTimeShare is the fraction of its time limit that the longest answer may take by
-	// estimate. The rest allows for errors: step times are known to within a few percent, and later
-	// requests join the batch.
+	// answerTimeShare limits the estimated time of the longest answer, as a fraction of the
+	// request's time limit. The rest allows for errors: step times are known to within a few
+	// percent, and later requests join the batch.
 	answerTimeShare = 0.9
 	// fullBatchCost is the cost of joining a batch whose seats are all taken, as a fraction of the
 	// time that a request keeps its seat.
@@ -26,9 +26,11 @@
 	// longest answers, for an answer that would end in time at slower targets too. It is a fraction
 	// of the time that a request keeps its seat.
 	lastSeatCost = 0.3
-	// minSeatsShare is the fraction of the slots that are always seats, even if the longest answers
-	// do not end in time in a batch of that size. Only few answers are that long, and all others
-	// would be turned away for them. Besides, what a VM has learned since its start may be wrong.
+	// minSeatsShare is the smallest number of seats at a target, as a fraction of its usable slots.
+	// A seat is a place for one request in the target's batch. The minimum holds even if the
+	// longest answers do not end in time in a batch of that size. Only few answers are that long,
+	// and all others would be turned away for them. Besides, what a VM has learned since its start
+	// may be wrong.
 	minSeatsShare = 0.4
 )
 
@@ -127,11 +129,12 @@
 	return e.MaxConcurrent(time.Duration(float64(step)/s.stepSlowdown)) + 1
 }
 
-// usableSlots returns the number of slots of t less the spare slots, at least 1.
+// usableSlots returns the number of slots of t minus spareSlots, at least 1.
 func usableSlots(t *fleet.Target) int { return max(t.Slots-spareSlots, 1) }
 
-// seatCount returns the number of seats at t for the request being placed. If it is not a stream,
-// all usable slots are seats.
+// seatCount returns the number of seats at t for the request being placed, which is the size of the
+// largest batch that the request should run in. If the request is not a stream, all usable slots
+// are seats.
 func (e estimates) seatCount(t *fleet.Target, s *state) int {
 	if !e.batch.stream {
 		return usableSlots(t)
@@ -150,16 +153,16 @@
 	return int(min(max(e.maxBatch(s, e.maxStep), minSeatsShare*open, 1), open))
 }
 
-// fastEnough reports whether a target is fast enough for the longest answers of the service, at
-// least if they run there alone. Only such targets limit their seats for the sake of these answers.
+// fastEnough reports whether a target is fast enough for the longest answers of the service if they
+// run there alone. Only such targets limit their seats for the sake of these answers.
 func (e estimates) fastEnough(s *state) bool { return e.maxStep > 0 && e.maxBatch(s, e.maxStep) >= 1 }
 
 // leavesStepTime reports whether a decode target that runs streams may prefill a prompt in place:
-// all such prefills must fit into the fraction of its time that the steps of the longest answers do
-// not need. When only each single gap was limited, a burst of prompts made all steps longer for as
-// long as the burst lasted. Small prompts (see smallPromptShare) and targets that are not fast
-// enough for the longest answers are exempt. load is the work at the target, and prefill the time
-// for the prompt.
+// all such prefills must fit into the fraction of the target's time that the steps of the longest
+// answers do not need. Limiting each single gap was not enough, because a burst of prompts made all
+// steps longer for as long as the burst lasted. Small prompts (see smallPromptShare) and targets
+// that are not fast enough for the longest answers are exempt. load is the work at the target, and
+// prefill the time for the prompt.
 func (e estimates) leavesStepTime(s *state, load Work, prefill time.Duration, now time.Time) bool {
 	if load.Streams == 0 || !e.fastEnough(s) || prefill <= time.Duration(smallPromptShare*float64(e.gapBudget())) {
 		return true
--- a/internal/place/seats_test.go
+++ b/internal/place/seats_test.go
@@ -287,6 +287,7 @@
 // delayedWork is the work of other VMs, from reports that are 30 ms old.
 type delayedWork struct{ peerWork }
 
+// Age implements place.PeerWork.
 func (delayedWork) Age() time.Duration { return 30 * time.Millisecond }
 
 // Guards against counting the load of decode engines by slots. The number of engines that decode
--- a/internal/place/spread.go
+++ b/internal/place/spread.go
@@ -13,8 +13,8 @@
 // the cheapest target, all would pick the same one until the next report. The work that other VMs
 // have placed since then, the unreported work, is therefore assumed to fill the cheapest targets up
 // to a common level, and a candidate below that level is drawn with a probability proportional to
-// its distance from it (Dahlin, Interpreting Stale Load Information, 1999). With fresh load this is
-// the cheapest candidate; the staler the load, the more evenly candidates are drawn.
+// its distance from it (Dahlin, Interpreting Stale Load Information, 1999). If the load is fresh,
+// the cheapest candidate is drawn. The staler the load, the more evenly candidates are drawn.
 type staleLoadPicker struct {
 	costs []time.Duration
 	// order holds the indexes of the candidates, sorted by cost.
--- a/internal/place/stale_test.go
+++ b/internal/place/stale_test.go
@@ -65,22 +65,21 @@
 }
 
 const (
-	simVMs     = 60
-	simEngines = 30
-	simStep    = 10 * time.Millisecond
+	simVMs     = 60                    // number of VMs
+	simEngines = 30                    // number of prefill engines
+	simStep    = 10 * time.Millisecond // simulated time of one step
 	// promptsPerStep is the number of prompts that arrive in each step. Their prefills take 0.84 of
 	// the time of all engines if nothing is cached, and 0.26 if all shared parts are cached.
 	promptsPerStep    = 7
-	sessionsPerEngine = 10
+	sessionsPerEngine = 10 // number of sessions for each prefill engine
 	// prefillPerToken is the time that an engine takes to prefill a token that is not cached.
 	prefillPerToken = 4 * time.Microsecond
 	// burstPromptsPerStep is the number of prompts that arrive in each step of a burst: 1.5 times
 	// as many as the engines can prefill if all shared parts are cached.
 	burstPromptsPerStep = 40
-	// simObjective is the time after its arrival within which a prompt should be prefilled, and
-	// simPatience the time for which its caller waits.
+	// simObjective is the time after its arrival within which a prompt should be prefilled.
 	simObjective = 250 * time.Millisecond
-	simPatience  = 2 * time.Second
+	simPatience  = 2 * time.Second // how long the caller of a prompt waits
 	// checkInterval is the mean time between two checks of a deferred prompt.
 	checkInterval = 60 * time.Millisecond
 )
@@ -92,8 +91,10 @@
 	vm  int
 }
 
+// Age returns the age of the reports that the placers are told, assumedAge.
 func (r delayedReports) Age() time.Duration { return r.sim.assumedAge }
 
+// Work returns the work of the other VMs as it was reportAge ago.
 func (r delayedReports) Work(id string) place.Work {
 	if id == "d" {
 		return busy
--- a/internal/place/ticket.go
+++ b/internal/place/ticket.go
@@ -29,16 +29,16 @@
 	// id is the id of the target's run.
 	id      string
 	service string
-	// work is what the request still counts as at the target.
+	// work is the work in progress that the request still counts as at the target.
 	work Work
 	// task is 0 while the request waits in the queue of deferred requests.
 	task task
-	// prompt is nil for such a request and for plain ones.
+	// prompt is nil for a deferred request and for a plain one.
 	prompt *Prompt
 	// cached is the estimated number of the prompt's tokens that the target had cached.
 	cached int
-	// prefillWait is the time of the prefills that were pending before this one, and overhead the
-	// time that the request takes besides them and its own prefill.
+	// prefillWait is the time of the prefills that were pending before the one of this request, and
+	// overhead the time that the request takes besides all these prefills and its own.
 	prefillWait time.Duration
 	overhead    time.Duration
 	// waitedForSeat is set if the target's batch was full when the target was chosen.
@@ -47,7 +47,7 @@
 	// once the step time of one span was recorded.
 	span          span
 	stepsObserved bool
-	// began is when the target was chosen. The measured times count from it.
+	// began is when the target was chosen. The times that the ticket measures start then.
 	began time.Time
 	// firstObserved is set once the time to the first event was recorded or, for taskPrefill, the
 	// time to the handle of the prefilled prompt.
@@ -72,7 +72,8 @@
 	Good Result = iota + 1
 	// Neutral: the result says nothing about the target, as when the caller left.
 	Neutral
-	// Refused: the target did not run the request, because it is full or says so.
+	// Refused: the target did not run the request. It was full, or its response says that the
+	// request was not run.
 	Refused
 	// Bad: the target failed.
 	Bad
@@ -82,30 +83,29 @@
 
 // Constants of the moving averages.
 const (
-	// failureWeight, slowdownWeight and refusalWeight are the weights of the newest request in the
-	// averages of the failures, the slowdowns and the refusals.
+	// failureWeight is the weight of the newest request in the average of the failures.
 	failureWeight  = 0.1
-	slowdownWeight = 0.1
-	refusalWeight  = 0.3
+	slowdownWeight = 0.1 // weight of the newest request in the average of the slowdowns
+	refusalWeight  = 0.3 // weight of the newest request in the average of the refusals
 	// minSlowdown and maxSlowdown bound a slowdown factor, and slowdownStep bounds the change of
 	// its logarithm by one answer: a single long time may be due to a stall or an unknown queue
 	// just as well as to a slow target. A target that is five times slower is recognized after
 	// about 25 answers.
-	minSlowdown  = 0.5
-	maxSlowdown  = 20.0
-	slowdownStep = 0.07
+	minSlowdown  = 0.5  // lower bound of a slowdown factor
+	maxSlowdown  = 20.0 // upper bound of a slowdown factor
+	slowdownStep = 0.07 // maximum change of the logarithm of a factor by one answer
 )
 
 // The delay before an unreachable target is tried again is firstRetryDelay after the first failure
 // and doubles with each further one, at most maxRetryDoublings times and up to maxRetryDelay.
 const (
-	firstRetryDelay   = 300 * time.Millisecond
-	maxRetryDelay     = 3 * time.Second
-	maxRetryDoublings = 4
+	firstRetryDelay   = 300 * time.Millisecond // delay after the first failure
+	maxRetryDelay     = 3 * time.Second        // upper bound of the delay
+	maxRetryDoublings = 4                      // how often the delay doubles at most
 )
 
-// begin counts w as work in progress at a target and returns the ticket for it. The times that the
-// ticket measures count from now. The caller holds p.mu.
+// begin counts w as work in progress at a target and returns the ticket for it. The ticket measures
+// times from the time now on. The caller holds p.mu.
 func (p *Placer) begin(t *fleet.Target, w Work, now time.Time) *Ticket {
 	s := p.stateByID(t.RunID())
 	s.ownWork = s.ownWork.Plus(w)
@@ -158,15 +158,16 @@
 }
 
 // NoteLostHandle records that a prompt which the target run with this id had prefilled could not be
-// decoded, because its handle was gone or its KV cache could not be fetched. It counts as a
-// refusal.
+// decoded, because its handle was gone or its KV cache could not be fetched. The target's refusal
+// rate rises as if it had refused the request.
 func (p *Placer) NoteLostHandle(target string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stateByID(target).noteRefusal(now)
 }
 
-// FirstEvent records that the first event of the answer has come, so that the prefill is done.
+// FirstEvent records that the first event of the answer has come, which means that the prefill is
+// done.
 func (t *Ticket) FirstEvent(now time.Time) {
 	if t == nil || t.ended {
 		return
@@ -195,8 +196,8 @@
 }
 
 // eventsPerSpan is the number of events after which a span ends and its step time is recorded.
-// Among so many events, a single late one has little weight. They also come soon enough to show
-// that a batch has just grown, which whole answers would show only when they end.
+// Among so many events, a single late one has little weight. A span is also short enough to show
+// soon that a batch has just grown. Whole answers would show this only when they end.
 const eventsPerSpan = 16
 
 // minObservedEvents is the minimum number of events of a whole answer for its step time to be
--- a/internal/place/ways_test.go
+++ b/internal/place/ways_test.go
@@ -40,8 +40,8 @@
 	return []*fleet.Target{f.engines[f.random.IntN(last)], f.engines[f.random.IntN(last)], f.engines[last]}
 }
 
-// sessionEngines selects the first n prefill engines for a session by rendezvous hashing, the same
-// on all VMs, and the decode engine.
+// sessionEngines returns a selector that chooses n prefill engines for a session by rendezvous
+// hashing, so that they are the same on all VMs, and adds the decode engine.
 func sessionEngines(n int) engineSelector {
 	bySession := make(map[uint64][]*fleet.Target)
 	return func(f *fleetSim, session uint64) []*fleet.Target {
--- a/internal/place/weigh.go
+++ b/internal/place/weigh.go
@@ -19,7 +19,7 @@
 	// decode phases of prompts prefilled separately.
 	spareSlots = 4
 	// smallPromptShare is the largest fraction of the gap budget that the prefill of a small prompt
-	// takes. A small prompt may be prefilled in place no matter which streams run there.
+	// takes. A small prompt may be prefilled in place no matter which streams run at the target.
 	smallPromptShare = 1.0 / 8
 	// minHandoffShare is the shortest prefill time for which a handoff is worthwhile, as a fraction
 	// of the time of the handoff. As a prefill in place takes twice as long as a separate one, a
@@ -79,7 +79,7 @@
 // candidate is one way to prefill a prompt, with its estimated times and cost.
 type candidate struct {
 	target *fleet.Target
-	// work is the work that the request would be at the target.
+	// work is the work in progress that the request would add at the target.
 	work Work
 	// cached is the number of the prompt's tokens that the target has cached.
 	cached int
--- a/internal/profile/fit.go
+++ b/internal/profile/fit.go
@@ -50,13 +50,13 @@
 
 // fit is a robust estimate of the coefficients c of the linear model value = c·features from the
 // newest samples. Its prior gives the ratios of the coefficients. Their magnitude comes from the
-// samples alone as soon as there is a sample, so that engines a hundred times as fast as the prior
-// are estimated well after the first few samples.
+// samples alone as soon as there is a sample, so that a few samples are enough for a good estimate,
+// even of engines a hundred times as fast as the prior.
 type fit struct {
 	// prior holds the coefficients that are assumed before there are samples.
 	prior vector
-	// fixed is the index of the coefficient whose prior is not scaled with the others, as it does
-	// not depend on the engine's speed, or -1.
+	// fixed is the index of the coefficient whose prior is not scaled with the others, because that
+	// coefficient does not depend on the engine's speed. It is -1 if there is no such coefficient.
 	fixed int
 	// weight is how many samples the prior counts as.
 	weight float64
--- a/internal/profile/lengths.go
+++ b/internal/profile/lengths.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// lengthRatios estimates how many times as long as their callers expect answers are.
+// lengthRatios estimates the ratio of the actual length of an answer to the length that its caller
+// expected.
 type lengthRatios struct {
 	// ratios is a ring buffer of the ratio of the actual to the expected length of the newest
 	// answers, next the index of the ratio to replace, and seen the number of all answers so far.
--- a/internal/profile/profile.go
+++ b/internal/profile/profile.go
@@ -28,9 +28,9 @@
 	priorOverheadMS = 2
 	// priorHandoffMS is the time until a decode engine sends the first event of a prompt that
 	// another engine has prefilled, counted from sending it the prompt and without the transfer of
-	// the KV cache. priorTransferMS is what the transfer adds for each 1,000 tokens.
+	// the KV cache.
 	priorHandoffMS  = 5
-	priorTransferMS = 0.5
+	priorTransferMS = 0.5 // what the transfer of the KV cache adds for each 1,000 tokens
 	// priorEventMS is the time between two events of a stream.
 	priorEventMS = 30
 	// priorEventTokens is the number of tokens in one event.
@@ -62,8 +62,8 @@
 
 const (
 	// priorStepGrowth is the fraction by which each concurrent request lengthens a decode step,
-	// since the step reads that request's context too. It differs between engines and is therefore
-	// estimated.
+	// since the step reads that request's context too. This fraction differs between engines and is
+	// therefore estimated.
 	priorStepGrowth = 0.008
 	// lengthQuantile is the fraction of the answers whose ratio of actual to expected length is at
 	// most LengthRatio.
@@ -76,8 +76,8 @@
 // Profile holds the estimates for the targets of one service. All estimated times are in
 // milliseconds. A Profile is not safe for concurrent use.
 type Profile struct {
-	// prefill estimates the time of a prefill as a function of prefillFeatures and, in the third
-	// place, a constant for the overhead.
+	// prefill estimates the time of a prefill as a function of three features: the two of
+	// prefillFeatures, and a constant for the overhead.
 	prefill *fit
 	// handoff estimates the time of a handoff (see HandoffTime) as a function of handoffFeatures.
 	handoff *fit
@@ -156,9 +156,9 @@
 	p.observePrefill(vector{inPlaceFactor * features[0], inPlaceFactor * features[1]}, inPlaceNoise, ahead, took)
 }
 
-// observePrefill adds a prefill sample with these features; it sets the third one, the constant. A
-// sample whose prompt waited for others gets more noise. Nothing is recorded if the whole time was
-// spent on the prompts ahead.
+// observePrefill adds a prefill sample with these features, of which it sets the third one, the
+// constant, itself. A sample whose prompt waited for others gets more noise. Nothing is recorded if
+// the whole time was spent on the prompts ahead.
 func (p *Profile) observePrefill(features vector, noise float64, ahead, took time.Duration) {
 	own := toMillis(took - ahead)
 	if own <= 0 {
@@ -210,8 +210,8 @@
 func (p *Profile) LoadedInterval(l Load) time.Duration { return millis(p.loadInterval.at(l.vector())) }
 
 // MaxConcurrent returns how many other requests may run concurrently with a request for its decode
-// steps to take no longer than step. It is negative if they take longer even when the request runs
-// alone.
+// steps to take no longer than step. The result is negative if the steps take longer even when the
+// request runs alone.
 func (p *Profile) MaxConcurrent(step time.Duration) float64 {
 	ms := toMillis(step) * p.EventTokens()
 	return (ms - p.loadInterval.at(constant)) / p.loadInterval.at(vector{0, 1})
@@ -260,9 +260,9 @@
 // ObserveEvents records the time that a number of consecutive events of a stream took, and the
 // engine's other work meanwhile.
 //
-// Concurrent prefill is a feature of the estimate. When its estimated time was subtracted from the
-// sample instead, what remained was too much or too little for the steps of engines that prefill
-// much: these steps seemed slow, and the engines were given still more to prefill.
+// Concurrent prefill is a feature of the estimate. Subtracting the estimated prefill time from the
+// sample instead left too much or too little time for the decode steps of engines that prefill
+// much. These steps seemed slow, and the engines were given still more to prefill.
 func (p *Profile) ObserveEvents(events int, took time.Duration, load Load) {
 	if events <= 0 {
 		return
@@ -308,8 +308,8 @@
 	m.value += (value - m.value) / float64(min(m.seen, meanWindow))
 }
 
-// constant holds the features of a value that depends on nothing: it selects the constant
-// term of an estimate.
+// constant holds the features of a value that depends on nothing. These features select the
+// constant term of an estimate.
 var constant = vector{1, 0}
 
 // millis returns a duration of the given milliseconds.
--- a/internal/profile/profile_test.go
+++ b/internal/profile/profile_test.go
@@ -35,8 +35,8 @@
 	return missing*e.tokenMS + missing*float64(tokens+cached)/2/1e6*e.pairsMS
 }
 
-// serve simulates one request and records it in p. Its times are disturbed as measured times are:
-// by queues, other requests in the batch, stalls, and engines that restart or are slow.
+// serve simulates one request and records it in p. The recorded times are disturbed as measured
+// times are: by queues, other requests in the batch, stalls, and engines that restart or are slow.
 func (e engine) serve(r *rand.Rand, p *profile.Profile) {
 	tokens := 100 + int(20000*math.Pow(r.Float64(), 2))
 	cached := int(float64(tokens) * r.Float64() * 0.9)
@@ -66,7 +66,8 @@
 // ms returns the duration of v milliseconds.
 func ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
-// Engines whose speeds differ a hundredfold are estimated well after some tens of requests.
+// For engines whose speeds differ a hundredfold, some tens of requests are enough for a good
+// estimate.
 func TestEnginesOfAnySpeedAreEstimated(t *testing.T) {
 	bounds := map[int]float64{50: 0.30, 200: 0.25, 1000: 0.25}
 	for _, n := range []int{50, 200, 1000} {
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -18,8 +18,8 @@
 
 // The default budget allows one retry per ten requests, and ten in a burst.
 const (
-	DefaultRatio = 0.1
-	DefaultBurst = 10
+	DefaultRatio = 0.1 // retries per request
+	DefaultBurst = 10  // maximum number of retries at once
 )
 
 // NewBudget returns a full budget that allows ratio retries per request and at most burst at once.
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -60,9 +60,9 @@
 }
 
 // Guards against counting requests for longer than a span. With an exponentially decaying count, a
-// burst still counted after that time: there were 17 retries in a span of 54 requests, where 15.8
-// are allowed and the check adds 1. TestNoSpanIsOverTheBound found these phases (rapid seed
-// 6034037910942258090).
+// burst still counted after that time: there were 17 retries in a span of 54 requests, where the
+// bound is 15.8 and findExcess tolerates 1 more. TestNoSpanIsOverTheBound found these phases (rapid
+// seed 6034037910942258090).
 func TestBurstIsForgottenAfterTheSpan(t *testing.T) {
 	excess := simulate([]phase{
 		{gap: time.Millisecond, requests: 47},
@@ -135,7 +135,8 @@
 
 // findExcess returns a description of a span in which the retries exceed the bound by more than 1,
 // or "" if there is none. The bound is taken for the requests of that span, of the span before it,
-// or of the last half of the one and the first half of the other, whichever are most.
+// or of the last half of the span before it and the first half of the span itself, whichever are
+// most.
 func findExcess(requests, retries []time.Duration) string {
 	for _, from := range retries {
 		extra := count(retries, from, from+bound.Span)
--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -27,8 +27,8 @@
 const acceptedProbeCount = 3
 
 // Listen listens on a TCP address. An accepted connection is closed with an error once its peer has
-// been silent for timeout: it has answered none of acceptedProbeCount probes, or has not
-// acknowledged data that was written to the connection.
+// been silent for timeout, which means that the peer has answered none of acceptedProbeCount
+// probes, or has not acknowledged data that was written to the connection.
 func Listen(ctx context.Context, address string, timeout time.Duration) (net.Listener, error) {
 	lc := net.ListenConfig{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: timeout / acceptedProbeCount, Interval: timeout / acceptedProbeCount, Count: acceptedProbeCount},
