--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -12,7 +12,8 @@
 )
 
 // Kind is a class of refusal or failure. The value of a kind is the error code in response bodies,
-// logs and metrics. Each kind needs an entry in the responses table.
+// logs and metrics. No kinds other than the constants below are used, and each of them needs an
+// entry in the responses table.
 type Kind string
 
 // The kinds. The responses table gives the HTTP response for each.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -164,7 +164,7 @@
 }
 
 // NewConfig returns a configuration with its routes indexed for Match. It changes Engine.Objective
-// and Engine.MaxGap of the given services to the shortest of their routes.
+// and Engine.MaxGap of each given service to the shortest values of the service's routes.
 func NewConfig(version uint64, routes []*Route, services []*Service, limits Limits) *Config {
 	c := &Config{
 		Version: version, Limits: limits,
@@ -185,8 +185,8 @@
 	return c
 }
 
-// setEngineObjectives sets Objective and MaxGap of each service's engines to the shortest of the
-// service's routes.
+// setEngineObjectives sets Objective and MaxGap of each service's engines to the shortest values of
+// the service's routes.
 func (c *Config) setEngineObjectives(routes []*Route) {
 	for _, r := range routes {
 		for _, share := range r.Shares {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,7 +8,8 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// Match ignores the case of the host and its port, but not the slash at the end of a prefix.
+// Match ignores the port of the host and the case of its letters, but not the slash at the end of a
+// prefix.
 func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
 	c := fleet.NewConfig(1, []*fleet.Route{
 		{Name: "short", Host: "a.example", Prefix: "/x/"},
--- a/internal/place/admit.go
+++ b/internal/place/admit.go
@@ -9,8 +9,8 @@
 const (
 	// Send means that the request is sent to the chosen target.
 	Send Verdict = iota + 1
-	// Defer means that the request waits at this VM until an engine is nearly idle: its answer
-	// would be late, and it would delay others.
+	// Defer means that the request waits at this VM until an engine is nearly idle. If the request
+	// were sent at once, its answer would be late, and it would delay other requests.
 	Defer
 	// Refuse means that the request could not be served in time at all.
 	Refuse
@@ -58,7 +58,9 @@
 	// earlier may take if they are divided over all engines. The fraction is small because only
 	// some of the engines are free for these requests.
 	queuedShare = 0.25
-	// prefillMargin is the factor by which a prefill is allowed to exceed its estimate.
+	// prefillMargin is the factor by which the estimated time of a request's own prefill is
+	// multiplied before the result is compared with the time left, because a prefill may take
+	// longer than estimated.
 	prefillMargin = 1.25
 	// deferShare limits how long a request is deferred, as a fraction of the time within which its
 	// answer must begin. After that the caller is told to try again, and as much time is left for
--- a/internal/place/seats_test.go
+++ b/internal/place/seats_test.go
@@ -152,9 +152,9 @@
 
 // Guards against learning step times only from complete answers. An answer of 200 events takes 15
 // s. When step times were learned in that way, the answers that were complete were the short ones,
-// and they showed the smaller batches of seconds ago. After a crash that moved 90 streams to each
-// remaining engine, and for seconds after a start, the times of long answers were therefore
-// estimated wrongly:
+// and their times showed the smaller batches of some seconds earlier. After a crash that moved 90
+// streams to each remaining engine, and for seconds after a start, the times of long answers were
+// therefore estimated wrongly:
 //
 //	event=request_failed beside=36 longest_ms=16633 event_us=72313 last_event=195
 //	event=request_failed beside=6 longest_ms=38350 event_us=64440 last_event=208
--- a/internal/place/stale_test.go
+++ b/internal/place/stale_test.go
@@ -28,8 +28,8 @@
 	// selectEngines returns the engines at which a prompt is evaluated; nil selects all.
 	selectEngines engineSelector
 	placers       []*place.Placer
-	// ownWork holds the work of each VM, and sendRecords the send records that it reported, both by
-	// step and VM.
+	// ownWork holds the work of each VM, and sendRecords the send records that each VM reported,
+	// both by step and VM.
 	ownWork     [][]map[string]place.Work
 	sendRecords [][][]place.SendRecord
 	// totalWork holds the work of all VMs together, by step.
--- a/internal/place/ticket.go
+++ b/internal/place/ticket.go
@@ -101,7 +101,7 @@
 const (
 	firstRetryDelay   = 300 * time.Millisecond // delay after the first failure
 	maxRetryDelay     = 3 * time.Second        // upper bound of the delay
-	maxRetryDoublings = 4                      // how often the delay doubles at most
+	maxRetryDoublings = 4                      // maximum number of times that the delay doubles
 )
 
 // begin counts w as work in progress at a target and returns the ticket for it. The ticket measures
@@ -273,8 +273,8 @@
 	p.profile(t.service).ObserveLength(events, t.prompt.MaxOutput)
 }
 
-// adjustSlowdown returns the slowdown factor, moved towards the ratio of measured to expected time
-// that was observed for one answer.
+// adjustSlowdown returns the slowdown factor, moved towards observed, which is the ratio of the
+// measured to the expected time of one answer.
 func adjustSlowdown(factor, observed float64) float64 {
 	step := slowdownWeight * math.Log(max(observed, minSlowdown/2)/factor)
 	factor *= math.Exp(min(max(step, -slowdownStep), slowdownStep))
--- a/internal/place/weigh.go
+++ b/internal/place/weigh.go
@@ -145,7 +145,7 @@
 }
 
 // evaluateInPlace estimates a prefill at the decode engine t, which then runs the request. load is
-// the work in progress there. It sets c.work and c.overhead and returns the seat at t, with the
+// the work in progress at t. It sets c.work and c.overhead and returns the seat at t, with the
 // other costs of the prefill added to its cost. It returns false if the streams at t would be
 // delayed for too long.
 func (c *candidate) evaluateInPlace(t *fleet.Target, s *state, load Work, req prefillRequest) (seat, bool) {
@@ -179,8 +179,8 @@
 }
 
 // interferenceCost returns the cost of running streams and prefills in place at the same target.
-// load is the work there, and added that of the request. Because of this cost, streams gather at a
-// few targets, and prompts are prefilled at the others.
+// load is the work at the target, and added the work of the request. Because of this cost, streams
+// gather at a few targets, and prompts are prefilled at the others.
 func (e estimates) interferenceCost(load, added Work) time.Duration {
 	budget := e.gapBudget()
 	small := added.Prefill <= time.Duration(smallPromptShare*float64(budget))
--- a/internal/profile/fit.go
+++ b/internal/profile/fit.go
@@ -15,8 +15,8 @@
 	refitInterval = 16
 	// eagerSamples is the number of first samples. The estimate is fitted again after each of them.
 	eagerSamples = 24
-	// priorWeight is how many samples the prior counts as. Only the ratios of its coefficients
-	// count, not their magnitude.
+	// priorWeight is how many samples the prior counts as. Only the ratios of the prior's
+	// coefficients count, not their magnitude.
 	priorWeight = 4
 	// stepPriorWeight is the priorWeight of the estimate of the time between events. A concurrent
 	// request adds little to that time, and a few samples would not outweigh a stronger prior.
--- a/internal/profile/profile.go
+++ b/internal/profile/profile.go
@@ -190,8 +190,8 @@
 func (p *Profile) EventInterval() time.Duration { return millis(p.eventInterval.at(constant)) }
 
 // EventTokens returns the number of tokens in an event: the expected length of recent answers
-// divided by their number of events. It is limited so that no recent answer exceeds its maximum
-// length.
+// divided by their number of events. The result is limited so that no recent answer would exceed
+// its maximum length.
 func (p *Profile) EventTokens() float64 { return min(p.eventTokens.at(constant), p.maxEventTokens.min) }
 
 // TokenTime returns the usual time of a decode step, which produces one token.
--- a/internal/profile/profile_test.go
+++ b/internal/profile/profile_test.go
@@ -103,7 +103,7 @@
 // inMS returns a duration in milliseconds.
 func inMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// percentile returns the value that the given fraction of the values does not exceed.
+// percentile returns the value that a given fraction of the values, share, does not exceed.
 func percentile(values []float64, share float64) float64 {
 	values = slices.Sorted(slices.Values(values))
 	return values[int(share*float64(len(values)-1))]
