--- a/internal/fair/fair.go
+++ b/internal/fair/fair.go
@@ -37,7 +37,7 @@
 	// largestShare is the fraction of the recent requests that are larger than the smallest request
 	// of LargestTenth.
 	largestShare = 0.1
-	upperShare   = 0.3 // fraction that are larger than the smallest request of NextFifth
+	upperShare   = 0.3 // fraction of the recent requests that are larger than the smallest of NextFifth
 	// decayRequests is the number of calls of Count for a route over which the route's counts of
 	// requests and admissions decay by a factor of e.
 	decayRequests = 512
--- a/internal/place/ticket.go
+++ b/internal/place/ticket.go
@@ -99,7 +99,7 @@
 // The delay before an unreachable target is tried again is firstRetryDelay after the first failure
 // and doubles with each further one, at most maxRetryDoublings times and up to maxRetryDelay.
 const (
-	firstRetryDelay   = 300 * time.Millisecond // delay after the first failure
+	firstRetryDelay   = 300 * time.Millisecond // delay before the next try after the first failure
 	maxRetryDelay     = 3 * time.Second        // upper bound of the delay
 	maxRetryDoublings = 4                      // maximum number of times that the delay doubles
 )
--- a/internal/profile/profile.go
+++ b/internal/profile/profile.go
@@ -30,7 +30,7 @@
 	// another engine has prefilled, counted from sending it the prompt and without the transfer of
 	// the KV cache.
 	priorHandoffMS  = 5
-	priorTransferMS = 0.5 // what the transfer of the KV cache adds for each 1,000 tokens
+	priorTransferMS = 0.5 // additional time to transfer the KV cache of 1,000 tokens
 	// priorEventMS is the time between two events of a stream.
 	priorEventMS = 30
 	// priorEventTokens is the number of tokens in one event.
