--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -164,6 +164,7 @@
 // processClock is the clock of this process. Tests replace it.
 var processClock atomic.Pointer[steady]
 
+// init sets processClock to a clock that reads the real clocks.
 func init() { processClock.Store(newSteady(sources{read: readClocks, boot: Boot})) }
 
 // Now returns the wall-clock time at which the process started plus the time since, suspended
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -100,12 +100,14 @@
 	}
 }
 
+// BenchmarkNow measures clock.Now, which requests call a dozen times or more.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		clock.Now()
 	}
 }
 
+// BenchmarkTimeNow measures time.Now, for comparison with BenchmarkNow.
 func BenchmarkTimeNow(b *testing.B) {
 	for b.Loop() {
 		time.Now()
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -15,8 +15,8 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// gapSamples determines the moving average of the time between reports: each new value has a weight
-// of 1/gapSamples.
+// gapSamples sets the weight of a new value, 1/gapSamples, in the moving average of the time
+// between two reports.
 const gapSamples = 8
 
 // maxDatagram is the maximum size of a datagram in bytes. It is below the limit of UDP.
@@ -26,8 +26,8 @@
 type sender struct {
 	// number is the number of the last report that was sent.
 	number uint64
-	// last is the encoding of that report without the fields that due ignores, and lastAt is when
-	// the report was sent.
+	// last is the encoding of the last report without the fields that due does not compare, and
+	// lastAt is when that report was sent.
 	last   string
 	lastAt time.Time
 }
@@ -87,7 +87,8 @@
 	}
 }
 
-// sendOwnReport sends this VM's report to the VMs that reportAddrs returns for heartbeat.
+// sendOwnReport sends r, this VM's report, to the VMs that reportAddrs(heartbeat) returns.
+// heartbeat is true once per heartbeatInterval.
 func (p *Peers) sendOwnReport(r *report, heartbeat bool) {
 	p.mu.Lock()
 	p.recordSent(decodeWork(r.Work))
@@ -95,8 +96,8 @@
 	p.sendTo(datagram{Report: r}, p.reportAddrs(heartbeat))
 }
 
-// ownReport returns this VM's report, without a number. It takes the send records since the
-// last report from the placer.
+// ownReport returns this VM's report. The report has no number until due assigns one. ownReport
+// takes the send records since the last report from the placer.
 func (p *Peers) ownReport() *report {
 	r := &report{
 		From: p.self, Incarnation: p.incarnation, Work: encodeWork(p.placer.Own()),
--- a/internal/peers/fan.go
+++ b/internal/peers/fan.go
@@ -178,8 +178,8 @@
 }
 
 // inSums returns whether the work of s is included in p.sums. A digest already contains the work of
-// all reports and summaries, so the sums contain either digests or the others. The caller must hold
-// p.mu.
+// all reports and summaries, so p.sums contains either the work of digests or the work of reports
+// and summaries. The caller must hold p.mu.
 func (p *Peers) inSums(s *receivedReport) bool { return s.digest == p.usesDigests }
 
 // recordRelay records that the sender of a digest, the relay, is live. The caller must hold p.mu.
--- a/internal/peers/fan_test.go
+++ b/internal/peers/fan_test.go
@@ -24,7 +24,8 @@
 // report.
 const settleTime = 1300 * time.Millisecond
 
-// countSentinels returns the number of VMs that consider themselves sentinels.
+// countSentinels returns the number of VMs that consider themselves sentinels, that is, VMs that
+// watch the store on behalf of the others.
 func countSentinels(vms []*vm) (n int) {
 	for _, v := range vms {
 		if v.peers.Sentinel() {
@@ -133,6 +134,7 @@
 	limit int
 }
 
+// List returns the first limit records that the underlying table lists.
 func (s truncatedTable) List(ctx context.Context, prefix string) ([]store.Record, error) {
 	records, err := s.Table.List(ctx, prefix)
 	return records[:min(s.limit, len(records))], err
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -27,7 +27,8 @@
 	firstReadDelay     = 3 * time.Second
 	memberReadInterval = 30 * time.Second
 	// memberReadIntervalPerVM times the number of VMs in the group is the time between later reads
-	// in a large group: all VMs together read the records about once in memberReadIntervalPerVM.
+	// in a large group, so that all VMs together read the records about once in
+	// memberReadIntervalPerVM.
 	memberReadIntervalPerVM = time.Second
 )
 
@@ -52,8 +53,9 @@
 	}
 }
 
-// join writes this VM's record unless it already exists, and reads the member records after that:
-// if two VMs register at the same time, at least one of them sees the other.
+// join writes this VM's record unless it already exists, and then reads the member records. Because
+// each VM writes before it reads, at least one of two VMs that register at the same time sees the
+// other.
 func (p *Peers) join(ctx context.Context) {
 	if p.firstStart {
 		kernel.Sleep(ctx, rand.N(registerSpread))
--- a/internal/peers/news.go
+++ b/internal/peers/news.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// changeGrace is how long compareVersions waits for a row version that another VM has
-	// reported: this VM's own call or a sentinel's datagram may be about to deliver it.
+	// changeGrace is how long compareVersions waits for a row version that another VM has reported,
+	// because this VM's own call or a sentinel's datagram may be about to deliver it.
 	changeGrace = 600 * time.Millisecond
 	// forwardMinVMs is the minimum group size in which sentinels forward the changes that they
 	// read, so that the other VMs do not poll the store for them. In smaller groups, the calls
@@ -65,8 +65,8 @@
 }
 
 // startGrace starts the grace period of the followed table with index i, for which compareVersions
-// waits for a newer version. It returns false if a grace period of the table is running already:
-// many reports a second state the same version.
+// waits for a newer version. It returns false if a grace period of the table is running already,
+// because many reports a second state the same version.
 func (p *Peers) startGrace(i int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -83,7 +83,8 @@
 	// unknown.
 	ReadStoreTime() time.Duration
 	// ObservePeer records that another VM's copy, whose highest row version is version, held all
-	// rows of the store at asOf, when the store's clock read storeTime; 0 means unknown.
+	// rows of the store at asOf, when the store's clock read storeTime. A storeTime of 0 means
+	// unknown.
 	ObservePeer(version uint64, asOf time.Time, storeTime time.Duration)
 	// NotifyNewer tells the copy that other VMs have read a row of the given version, so that it
 	// reads the row too.
@@ -133,8 +134,8 @@
 	// maxKnownVMs is the highest KnownVMs of any report.
 	maxKnownVMs int
 	// vmReports holds the last report of each VM of this data centre, and dataCentreReports the
-	// last summary of each other data centre. The entry of this data centre is the relay's
-	// digest.
+	// last summary of each other data centre. The entry of this data centre in dataCentreReports is
+	// the digest of its relay.
 	vmReports         map[string]*receivedReport
 	dataCentreReports map[string]*receivedReport
 	// sums is the total work of all other VMs at each target. Each report that arrives updates it,
@@ -184,7 +185,8 @@
 	storeTimesMS []uint64
 	// holdsDuties is true if the sender, or a VM of its data centre, holds the duties.
 	holdsDuties bool
-	// changing holds the engines that have been ordered to change to a stage.
+	// changing holds the engines that have been ordered to change their stage, each with its new
+	// stage.
 	changing map[string]fleet.Stage
 }
 
@@ -368,4 +370,5 @@
 	}
 }
 
+// Checks at compile time that Peers implements place.PeerWork.
 var _ place.PeerWork = (*Peers)(nil)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -26,6 +26,7 @@
 	observed    []place.SendRecord
 }
 
+// Own implements peers.Placer.
 func (p *placer) Own() map[string]place.Work {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,6 +40,7 @@
 	p.own, p.sendRecords = own, records
 }
 
+// TakeSendRecords implements peers.Placer.
 func (p *placer) TakeSendRecords() []place.SendRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,6 +49,7 @@
 	return out
 }
 
+// Observe implements peers.Placer. It adds the records to observed.
 func (p *placer) Observe(records []place.SendRecord, _ time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,9 +63,10 @@
 	return len(p.observed)
 }
 
-// orders holds the open stage changes of a VM.
+// orders is a fake Orders that holds the new stage of each engine whose change is not finished.
 type orders map[string]fleet.Stage
 
+// OpenOrders implements peers.Orders.
 func (o orders) OpenOrders() map[string]fleet.Stage { return o }
 
 // followed is a fake FollowedTable. newerCalls counts the calls of NotifyNewer, and offers those of
@@ -78,20 +82,24 @@
 	observed map[uint64]time.Time
 }
 
+// ReadAt implements peers.FollowedTable.
 func (f *followed) ReadAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.readAt
 }
 
+// setReadAt sets the time that ReadAt returns.
 func (f *followed) setReadAt(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.readAt = at
 }
 
+// ReadStoreTime implements peers.FollowedTable.
 func (f *followed) ReadStoreTime() time.Duration { return 0 }
 
+// ObservePeer implements peers.FollowedTable. It records asOf in observed.
 func (f *followed) ObservePeer(version uint64, asOf time.Time, _ time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,6 +123,7 @@
 func (f *followed) Newest() uint64     { return f.newest.Load() }
 func (f *followed) NotifyNewer(uint64) { f.newerCalls.Add(1) }
 
+// Offer implements peers.FollowedTable.
 func (f *followed) Offer(d store.Delta) {
 	f.offers.Add(1)
 	for _, r := range d.Rows.Rows {
@@ -148,7 +157,7 @@
 	return startMember(t, peers.Member{VM: name, Address: addr}, incarnation, table, o)
 }
 
-// startMember starts a VM that has ordered the stage changes o.
+// startMember starts the VM that m describes. The VM has ordered the stage changes o.
 func startMember(t *testing.T, m peers.Member, incarnation int64, table store.Table, o orders) *vm {
 	t.Helper()
 	v := &vm{placer: &placer{}, followed: &followed{}}
@@ -162,6 +171,7 @@
 	return v
 }
 
+// stop stops the VM and fails the test if that returns an error.
 func (v *vm) stop(t *testing.T) {
 	t.Helper()
 	if err := v.peers.Stop(context.Background()); err != nil {
@@ -236,8 +246,8 @@
 		func() bool { return a.peers.Work("e1").Running == 2 })
 }
 
-// When another VM reports a newer version that does not arrive here, NotifyNewer is called. It is
-// not called for every report, and not after the version has arrived.
+// When another VM reports a newer version that does not reach this VM's copy of the table,
+// NotifyNewer is called. It is not called for every report, and not after the version has arrived.
 func TestNewerVersionTriggersPoll(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxQueuedSendRecords is the length at which the queues for the next summary and digest take
-	// no more send records. It covers the send records of about half a second in the largest
-	// installations.
+	// maxQueuedSendRecords is the maximum length of each of the two queues of send records, one for
+	// the next summary and one for the next digest. It covers the send records of about half a
+	// second in the largest installations.
 	maxQueuedSendRecords = 512
 	// sentinelCount is the intended number of sentinels in all data centres together.
 	sentinelCount = 4
@@ -94,8 +94,8 @@
 	return n
 }
 
-// queueSendRecords adds send records to the next digest and, if local is true, to the next
-// summary. local means that they come from VMs of this data centre. The caller must hold p.mu.
+// queueSendRecords adds send records to the next digest and, if local is true, to the next summary.
+// local says whether the records come from VMs of this data centre. The caller must hold p.mu.
 func (p *Peers) queueSendRecords(records []sendRecord, local bool) {
 	if local && len(p.summarySendRecords) < maxQueuedSendRecords {
 		p.summarySendRecords = append(p.summarySendRecords, records...)
@@ -147,8 +147,8 @@
 	return r
 }
 
-// aggregate returns a report with the totals of own, this VM's report, and the fresh ones among
-// others. The caller must hold p.mu.
+// aggregate returns a report with the totals of this VM's report, which is own, and of those
+// reports in others that are fresh. The caller must hold p.mu.
 func (p *Peers) aggregate(own *report, others []*receivedReport) *report {
 	work := decodeWork(own.Work)
 	newest := append([]uint64(nil), own.Newest...)
@@ -184,7 +184,8 @@
 	return r
 }
 
-// latestTimes sets each element of a to the later one of a and b, and returns a.
+// latestTimes returns a after it has set each element of a to the later of that element and the
+// element of b with the same index.
 func latestTimes(a, b []time.Time) []time.Time {
 	for i := range min(len(a), len(b)) {
 		if b[i].After(a[i]) {
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -15,7 +15,8 @@
 	"garnethoist.org/garnethoist/internal/store"
 )
 
-// startIn starts a VM in a data centre. link is its bandwidth in Mbit/s.
+// startIn starts a VM in a data centre. link is the bandwidth of the VM's network link in Mbit/s,
+// and o holds the stage changes that the VM has ordered.
 func startIn(t *testing.T, dataCentre, name string, link float64, table store.Table, o orders) *vm {
 	t.Helper()
 	return startMember(t, peers.Member{VM: name, Address: address(t), DataCentre: dataCentre,
@@ -157,8 +158,9 @@
 	is.Equal(b.followed.offers.Load(), int64(0))
 }
 
-// The time at which the store confirmed to one VM that its version is the newest reaches the VMs of
-// all data centres, with the right age. The time counts for that version only.
+// When the store confirms to one VM that the VM's version of a table is the newest, the VMs of all
+// data centres learn the version and the time of the confirmation. The time is not applied to any
+// other version.
 func TestConfirmationsReachAllDataCentres(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
--- a/internal/peers/report.go
+++ b/internal/peers/report.go
@@ -26,9 +26,9 @@
 	Suspects *suspectsMessage `cbor:"4,keyasint,omitempty"`
 }
 
-// report is the work of one VM or a total: of all VMs of one data centre in a summary, of all VMs
-// of all data centres in a digest. Its CBOR keys are numbers because reports are sent often and
-// some VMs have narrow links.
+// report states the work of one VM, the total work of all VMs of one data centre (a summary), or
+// the total work of all VMs of all data centres (a digest). Its CBOR keys are numbers because
+// reports are sent often and some VMs have narrow links.
 type report struct {
 	// From is the VM that made the report.
 	From Member `cbor:"1,keyasint"`
@@ -182,7 +182,8 @@
 	// Rows are the changes after revision From, up to revision To.
 	From uint64
 	To   uint64
-	// SinceRecoveryMS is store.Delta.SinceRecovery in ms, or -1 if AfterOutage is false.
+	// SinceRecoveryMS is store.Delta.SinceRecovery in ms, or -1 if store.Delta.AfterOutage is
+	// false.
 	SinceRecoveryMS int64
 	Rows            []deltaRow
 }
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// Owns returns whether this VM is the owner of a key, by rendezvous hashing over the known VMs:
-// when a VM joins or leaves, few keys change their owner. VMs that know the same members agree on
-// the owner.
+// Owns returns whether this VM is the owner of a key, by rendezvous hashing over the known VMs, so
+// that few keys change their owner when a VM joins or leaves. VMs that know the same members agree
+// on the owner.
 func (p *Peers) Owns(key []byte) bool {
 	own := ownerWeight(p.self.VM, key)
 	p.mu.Lock()
@@ -127,7 +127,7 @@
 type suspectCrash struct {
 	_       struct{} `cbor:",toarray"`
 	RunHash uint64
-	// AgeMS is Age, and RanMS is RanFor, in ms.
+	// AgeMS and RanMS are quarantine.SnapshotCrash.Age and RanFor in ms.
 	AgeMS   int64
 	RanMS   int64
 	Cleared bool
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -19,8 +19,10 @@
 	// a target crashes later, while it runs other requests too, that says nothing about this one.
 	BlameWindow = 500 * time.Millisecond
 	// othersFactor times the delay before a trial is the time for which the VMs that do not run the
-	// trial keep a request from their targets. They may send the request after that, because the VM
-	// that runs the trial may be down, or may not receive the request.
+	// trial keep a quarantined request from their targets. A trial is an attempt to run the request
+	// by which one VM checks whether it still crashes its target. The other VMs may send the
+	// request after that, because the VM that runs the trial may be down, or may not receive the
+	// request.
 	othersFactor = 12
 	// maxBlockTime is the longest time for which a crash quarantines a request. It applies once the
 	// trials after all of trialDelays have crashed their targets too.
--- a/internal/quarantine/print_test.go
+++ b/internal/quarantine/print_test.go
@@ -52,6 +52,7 @@
 	is.True(a.Key() != b.Key())
 }
 
+// BenchmarkFingerprint measures the hash of a whole request.
 func BenchmarkFingerprint(b *testing.B) {
 	r := request()
 	r.Body = bytes.Repeat([]byte("x"), 40<<10)
@@ -60,6 +61,7 @@
 	}
 }
 
+// BenchmarkKey measures the hash of a request without the content of its body.
 func BenchmarkKey(b *testing.B) {
 	r := request()
 	r.Body = bytes.Repeat([]byte("x"), 40<<10)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -29,7 +29,8 @@
 	// mu guards the fields below.
 	mu      sync.Mutex
 	entries map[ID]*entry
-	// keyCounts is the number of entries by ID.Key, and sourceCounts that by Request.SourceKey.
+	// keyCounts holds the number of entries with each ID.Key, and sourceCounts the number of
+	// entries with each Request.SourceKey.
 	keyCounts    map[uint64]int
 	sourceCounts map[uint64]int
 	// changed holds the entries that are to be sent to other VMs.
@@ -62,8 +63,8 @@
 	return t.entries[id], id
 }
 
-// Verdict returns the verdict on a request. It is zero if the table has no entry of the request or
-// the entry has expired.
+// Verdict returns the verdict on a request. The verdict is zero if the table has no entry of the
+// request or the entry has expired.
 func (t *Table) Verdict(r *Request, now time.Time) Verdict {
 	e, _ := t.lookup(r)
 	if e == nil {
@@ -152,8 +153,9 @@
 // Size returns the number of entries.
 func (t *Table) Size() int { return int(t.size.Load()) }
 
-// getOrAdd returns the entry of id. If there is none it adds one, and evicts another if the limit
-// of the source or of the table is reached. The caller must hold t.mu.
+// getOrAdd returns the entry of id. If there is none, getOrAdd adds one. If the source already has
+// maxPerSource entries, or the table maxEntries, it evicts another entry first. The caller must
+// hold t.mu.
 func (t *Table) getOrAdd(id ID, source uint64) *entry {
 	if e := t.entries[id]; e != nil {
 		return e
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -21,7 +21,7 @@
 }
 
 // crashed records the n-th successive crash of a target that had begun to run the request, one
-// second after the previous crash.
+// second after the previous crash. It returns the results of RecordCrash.
 func crashed(table *quarantine.Table, r *quarantine.Request, n int) (quarantine.Verdict, bool) {
 	return crashedAt(table, r, fmt.Sprint("run", n), start.Add(time.Duration(n)*time.Second))
 }
--- a/internal/store/contract_test.go
+++ b/internal/store/contract_test.go
@@ -16,7 +16,7 @@
 	"garnethoist.org/garnethoist/internal/store/httpstore"
 )
 
-// platformServices is the set of services that every adapter implements.
+// platformServices is the set of platform services that every implementation under test provides.
 type platformServices interface {
 	store.Table
 	store.Objects
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -81,9 +81,9 @@
 
 // States of a VM.
 const (
-	// VMLive is a VM that is in service.
+	// VMLive is the state of a VM that is in service.
 	VMLive VMState = "live"
-	// VMLeaving is a VM that the platform is about to remove.
+	// VMLeaving is the state of a VM that the platform is about to remove.
 	VMLeaving VMState = "leaving"
 )
 
@@ -92,11 +92,11 @@
 
 // Kinds of VM.
 const (
-	// VMEntry runs an entry, which serves callers.
+	// VMEntry is the kind of a VM that runs an entry, the program that serves callers.
 	VMEntry VMKind = "entry"
-	// VMEngine runs an engine, which serves a language model.
+	// VMEngine is the kind of a VM that runs an engine, the program that serves a language model.
 	VMEngine VMKind = "engine"
-	// VMPlain runs a target of a plain service.
+	// VMPlain is the kind of a VM that runs a target of a plain service.
 	VMPlain VMKind = "plain"
 )
 
--- a/internal/watch/current.go
+++ b/internal/watch/current.go
@@ -76,7 +76,8 @@
 	t.asOfStoreTime = max(t.asOfStoreTime, storeTime)
 }
 
-// raiseAsOf advances t.asOf to asOf and closes t.confirmed, unless t.asOf is that late already.
+// raiseAsOf advances t.asOf to asOf and closes t.confirmed. It does nothing if t.asOf is not
+// earlier than asOf.
 func (t *Table) raiseAsOf(asOf time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,8 +91,8 @@
 	}
 }
 
-// Confirm requests a poll that confirms that this copy holds all rows of the store. It does so at
-// most once per pollGap. The returned channel is closed when AsOf next advances.
+// Confirm requests a poll that confirms that this copy holds all rows of the store. Such a poll is
+// requested at most once per pollGap. The returned channel is closed when AsOf next advances.
 func (t *Table) Confirm() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/watch/fleet.go
+++ b/internal/watch/fleet.go
@@ -120,9 +120,10 @@
 	return fleet.TargetChange{ID: t.ID, Target: t}, true
 }
 
-// remove removes a target whose entry has disappeared: at once, by appending to changes, which it
-// returns, or removalGrace after the end of an outage of the store, because the entry may have
-// expired only for lack of renewals. The caller must hold f.mu.
+// remove removes a target whose entry has disappeared. It normally appends the removal to changes
+// and returns the result. Until removalGrace after the end of an outage of the store, the entry may
+// have expired only for lack of renewals, so remove delays the removal to the end of that time. The
+// caller must hold f.mu.
 func (f *Fleet) remove(changes []fleet.TargetChange, id string) []fleet.TargetChange {
 	since, wasDown := f.link.SinceRecovery()
 	if !wasDown || since >= removalGrace {
--- a/internal/watch/freshness.go
+++ b/internal/watch/freshness.go
@@ -17,9 +17,9 @@
 	confirmWait = 150 * time.Millisecond
 )
 
-// Freshness tells whether this VM's copy of the configuration is recent enough to act on, and
-// whether it is recent enough to serve requests with the API keys in it, which may have been
-// removed from the configuration since.
+// Freshness tells whether this VM's copy of the configuration is recent enough to act on. It also
+// tells whether requests with the API keys in the copy may be served. The keys may have been
+// removed from the configuration since the copy was read.
 type Freshness struct {
 	config *Table
 	// maxAge is the maximum age, counted from AsOf, at which the copy counts as the newest
--- a/internal/watch/keys_test.go
+++ b/internal/watch/keys_test.go
@@ -32,7 +32,7 @@
 	return c
 }
 
-// set sets the store's clock to now.
+// set sets the store's clock to the reading now.
 func (c *timeStore) set(now time.Duration) { c.zero.Store(clock.Now().Add(-now).UnixNano()) }
 
 // now returns the reading of the store's clock.
@@ -49,8 +49,10 @@
 	return rows, nil
 }
 
+// ListRows implements store.Feed.
 func (c *timeStore) ListRows(ctx context.Context, _ string) (store.Rows, error) { return c.serve(ctx) }
 
+// Changes implements store.Feed.
 func (c *timeStore) Changes(ctx context.Context, _ string, _ uint64, _ time.Duration) (store.Rows, error) {
 	return c.serve(ctx)
 }
--- a/internal/watch/knowledge_test.go
+++ b/internal/watch/knowledge_test.go
@@ -33,8 +33,10 @@
 	return stepAt(5).rows, nil
 }
 
+// ListRows implements store.Feed.
 func (s *fakeStore) ListRows(ctx context.Context, _ string) (store.Rows, error) { return s.serve(ctx) }
 
+// Changes implements store.Feed.
 func (s *fakeStore) Changes(ctx context.Context, _ string, _ uint64, _ time.Duration) (store.Rows, error) {
 	return s.serve(ctx)
 }
@@ -121,12 +123,14 @@
 	made atomic.Int64
 }
 
+// ListRows implements store.Feed.
 func (l *delayedStore) ListRows(context.Context, string) (store.Rows, error) {
 	rows := stepAt(5).rows
 	rows.StoreTime = time.Since(l.started)
 	return rows, nil
 }
 
+// Changes implements store.Feed.
 func (l *delayedStore) Changes(context.Context, string, uint64, time.Duration) (store.Rows, error) {
 	rows := stepAt(6).rows
 	rows.StoreTime = time.Since(l.started)
--- a/internal/watch/link.go
+++ b/internal/watch/link.go
@@ -9,7 +9,7 @@
 )
 
 // Link tracks whether this VM can reach the store, from the results of the calls of all tables that
-// share it.
+// share the Link.
 type Link struct {
 	log   *telemetry.Logger
 	clock storeClock
@@ -27,8 +27,8 @@
 
 // maxRecoveryDelay is the maximum time, from the start of a failed call, for which the store is
 // assumed to have stayed unreachable. According to the user documentation, a VM must meet its
-// bounds 3 s after the last disturbance. A target whose entry has gone must not be kept beyond
-// that, and 200 ms are left for requests on their way to it.
+// bounds 3 s after the last disturbance. A target whose entry has gone must not be kept for longer
+// than these 3 s, of which 200 ms are left for requests on their way to the target.
 const maxRecoveryDelay = 3*time.Second - removalGrace - 200*time.Millisecond
 
 // NewLink returns a Link on which no call has failed yet.
@@ -36,7 +36,8 @@
 	return &Link{log: log, downSince: make(map[string]time.Time)}
 }
 
-// recordFailure records that a call for a table, begun at began, has failed.
+// recordFailure records that a call for a table has failed. The call began at began, and cause is
+// its error.
 func (l *Link) recordFailure(table string, began time.Time, cause error) {
 	l.mu.Lock()
 	if began.After(l.failedAt) {
--- a/internal/watch/offer.go
+++ b/internal/watch/offer.go
@@ -46,7 +46,8 @@
 }
 
 // applyAllForwarded applies the forwarded changes that arrived while this VM made a call. Sentinels
-// use them too: if their own calls fail, other VMs may still be reachable.
+// apply forwarded changes too, because they may still receive them from other VMs when their own
+// calls fail.
 func (t *Table) applyAllForwarded() {
 	for t.listed {
 		select {
@@ -59,7 +60,8 @@
 }
 
 // applyForwarded applies forwarded changes unless this copy has them already. If changes between
-// its revision and the first forwarded one may be missing, it requests a poll instead.
+// the revision of the copy and the first forwarded change may be missing, applyForwarded requests a
+// poll instead.
 func (t *Table) applyForwarded(d store.Delta) {
 	switch {
 	case d.Rows.Revision <= t.revision:
@@ -80,7 +82,7 @@
 }
 
 // publish forwards changes to other VMs if this VM is a sentinel. from is the revision of the last
-// change before them.
+// change before these.
 func (t *Table) publish(from uint64, rows store.Rows) {
 	d := store.Delta{From: from, Rows: rows}
 	d.SinceRecovery, d.AfterOutage = t.link.SinceRecovery()
--- a/internal/watch/offer_test.go
+++ b/internal/watch/offer_test.go
@@ -23,12 +23,14 @@
 	published []store.Delta
 }
 
+// Joined implements watch.Group.
 func (*largeGroup) Joined() <-chan struct{} { return joined }
 
 func (g *largeGroup) Sentinel() bool        { return g.sentinel.Load() }
 func (g *largeGroup) Size() int             { return 1 }
 func (g *largeGroup) ForwardsChanges() bool { return true }
 
+// Publish implements watch.Group. It records the changes in published.
 func (g *largeGroup) Publish(_ string, d store.Delta) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -41,6 +43,7 @@
 	revisions []uint64
 }
 
+// apply records the revision of the rows. It is the apply argument of watch.NewTable.
 func (a *recorder) apply(rows store.Rows, _ bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -180,6 +183,7 @@
 	takes time.Duration
 }
 
+// Changes implements store.Feed.
 func (n *slowFeed) Changes(ctx context.Context, table string, after uint64,
 	wait time.Duration) (store.Rows, error) {
 	select {
@@ -209,8 +213,10 @@
 // Changes.
 type lagStore struct{ calls atomic.Int64 }
 
+// ListRows implements store.Feed.
 func (b *lagStore) ListRows(context.Context, string) (store.Rows, error) { return stepAt(5).rows, nil }
 
+// Changes implements store.Feed.
 func (b *lagStore) Changes(context.Context, string, uint64, time.Duration) (store.Rows, error) {
 	b.calls.Add(1)
 	return store.Rows{Revision: 5}, nil
--- a/internal/watch/storeclock.go
+++ b/internal/watch/storeclock.go
@@ -11,8 +11,8 @@
 const windowLength = 5 * time.Minute
 
 // storeClock maps readings of the store's clock to local times. The time at which a response
-// arrives does not tell when the store made it: it may be delayed for seconds, in the network or
-// while this process is stopped.
+// arrives does not tell when the store made the response, because the response may be delayed for
+// seconds, in the network or while this process is stopped.
 type storeClock struct {
 	mu sync.Mutex
 	// zero is the estimated local time at which the store's clock was zero. It is too late by the
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -27,7 +27,8 @@
 	// call timeout after sentinelWait, so sentinelWait limits how long the end of a network outage
 	// can go unnoticed.
 	sentinelWait = 2 * time.Second
-	// followerWait is the long-poll timeout of other VMs, which sentinels inform of changes.
+	// followerWait is the long-poll timeout of VMs that are not sentinels. Sentinels inform them of
+	// changes.
 	followerWait = 20 * time.Second
 	// pollWait is the timeout of a poll, a call that does not wait for changes. Idle VMs poll
 	// only for what they have missed. Any VM polls after a failed call: in a long poll, a
@@ -38,7 +39,8 @@
 	// one VM, up to maxCallGap. Changes in quick succession are read in one call, and the number
 	// of calls of all VMs together does not grow with the group.
 	callGapPerVM = 6 * time.Millisecond
-	// maxCallGap limits that time, so that changes are read well within the two seconds allowed.
+	// maxCallGap is the upper limit of the minimum time between two calls of one VM, so that
+	// changes are read well within the two seconds allowed.
 	maxCallGap = 400 * time.Millisecond
 	// pollGap is the minimum time between two polls for newer rows of other VMs, and between two
 	// polls for callers of Confirm. Versions in quick succession are read in one call. Including
@@ -71,9 +73,9 @@
 	group Group
 
 	// revision is the newest applied revision of the store. lastChange is the revision at which the
-	// table last changed or was read whole; no row has changed between the two. listed is true once
-	// the whole table has been read. It becomes false when the store no longer keeps the changes
-	// since revision. Only followLoop uses these fields.
+	// table last changed or was read whole. No row has changed between lastChange and revision.
+	// listed is true once the whole table has been read. It becomes false when the store no longer
+	// keeps the changes since revision. Only followLoop uses these fields.
 	revision   uint64
 	lastChange uint64
 	listed     bool
@@ -265,7 +267,7 @@
 
 // awaitGroup waits until the members of the group are known, but not longer than joinWait. Until
 // then every VM takes itself for a sentinel, and all would watch the store. After joinWait the VM
-// does so without knowing the other members.
+// starts to watch the store without knowing the other members.
 func (t *Table) awaitGroup(ctx context.Context) {
 	timer := time.NewTimer(joinWait)
 	defer timer.Stop()
@@ -391,8 +393,8 @@
 	return nil
 }
 
-// recordResponse records the time as of which a response that has been applied was current. began
-// is when its call began.
+// recordResponse records the time at which the store made a response that has been applied: this
+// copy held all rows of the store at that time. began is when the call began.
 func (t *Table) recordResponse(rows store.Rows, began time.Time) {
 	at := began
 	if rows.StoreTime > 0 {
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -48,8 +48,10 @@
 	return s.rows, s.err
 }
 
+// ListRows implements store.Feed.
 func (f *feed) ListRows(context.Context, string) (store.Rows, error) { return f.next("list") }
 
+// Changes implements store.Feed.
 func (f *feed) Changes(_ context.Context, _ string, _ uint64, wait time.Duration) (store.Rows, error) {
 	f.mu.Lock()
 	f.waits = append(f.waits, wait)
@@ -75,7 +77,8 @@
 	t.Fatal("condition not met within 5 s")
 }
 
-// joined is a closed channel: the members of the group are known.
+// joined is the channel that the fake groups return from Joined. It is closed, which means that the
+// members of the group are known.
 var joined = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
@@ -85,15 +88,17 @@
 // soloGroup is a group of one VM.
 type soloGroup struct{}
 
+// Joined implements watch.Group.
 func (soloGroup) Joined() <-chan struct{} { return joined }
 
 func (soloGroup) Sentinel() bool        { return true }
 func (soloGroup) Size() int             { return 1 }
 func (soloGroup) ForwardsChanges() bool { return false }
 
+// Publish implements watch.Group. It does nothing.
 func (soloGroup) Publish(string, store.Delta) {}
 
-// row returns a row with an empty JSON object.
+// row returns a row with the given key whose value is an empty JSON object.
 func row(key string) store.Row { return store.Row{Key: key, Value: []byte(`{}`)} }
 
 // follow runs a table through the steps. It returns the rows that the table applied, whether they
@@ -267,10 +272,12 @@
 	began atomic.Pointer[time.Time]
 }
 
+// ListRows implements store.Feed.
 func (s *failingStore) ListRows(context.Context, string) (store.Rows, error) {
 	return store.Rows{Rows: []store.Row{row("i-a"), row("i-b")}, Revision: 1}, nil
 }
 
+// Changes implements store.Feed.
 func (s *failingStore) Changes(ctx context.Context, _ string, after uint64,
 	_ time.Duration) (store.Rows, error) {
 	now := time.Now()
