--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -80,8 +80,8 @@
 // and last in each later one, so that the computed suspended time is never too short. It is too
 // long by the time between the readings.
 const (
-	// If the time between the two readings is maxReadingGap or longer, both clocks are read again,
-	// up to maxReadings times in all.
+	// maxReadingGap is the time between the readings of the two clocks from which both clocks are
+	// read again. maxReadings is how often they are read at most.
 	maxReadingGap = time.Millisecond
 	maxReadings   = 5
 )
--- a/internal/clock/simulate.go
+++ b/internal/clock/simulate.go
@@ -7,7 +7,7 @@
 
 // Simulated is a clock for tests. Its machine can be suspended, and its wall clock can be set.
 type Simulated struct {
-	// suspended is the total time for which Suspend was called, and wallOffset the sum of the
+	// suspended is the sum of the durations passed to Suspend, and wallOffset the sum of the
 	// adjustments of the wall clock, both in ns.
 	suspended  atomic.Int64
 	wallOffset atomic.Int64
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -88,7 +88,7 @@
 }
 
 // sendOwnReport sends r, this VM's report, to the VMs that reportAddrs(heartbeat) returns.
-// heartbeat is true once per heartbeatInterval.
+// heartbeat is true at most once per heartbeatInterval.
 func (p *Peers) sendOwnReport(r *report, heartbeat bool) {
 	p.mu.Lock()
 	p.recordSent(decodeWork(r.Work))
--- a/internal/peers/fan_test.go
+++ b/internal/peers/fan_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// largeVMs is the number of VMs in a data centre large enough for digests, and fastVMs the
-	// number of those whose link is fast enough to send them.
+	// largeVMs is the number of VMs in the data centre that is large enough for digests. fastVMs is
+	// the number of those VMs whose link is fast enough to send digests.
 	largeVMs = 34
 	fastVMs  = 3
 )
@@ -24,8 +24,8 @@
 // report.
 const settleTime = 1300 * time.Millisecond
 
-// countSentinels returns the number of VMs that consider themselves sentinels, that is, VMs that
-// watch the store on behalf of the others.
+// countSentinels returns the number of VMs that consider themselves sentinels, the few VMs that
+// read changes from the store promptly.
 func countSentinels(vms []*vm) (n int) {
 	for _, v := range vms {
 		if v.peers.Sentinel() {
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -23,7 +23,7 @@
 	registerSpread = 2 * time.Second
 	// firstReadDelay is the time after registration at which a VM reads the member records again,
 	// because other VMs may have started at the same time. memberReadInterval is the minimum time
-	// between later reads. It is long, because a new VM announces itself to all members.
+	// between later reads. That time is long, because a new VM announces itself to all members.
 	firstReadDelay     = 3 * time.Second
 	memberReadInterval = 30 * time.Second
 	// memberReadIntervalPerVM times the number of VMs in the group is the time between later reads
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -228,7 +228,7 @@
 }
 
 // Reports of a restarted VM are accepted even if its wall clock, and thus its incarnation, has gone
-// back. They are then ignored only until the last report of the previous process is older than
+// back. They are ignored only until the last report of the previous process is older than
 // maxReportAge.
 func TestReportsOfARestartedVMAreAccepted(t *testing.T) {
 	table := store.NewMemory()
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -159,8 +159,8 @@
 }
 
 // When the store confirms to one VM that the VM's version of a table is the newest, the VMs of all
-// data centres learn the version and the time of the confirmation. The time is not applied to any
-// other version.
+// data centres learn the version and the right time of the confirmation. The time is not applied to
+// any other version.
 func TestConfirmationsReachAllDataCentres(t *testing.T) {
 	is := is.New(t)
 	table := store.NewMemory()
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -14,10 +14,12 @@
 	// suspectsPerDatagram is the maximum number of suspects in one datagram. It keeps datagrams
 	// well below maxDatagram, with about 60 bytes for each crash of a suspect.
 	suspectsPerDatagram = 150
-	// Every resendInterval, the resendCount most severe suspects are sent again to resendVMs random
-	// VMs, because datagrams get lost and VMs start later, or were cut off, frozen or suspended
-	// when a suspect was first sent. Each VM receives three such datagrams a second on average,
-	// whatever the size of the group, so that one VM in eight thousand receives none for 3 s.
+	// resendCount is the number of suspects, the most severe ones, that each VM sends again.
+	// resendInterval is the time between these datagrams. resendVMs is the number of random VMs
+	// that receive each of them. Suspects are sent again because a datagram may have been lost, or
+	// a VM may have started later or been cut off, frozen or suspended when a suspect was first
+	// sent. Each VM receives three such datagrams a second on average, whatever the size of the
+	// group, so that one VM in eight thousand receives none for 3 s.
 	resendCount    = suspectsPerDatagram
 	resendInterval = time.Second
 	resendVMs      = 3
--- a/internal/peers/suspects_test.go
+++ b/internal/peers/suspects_test.go
@@ -33,7 +33,7 @@
 // Top implements peers.Suspects.
 func (v *suspectVM) Top(n int, now time.Time) []quarantine.Snapshot { return v.known.Top(n, now) }
 
-// startWithSuspects starts a VM that exchanges the suspects of its own quarantine table.
+// startWithSuspects starts a VM at addr that exchanges the suspects of its own quarantine table.
 func startWithSuspects(t *testing.T, dataCentre, name, addr string, table store.Table) *suspectVM {
 	t.Helper()
 	v := &suspectVM{vm: &vm{placer: &placer{}, followed: &followed{}}, known: quarantine.NewTable()}
@@ -53,7 +53,7 @@
 	return v
 }
 
-// quarantines returns whether the VM keeps r from all targets.
+// quarantines returns whether the VM quarantines r, that is, sends it to no target.
 func (v *suspectVM) quarantines(r quarantine.Request) bool {
 	return v.known.Verdict(&r, time.Now()).Quarantined(time.Now(), false)
 }
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// suspectCrashes is the minimum number of crashes of a suspect, and quarantineCrashes that of a
-	// request that is quarantined, that is, kept from all targets for a time. If two crashes were
-	// enough, a request that twice happened to run on the same target as another request, which is
-	// at fault, would be refused.
+	// suspectCrashes is the number of crashes from which a request is a suspect. quarantineCrashes
+	// is the number of crashes from which a request is quarantined, that is, kept from all targets
+	// for a time. If two crashes were enough, a request that twice happened to run on the same
+	// target as another request, which is at fault, would be refused.
 	suspectCrashes    = 2
 	quarantineCrashes = 3
 	// BlameWindow is the time after the first event of a request's answer within which a crash of
@@ -20,9 +20,9 @@
 	BlameWindow = 500 * time.Millisecond
 	// othersFactor times the delay before a trial is the time for which the VMs that do not run the
 	// trial keep a quarantined request from their targets. A trial is an attempt to run the request
-	// by which one VM checks whether it still crashes its target. The other VMs may send the
-	// request after that, because the VM that runs the trial may be down, or may not receive the
-	// request.
+	// by which one VM checks whether the request still crashes its target. The other VMs may send
+	// the request after that time, because the VM that runs the trial may be down, or may not
+	// receive the request.
 	othersFactor = 12
 	// maxBlockTime is the longest time for which a crash quarantines a request. It applies once the
 	// trials after all of trialDelays have crashed their targets too.
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -173,8 +173,9 @@
 	return err
 }
 
-// maxDeletes is the number of records deleted in one transaction, because the store accepts at most
-// 100 entries in a transaction. The remaining records are deleted when a VM next starts.
+// maxDeletes is the maximum number of records that load deletes. It deletes them in one
+// transaction, and the store accepts at most 100 entries in a transaction. The remaining records
+// are deleted when a VM next starts.
 const maxDeletes = 100
 
 // record is the stored form of the Snapshot of a quarantined request. It holds Unix times instead
--- a/internal/quarantine/print.go
+++ b/internal/quarantine/print.go
@@ -63,7 +63,7 @@
 // ID returns the request's ID. It hashes the whole body.
 func (r *Request) ID() ID { return ID{Key: r.Key(), Fingerprint: r.Fingerprint()} }
 
-// SourceKey returns the hash of Source by which the table counts a source's entries.
+// SourceKey returns the hash of Source. The table counts the entries with the same hash.
 func (r *Request) SourceKey() uint64 {
 	h := fnv.New64a()
 	writeString(h, r.Source)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// maxEntries is the maximum number of entries, of about 300 bytes each, and maxPerSource that
-	// of one source. One crash of a target adds up to a hundred entries, one for each request that
-	// the target had begun to run.
+	// maxEntries is the maximum number of entries, of about 300 bytes each. maxPerSource is the
+	// maximum number of entries whose requests have the same Request.Source, which is the client
+	// account or the caller's address. One crash of a target adds up to a hundred entries, one for
+	// each request that the target had begun to run.
 	maxEntries   = 8192
 	maxPerSource = 1024
 	// maxChanged is the maximum number of entries that wait to be sent to other VMs.
@@ -175,8 +176,8 @@
 }
 
 // evict removes the least severe entry of a source, see compareSeverity, that has no trial in
-// progress. Entries of other sources stay, so that no caller can displace another's entries. The
-// caller must hold t.mu.
+// progress. A source is a hash of Request.Source. Entries of other sources stay, so that no caller
+// can displace another's entries. The caller must hold t.mu.
 func (t *Table) evict(source uint64) {
 	var least *entry
 	for _, e := range t.entries {
@@ -189,7 +190,8 @@
 	}
 }
 
-// largestSource returns the source with the most entries. The caller must hold t.mu.
+// largestSource returns the hash of the Request.Source with the most entries. The caller must hold
+// t.mu.
 func (t *Table) largestSource() uint64 {
 	var largest uint64
 	most := 0
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -41,8 +41,8 @@
 	// AfterOutage is true if the store has ever been unreachable for the forwarding VM.
 	AfterOutage bool
 	// SinceRecovery is the time for which, as far as the forwarding VM knows, the store had been
-	// reachable again when that VM read the changes. It is 0 if the store is not known to have been
-	// reachable before that, and is set only if AfterOutage is true.
+	// reachable again when that VM read the changes. SinceRecovery is 0 if the store is not known
+	// to have been reachable before that read, and is set only if AfterOutage is true.
 	SinceRecovery time.Duration
 }
 
@@ -50,8 +50,8 @@
 type Feed interface {
 	// ListRows returns all rows of a table.
 	ListRows(ctx context.Context, table string) (Rows, error)
-	// Changes returns the changes to a table after revision after. If there are none yet, it waits
-	// for the first one, and returns no rows if none is made within wait. It fails with
-	// ErrHistoryGone if the store no longer keeps these changes.
+	// Changes returns the changes to a table after revision after. If there are none yet, Changes
+	// waits for the first change, and returns no rows if there is no change within wait. It fails
+	// with ErrHistoryGone if the store no longer keeps these changes.
 	Changes(ctx context.Context, table string, after uint64, wait time.Duration) (Rows, error)
 }
--- a/internal/watch/freshness.go
+++ b/internal/watch/freshness.go
@@ -38,7 +38,7 @@
 
 const (
 	// inFlightShare is the fraction of the time given to SetRevokeBound that is reserved for
-	// requests which this VM has already sent on.
+	// requests which this VM has already sent to a target when a key is removed.
 	inFlightShare = 0.05
 	// keysPollShare is the fraction of keysMaxAge after which the store is polled. That is longer
 	// than the time between the sentinels' calls, so that a VM that receives their reports makes
@@ -54,8 +54,8 @@
 
 // KeysCurrent returns whether the copy was confirmed to be the newest configuration at most
 // keysMaxAge ago, so that requests with the API keys in it may be served. If the last confirmation
-// is older than keysPollShare of keysMaxAge, it requests a poll of the store, but does not wait for
-// it.
+// is older than keysPollShare of keysMaxAge, KeysCurrent requests a poll of the store, but does not
+// wait for the poll.
 func (f *Freshness) KeysCurrent() bool {
 	if f.keysMaxAge == 0 {
 		return true
@@ -68,9 +68,9 @@
 }
 
 // Confirmed returns whether the copy is the newest configuration, apart from changes so recent that
-// they need not have taken effect yet. If it has not been confirmed recently, Confirmed requests a
-// poll of the store and waits for it for at most confirmWait. A view of the fleet that is read
-// after Confirmed contains the confirmed configuration.
+// they need not have taken effect yet. If the copy has not been confirmed recently, Confirmed
+// requests a poll of the store and waits for it for at most confirmWait. A view of the fleet that
+// is read after Confirmed contains the confirmed configuration.
 func (f *Freshness) Confirmed(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, confirmWait)
 	defer cancel()
@@ -89,6 +89,6 @@
 
 // Behind returns whether other VMs, which can reach the store, have read a configuration that this
 // VM lacks and that must have taken effect by now. Callers are then better served by those VMs.
-// While no VM can reach the store, none is behind, and all keep serving with the configuration that
-// they have.
+// While no VM can reach the store, no VM is behind, and all VMs keep serving with the configuration
+// that they have.
 func (f *Freshness) Behind() bool { return f.config.behind(f.maxAge) }
--- a/internal/watch/keys_test.go
+++ b/internal/watch/keys_test.go
@@ -74,8 +74,9 @@
 	return config, fresh, c, sim
 }
 
-// A VM that can no longer reach the store serves keys until it may have missed a removal, or for
-// longer if a VM that reaches the store reports that this VM's configuration is the newest.
+// A VM that can no longer reach the store serves requests with the API keys that it knows until it
+// may have missed the removal of a key. It serves them for longer if a VM that reaches the store
+// reports that this VM's configuration is the newest.
 func TestOtherVMsConfirmKeys(t *testing.T) {
 	is := is.New(t)
 	config, fresh, c, sim := startCutOff(t)
--- a/internal/watch/knowledge_test.go
+++ b/internal/watch/knowledge_test.go
@@ -51,8 +51,9 @@
 	return config, watch.NewFreshness(config, bound), f
 }
 
-// The store confirms an old copy. One call serves all requests that follow in succession. While the
-// store is unreachable, the copy is not confirmed.
+// If a copy was last confirmed long ago, a request makes one call to the store, which confirms the
+// copy. Requests that follow in quick succession need no further call. While the store is
+// unreachable, the copy is not confirmed.
 func TestStoreConfirmsOldCopy(t *testing.T) {
 	is := is.New(t)
 	_, fresh, f := startIdle(t)
@@ -68,7 +69,8 @@
 	is.True(!fresh.Confirmed(context.Background()))
 }
 
-// Reports of other VMs confirm an old copy without a call, if the copy has reached their version.
+// Reports of other VMs confirm a copy that was last confirmed long ago, without a call to the
+// store, if the copy has reached their version.
 func TestOtherVMsConfirmOldCopy(t *testing.T) {
 	is := is.New(t)
 	config, fresh, f := startIdle(t)
@@ -100,8 +102,8 @@
 	is.True(!fresh.Behind())
 }
 
-// A VM with an old copy is not behind at once when it first learns of a newer version: the VM has
-// as much time to read that version as any other VM.
+// A VM whose copy was last confirmed long ago is not behind at once when it first learns of a newer
+// version: the VM has as much time to read that version as any other VM.
 func TestVMIsNotBehindAtTheFirstReport(t *testing.T) {
 	is := is.New(t)
 	config, fresh, f := startIdle(t)
@@ -119,7 +121,8 @@
 	// started is when the store's clock was zero.
 	started time.Time
 	delay   time.Duration
-	// made is the store's clock reading when the last such response was made, in ns.
+	// made is the store's clock reading when the store made its last response to a call of Changes,
+	// in ns.
 	made atomic.Int64
 }
 
@@ -153,8 +156,9 @@
 	is.True(time.Since(table.AsOf()) >= f.delay-50*time.Millisecond)
 }
 
-// The time that is reported to other VMs comes only from the store's responses to this VM. A time
-// that VMs passed back and forth would never grow old.
+// The time that is reported to other VMs comes only from the store's responses to this VM. If VMs
+// passed on the times in each other's reports, such a time would advance at each pass and never
+// grow old.
 func TestReportedTimesAreNotReportedAgain(t *testing.T) {
 	is := is.New(t)
 	config, _, _ := startIdle(t)
--- a/internal/watch/offer.go
+++ b/internal/watch/offer.go
@@ -12,8 +12,8 @@
 	// maxForwarded is the capacity of the queue of forwarded changes.
 	maxForwarded = 32
 	// idleCheck is how often an idle VM, which does not long-poll the store, checks whether it has
-	// become a sentinel and must do so. It is shorter than the time after which a VM that sends no
-	// reports counts as failed.
+	// become a sentinel and must long-poll. idleCheck is shorter than the time after which a VM
+	// that sends no reports counts as failed.
 	idleCheck = 200 * time.Millisecond
 )
 
@@ -31,7 +31,7 @@
 // forward.
 func (t *Table) idle() bool { return !t.watchesStore() && !t.pollDue() }
 
-// waitForForwarded waits for forwarded changes and applies them. It returns early if this VM may
+// waitForForwarded waits for forwarded changes and applies them. It returns early when this VM may
 // have to call the store itself.
 func (t *Table) waitForForwarded(ctx context.Context) {
 	timer := time.NewTimer(idleCheck)
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -51,9 +51,9 @@
 	// joinWait is how long the first call waits until the members of the group are known. It
 	// exceeds the time over which the VMs of a starting group register.
 	joinWait = 3 * time.Second
-	// firstBackoff and maxBackoff are the first and the longest pause after a failed call. A
-	// process that has just lost the store retries soon, one that has retried for long does so
-	// less often.
+	// firstBackoff is the pause after the first failed call. maxBackoff is the longest pause
+	// between retries. A process that has just lost the store retries soon, and a process that has
+	// retried for long retries less often.
 	firstBackoff = 50 * time.Millisecond
 	maxBackoff   = 800 * time.Millisecond
 )
@@ -97,8 +97,8 @@
 	// cancelled in order to poll.
 	cancel      context.CancelFunc
 	interrupted bool
-	// wantedVersion is the highest version that NotifyNewer has reported. nextPoll is when the
-	// next poll for it may be made.
+	// wantedVersion is the highest version that NotifyNewer has reported. nextPoll is when the next
+	// poll for that version may be made.
 	wantedVersion uint64
 	nextPoll      time.Time
 	// asOf and readAt are the results of AsOf and ReadAt.
@@ -323,7 +323,8 @@
 
 // callStore makes one call to the store and applies the response. The call is a poll if poll is
 // true, otherwise a long poll. It reads the whole table if that has not been done yet, if the call
-// is a poll of a table with SetListOnPoll, or if the store no longer has the changes.
+// is a poll of a table with SetListOnPoll, or if the store no longer keeps the changes since the
+// last revision that was applied.
 func (t *Table) callStore(ctx context.Context, poll bool) error {
 	if !t.listed || (poll && t.listOnPoll) {
 		return t.list(ctx)
@@ -393,8 +394,9 @@
 	return nil
 }
 
-// recordResponse records the time at which the store made a response that has been applied: this
-// copy held all rows of the store at that time. began is when the call began.
+// recordResponse records that this copy, to which a response has been applied, held all rows of the
+// store when the store made the response. If the response states no clock reading, began, the start
+// time of the call, is used as that time.
 func (t *Table) recordResponse(rows store.Rows, began time.Time) {
 	at := began
 	if rows.StoreTime > 0 {
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -170,8 +170,8 @@
 	is.True(f.waits[4] > soon)
 }
 
-// If the store no longer has the changes, the table is read whole again. A stale read is not
-// applied.
+// If the store no longer has the changes, the table is read whole again. A response with an older
+// revision than the one already applied is not applied.
 func TestTableIsListedAgainWhenHistoryIsGone(t *testing.T) {
 	is := is.New(t)
 	applied, full, _ := follow(t, []step{
