--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -13,7 +13,7 @@
 )
 
 // Boot returns the reading of CLOCK_BOOTTIME, which includes the time for which the machine was
-// suspended. Its zero is arbitrary.
+// suspended. The zero of CLOCK_BOOTTIME is arbitrary.
 func Boot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -23,10 +23,10 @@
 	return time.Duration(ts.Nano())
 }
 
-// driftTolerance is the maximum change of the drift between wall clock and monotonic time that is
-// ignored. After a larger change CLOCK_BOOTTIME is read to find out whether the machine was
-// suspended. It is not read every time, because that takes a system call, and a request reads the
-// time a dozen times or more.
+// driftTolerance is the maximum change of the difference between wall clock and monotonic time that
+// is ignored. After a larger change CLOCK_BOOTTIME is read to find out whether the machine was
+// suspended. CLOCK_BOOTTIME is not read every time, because reading it takes a system call, and a
+// request reads the time a dozen times or more.
 const driftTolerance = 10 * time.Millisecond
 
 // reading is one reading of the wall clock and of Go's monotonic time, whose zero is arbitrary.
@@ -58,9 +58,9 @@
 	// CLOCK_BOOTTIME then.
 	zero     reading
 	zeroBoot time.Duration
-	// suspended is the total time suspended since then, and lastDrift the drift when suspended was
-	// last checked, both in ns. The drift is how far the wall clock has moved ahead of the
-	// monotonic time since the steady clock was made.
+	// suspended is the total time for which the machine was suspended since the steady clock was
+	// made, and lastDrift the drift when suspended was last checked, both in ns. The drift is how
+	// far the wall clock has moved ahead of the monotonic time since the steady clock was made.
 	suspended atomic.Int64
 	lastDrift atomic.Int64
 
@@ -81,7 +81,8 @@
 // long by the time between the readings.
 const (
 	// maxReadingGap is the time between the readings of the two clocks from which both clocks are
-	// read again. maxReadings is how often they are read at most.
+	// read again. maxReadings is the maximum number of times that the clocks are read for one
+	// sample.
 	maxReadingGap = time.Millisecond
 	maxReadings   = 5
 )
@@ -126,7 +127,8 @@
 }
 
 // detectSuspension checks whether the machine was suspended and, if so, updates s.suspended and
-// calls the callbacks. If it was not, the drift has changed because the wall clock was set.
+// calls the callbacks. If the machine was not suspended, the drift has changed because the wall
+// clock was set.
 func (s *steady) detectSuspension() {
 	r, boot := s.sources.sample()
 	mono, drift := s.since(r)
--- a/internal/peers/fan.go
+++ b/internal/peers/fan.go
@@ -18,8 +18,9 @@
 // without.
 
 const (
-	// digestMinVMs is the minimum number of VMs in a data centre for its relay to send digests. In
-	// smaller ones each VM receives a report of each other VM at least every 40 ms.
+	// digestMinVMs is the minimum number of VMs in a data centre for its relay to send digests,
+	// which contain the total work of all VMs. In a smaller data centre each VM receives a report
+	// of each other VM at least every 40 ms.
 	digestMinVMs = 32
 	// digestMbpsPerVM is the relay bandwidth in Mbit/s required for each VM. Half of it carries a
 	// digest of 10 KB every 80 ms.
--- a/internal/peers/fan_test.go
+++ b/internal/peers/fan_test.go
@@ -140,8 +140,8 @@
 	return records[:min(s.limit, len(records))], err
 }
 
-// A VM that knows too few members to expect digests still uses those that arrive: the relay is its
-// only source for the other VMs' work.
+// A VM that knows too few members to expect digests still uses the digests that arrive, because
+// they are its only source for the other VMs' work.
 func TestVMWithIncompleteMemberListUsesDigests(t *testing.T) {
 	table := store.NewMemory()
 	large, small := startLarge(t, table)
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -17,7 +17,8 @@
 	// the next summary and one for the next digest. It covers the send records of about half a
 	// second in the largest installations.
 	maxQueuedSendRecords = 512
-	// sentinelCount is the intended number of sentinels in all data centres together.
+	// sentinelCount is the intended number of sentinels in all data centres together. Sentinels are
+	// the VMs that read changes from the store promptly.
 	sentinelCount = 4
 	// summaryLinkShare is the fraction of the bandwidth of a relay's link that forwarding the
 	// summaries of one data centre may use.
@@ -52,7 +53,8 @@
 	return clock.Since(m.since) <= maxReportAge
 }
 
-// isRelay returns whether this VM is the relay of its data centre.
+// isRelay returns whether this VM is the relay of its data centre, which exchanges summaries with
+// the relays of the other data centres.
 func (p *Peers) isRelay() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/report.go
+++ b/internal/peers/report.go
@@ -96,7 +96,8 @@
 // maxStoreTimeMS is the largest clock reading in ms that a time.Duration can hold.
 const maxStoreTimeMS = uint64(math.MaxInt64 / int64(time.Millisecond))
 
-// sendRecord is the wire form of place.SendRecord.
+// sendRecord is the wire form of place.SendRecord. All its fields except Origin are the fields of
+// place.SendRecord with the same names.
 type sendRecord struct {
 	_        struct{} `cbor:",toarray"`
 	Target   string
@@ -109,7 +110,8 @@
 	Origin uint16
 }
 
-// workItem is the wire form of place.Work.
+// workItem is the wire form of the place.Work of one target. PrefillUS is place.Work.Prefill in µs,
+// and the fields after PrefillUS are the fields of place.Work with the same names.
 type workItem struct {
 	_         struct{} `cbor:",toarray"`
 	Target    string
@@ -174,7 +176,7 @@
 	return out
 }
 
-// tableDelta is the wire form of store.Delta.
+// tableDelta is the wire form of store.Delta, with the table that was changed.
 type tableDelta struct {
 	_ struct{} `cbor:",toarray"`
 	// TableIndex is the index of the table among the followed tables.
--- a/internal/peers/usage.go
+++ b/internal/peers/usage.go
@@ -24,7 +24,8 @@
 // (see package duty), and 0 otherwise. It must be called before Start.
 func (p *Peers) SetDutyFence(fence func() uint64) { p.dutyFence = fence }
 
-// usageQuestion is the wire form of usage.Question.
+// usageQuestion is the wire form of usage.Question. Incarnation, Revision and Number are the fields
+// of usage.Question with these names.
 type usageQuestion struct {
 	// From is the name of the VM that asks.
 	From        string `cbor:"1,keyasint"`
@@ -33,12 +34,13 @@
 	Number      uint64 `cbor:"4,keyasint"`
 }
 
-// usageReply is the wire form of usage.Reply.
+// usageReply is the wire form of usage.Reply. Incarnation, Revision, Number, More and Counts are
+// the fields of usage.Reply with these names.
 type usageReply struct {
 	// From is the name of the VM that replies.
 	From        string `cbor:"1,keyasint"`
 	Incarnation int64  `cbor:"2,keyasint"`
-	// Since is usage.Reply.From: the counts are those that have changed after this revision.
+	// Since is usage.Reply.From, the revision after which the counts have changed.
 	Since    uint64       `cbor:"3,keyasint"`
 	Revision uint64       `cbor:"4,keyasint"`
 	Number   uint64       `cbor:"5,keyasint"`
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -15,8 +15,8 @@
 	suspectCrashes    = 2
 	quarantineCrashes = 3
 	// BlameWindow is the time after the first event of a request's answer within which a crash of
-	// the target may be blamed on the request. A request that runs for longer is not at fault: when
-	// a target crashes later, while it runs other requests too, that says nothing about this one.
+	// the target may be blamed on the request. A request that has run for longer is not at fault. A
+	// later crash says nothing about the request, because the target runs other requests too.
 	BlameWindow = 500 * time.Millisecond
 	// othersFactor times the delay before a trial is the time for which the VMs that do not run the
 	// trial keep a quarantined request from their targets. A trial is an attempt to run the request
@@ -73,7 +73,8 @@
 	crashCount int
 	// lastCrash is the time of the latest crash, cleared or not.
 	lastCrash time.Time
-	// trials is the number of trials of the request that this VM has in progress.
+	// trials is the number of trials, which are attempts to run the request on a target, that this
+	// VM has in progress.
 	trials int
 }
 
@@ -117,7 +118,8 @@
 // these trials. After that there is one trial every maxBlockTime.
 var trialDelays = []time.Duration{5 * time.Second, time.Minute, 10 * time.Minute}
 
-// trialDelay returns the minimum time after the last of n crashes before the trial.
+// trialDelay returns the minimum time between the last of n crashes and the next trial, an attempt
+// by one VM to run the request.
 func trialDelay(n int) time.Duration {
 	switch i := n - quarantineCrashes; {
 	case i < 0:
@@ -187,8 +189,8 @@
 }
 
 // addCrash adds a crash of the run with the given hash, or merges it with a known crash of that
-// run: the result has the earlier times, and is cleared if either is. If there are then more than
-// maxCrashes, it drops the oldest.
+// run: the result has the earlier times, and is cleared if either crash is. If the entry has more
+// than maxCrashes crashes after that, addCrash drops the oldest.
 func (e *entry) addCrash(runHash uint64, c crash) {
 	if known, ok := e.crashes[runHash]; ok {
 		c.cleared = c.cleared || known.cleared
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -11,8 +11,8 @@
 const (
 	// maxEntries is the maximum number of entries, of about 300 bytes each. maxPerSource is the
 	// maximum number of entries whose requests have the same Request.Source, which is the client
-	// account or the caller's address. One crash of a target adds up to a hundred entries, one for
-	// each request that the target had begun to run.
+	// account or, if there is none, the caller's address. One crash of a target adds up to a
+	// hundred entries, one for each request that the target had begun to run.
 	maxEntries   = 8192
 	maxPerSource = 1024
 	// maxChanged is the maximum number of entries that wait to be sent to other VMs.
@@ -119,8 +119,8 @@
 }
 
 // RecordSuccess records that a target has run the request successfully. It clears the request's
-// known crashes, because they were not its fault. It returns whether any of them was counted until
-// now.
+// known crashes, because they were not its fault. RecordSuccess returns whether any of these
+// crashes was counted before.
 func (t *Table) RecordSuccess(r *Request) bool {
 	e, id := t.lookup(r)
 	if e == nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -47,8 +47,8 @@
 	Value []byte `json:"value"`
 }
 
-// Txn is a transaction. Either all of its conditions hold and all of its writes take effect, or
-// none does. Deletes holds the keys to delete.
+// Txn is a transaction. If all conditions hold, all of Puts and Deletes take effect. Otherwise none
+// of them does. Deletes holds the keys to delete.
 type Txn struct {
 	Conds   []Cond   `json:"conds"`
 	Puts    []Put    `json:"puts"`
--- a/internal/watch/fleet.go
+++ b/internal/watch/fleet.go
@@ -12,7 +12,7 @@
 // removalGrace is how long after an outage of the store a target is kept although its entry has
 // disappeared. Entries expire unless targets renew them, which they cannot do during an outage.
 // Live targets register again about two seconds after the store is reachable again. Requests to
-// targets that have left must stop within two seconds too, so removalGrace is a little less.
+// targets that have left must stop within two seconds, so removalGrace is a little less.
 const removalGrace = 1700 * time.Millisecond
 
 // Decoder decodes configuration rows and target rows.
@@ -91,7 +91,7 @@
 }
 
 // applyEntry returns the change for the row of one target. A row that cannot be decoded, for
-// example because another program wrote it, removes the target. It returns false if nothing
+// example because another program wrote it, removes the target. applyEntry returns false if nothing
 // changes. The caller must hold f.mu.
 func (f *Fleet) applyEntry(row store.Row) (fleet.TargetChange, bool) {
 	known := f.keeper.Target(row.Key)
--- a/internal/watch/offer_test.go
+++ b/internal/watch/offer_test.go
@@ -69,8 +69,9 @@
 // delta returns forwarded changes after revision from, with one row, written at revision to.
 func delta(from, to uint64) store.Delta { return store.Delta{From: from, Rows: stepAt(to).rows} }
 
-// startTable starts a table on a feed until the test ends, and returns the table with a recorder of
-// the revisions that the table applies. The options are called on the table before it starts.
+// startTable starts a table that follows the feed f, in the group g, until the test ends, and
+// returns the table with a recorder of the revisions that the table applies. The options are called
+// on the table before it starts.
 func startTable(t *testing.T, f store.Feed, g watch.Group,
 	options ...func(*watch.Table)) (*watch.Table, *recorder) {
 	t.Helper()
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -42,11 +42,11 @@
 	// maxCallGap is the upper limit of the minimum time between two calls of one VM, so that
 	// changes are read well within the two seconds allowed.
 	maxCallGap = 400 * time.Millisecond
-	// pollGap is the minimum time between two polls for newer rows of other VMs, and between two
-	// polls for callers of Confirm. Versions in quick succession are read in one call. Including
-	// the time for which package peers waits before it calls NotifyNewer, and a sentinel's own
-	// call gap, a change still takes less than the two seconds that the strictest installation
-	// allows.
+	// pollGap is the minimum time between two polls for newer rows that other VMs have read, and
+	// between two polls for callers of Confirm. Versions in quick succession are read in one call.
+	// Including the time for which package peers waits before it calls NotifyNewer, and a
+	// sentinel's own call gap, a change still takes less than the two seconds that the strictest
+	// installation allows.
 	pollGap = 800 * time.Millisecond
 	// joinWait is how long the first call waits until the members of the group are known. It
 	// exceeds the time over which the VMs of a starting group register.
