--- a/internal/peers/usage.go
+++ b/internal/peers/usage.go
@@ -142,6 +142,7 @@
 	return false
 }
 
+// Checks at compile time that Peers implements usage.Group and duty.Group.
 var (
 	_ usage.Group = (*Peers)(nil)
 	_ duty.Group  = (*Peers)(nil)
