--- a/internal/gateway/account.go
+++ b/internal/gateway/account.go
@@ -15,13 +15,13 @@
 }
 
 // identifyAccount looks up the client account that the request's key belongs to and fails if the
-// route requires one and there is none. A key that is unknown to the current view is looked up
-// again in the newest configuration; see confirmedByNewest.
+// route requires an account and the key belongs to none. A key that is unknown to the current view
+// is looked up again in the newest configuration; see confirmedByNewest.
 func (x *exchange) identifyAccount() error { return x.confirmedByNewest(x.identifyAccountInView) }
 
-// identifyAccountInView is identifyAccount for the configuration in x.view. Keys are accepted only
-// while this VM is known to have every revocation that must be in force by now: a VM that was
-// partitioned, frozen or suspended may have missed one.
+// identifyAccountInView is identifyAccount without the second lookup: only the configuration in
+// x.view is used. Keys are accepted only while this VM is known to have every revocation that must
+// be in force by now: a VM that was partitioned, frozen or suspended may have missed one.
 func (x *exchange) identifyAccountInView() error {
 	cfg := x.view.Config
 	if !cfg.RequiresKeys() {
--- a/internal/gateway/account_test.go
+++ b/internal/gateway/account_test.go
@@ -10,13 +10,14 @@
 	"garnethoist.org/garnethoist/internal/fleet"
 )
 
-// fakeFreshness is the ConfigFreshness of a VM that has the newest configuration. KeysCurrent
-// returns keysCurrent.
+// fakeFreshness is the ConfigFreshness of a VM that has the newest configuration. Its method
+// KeysCurrent returns the field keysCurrent.
 type fakeFreshness struct {
 	upToDate
 	keysCurrent bool
 }
 
+// KeysCurrent implements ConfigFreshness.
 func (k *fakeFreshness) KeysCurrent() bool { return k.keysCurrent }
 
 // keyedExchange returns a request with the given key, and the ConfigFreshness of its gateway. The
@@ -37,8 +38,9 @@
 	}, freshness
 }
 
-// A plain request is sent to a second target while the response of the first is overdue. Both
-// attempts look up the key, and neither may see the account missing in between.
+// A plain request is sent to a second target if the response of the first target is overdue. Both
+// attempts then look up the account of the key at the same time. Neither may find the request
+// without an account while the other attempt replaces it.
 func TestAccountLookupDuringConcurrentAttempt(t *testing.T) {
 	is := is.New(t)
 	x, _ := keyedExchange(t, "k", false)
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -6,8 +6,8 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// admission is the last admission decision for a generation request, and the choice of target that
-// it was made on.
+// admission is the last admission decision for a generation request, and the choice of target on
+// which the decision is based.
 type admission struct {
 	decision place.Decision
 	choice   place.Choice
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -9,8 +9,9 @@
 	"garnethoist.org/garnethoist/internal/place"
 )
 
-// The log line states the time that the request would wait for other work, its own prefill, the
-// wait for a seat in a batch, the reason of the verdict, and whether the caller was refused before.
+// The log line of a request states how long the request would wait for other work, how long its
+// prefill would take, how long it would wait for a place in a decode batch, the reason for the
+// verdict, and whether the caller was refused before.
 func TestAdmissionLogFields(t *testing.T) {
 	is := is.New(t)
 	a := &admission{
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -11,8 +11,9 @@
 )
 
 // admit decides whether the request is sent to the chosen target, deferred or refused. A deferred
-// request waits at this VM until it is decided on again; see waitDeferred. Requests that were sent
-// to a target before, and requests on routes without an objective, are always sent.
+// request waits at this VM, and admit is called for it again later; see waitDeferred. A request is
+// always sent if it was sent to a target before, or if its route has no objective, that is, no
+// configured time within which the response must begin.
 func (x *exchange) admit(c place.Choice) place.Decision {
 	if x.attempts.arrivals > 0 || x.mayHaveRun || x.route.Objective <= 0 {
 		return place.Decision{Verdict: place.Send}
@@ -37,10 +38,10 @@
 	return in
 }
 
-// addQueueState sets the fields of in that depend on the requests deferred on all VMs. For a new
-// request this is QueueTime, the time that all engines together need for them. For a request that
-// is deferred itself they are QueuedPrefill, the total prefill time of all these requests, and the
-// other fields by which place.Admit decides whether it is this request's turn.
+// addQueueState sets the fields of in that depend on the requests deferred on all VMs. If x is a
+// new request, the field is QueueTime: the time that all engines together need for the deferred
+// requests. If x is deferred itself, the fields are QueuedPrefill, which is the total prefill time
+// of the deferred requests, and those by which place.Admit decides whether it is the turn of x.
 func (x *exchange) addQueueState(in *place.AdmissionInput, c place.Choice) {
 	waiting := x.g.placer.DeferredWork(x.service).Prefill
 	if x.queueTicket == nil {
@@ -61,11 +62,14 @@
 // Range of the retry delay given to refused callers, in multiples of the route's objective. Callers
 // accept a delay of at most a third of their remaining time.
 const (
+	// minRetryObjectives is the shortest retry delay, in multiples of the route's objective.
 	minRetryObjectives = 1.2
+	// maxRetryObjectives is the longest retry delay, in multiples of the route's objective.
 	maxRetryObjectives = 3.0
 )
 
-// retryAfter returns a random retry delay, so that refused callers don't all come back at once.
+// retryAfter returns the delay after which a refused caller should retry. It is random, so that
+// refused callers don't all retry at once.
 func (x *exchange) retryAfter() time.Duration {
 	objectives := minRetryObjectives + (maxRetryObjectives-minRetryObjectives)*x.g.randomFloat()
 	wait := time.Duration(objectives * float64(x.route.Objective))
@@ -73,9 +77,9 @@
 }
 
 // waitEstimator estimates how long ago callers first sent a request. Each request states as its
-// timeout how long its caller still waits; the longest timeout seen on a route is taken to be the
-// one that callers state on their first try. It is safe for concurrent use; the zero value is
-// ready.
+// timeout how long its caller still waits. The longest timeout seen on a route is taken to be the
+// timeout that callers state on their first try. A waitEstimator is safe for concurrent use; the
+// zero value is ready.
 type waitEstimator struct {
 	mu             sync.Mutex
 	longestTimeout map[string]time.Duration
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -8,7 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// fakeGroup is a group of the given size, which is known once joined is closed.
+// fakeGroup is a Group of the given size. Joined returns the channel joined, which a test closes
+// when the VM is to know the other VMs.
 type fakeGroup struct {
 	size   int
 	joined chan struct{}
@@ -18,7 +19,7 @@
 func (g *fakeGroup) Owns([]byte) bool        { return true }
 func (g *fakeGroup) Joined() <-chan struct{} { return g.joined }
 
-// joinedGroup returns a group of the given size, which is already known.
+// joinedGroup returns a group of the given size whose VM already knows the other VMs.
 func joinedGroup(size int) *fakeGroup {
 	g := &fakeGroup{size: size, joined: make(chan struct{})}
 	close(g.joined)
@@ -36,8 +37,8 @@
 	return newRetryBudgets(&limits, group, firstStart, func() time.Duration { return *now })
 }
 
-// takeAll takes retries from the budget of one service until it is empty and returns how many it
-// got.
+// takeAll takes retries from the budget of one service until the budget is empty and returns the
+// number of retries taken.
 func (b *retryBudgets) takeAll() int {
 	n := 0
 	for b.forService("s").Retry(b.clock()) {
@@ -46,8 +47,9 @@
 	return n
 }
 
-// A VM that has just started knows only itself. Its share of the burst must shrink as it learns of
-// the others; otherwise VMs that start together have several times the whole burst.
+// A VM that has just started knows only itself. Its share of the burst allowance must shrink as it
+// learns of the other VMs. Otherwise VMs that start together would be allowed several times the
+// whole burst.
 func TestBurstShareFollowsGroupSize(t *testing.T) {
 	is := is.New(t)
 	var now time.Duration
@@ -75,8 +77,8 @@
 	is.Equal(b.takeAll(), 0) // it is granted once
 }
 
-// A VM that does not know the other VMs yet has no retries of the burst; otherwise it would take
-// the shares of the others too.
+// A VM that does not know the other VMs yet may not use the burst allowance. Otherwise it would
+// also use the shares of the other VMs.
 func TestVMWithUnknownGroupHasNoBurstYet(t *testing.T) {
 	is := is.New(t)
 	var now time.Duration
--- a/internal/gateway/budgets.go
+++ b/internal/gateway/budgets.go
@@ -65,9 +65,10 @@
 }
 
 // mayFill reports whether this VM may use its share of the burst allowance. A VM that does not know
-// the others yet would take the shares of the others too. A previous process on this VM may have
-// used up the share within the current window; until that has passed, only the retries that new
-// requests earn are available.
+// the other VMs yet may not, because it would also use their shares. A restarted process may not
+// during its first retry window, because the previous process on this VM may have used up the share
+// within that time. Until the share may be used, only the retries that new requests earn are
+// available.
 func (b *retryBudgets) mayFill() bool {
 	select {
 	case <-b.group.Joined():
--- a/internal/gateway/callerconn.go
+++ b/internal/gateway/callerconn.go
@@ -72,9 +72,10 @@
 	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
-// callerGone reports whether the caller has closed the connection of the request. It looks at the
-// socket because the request's context is canceled a little later; in between, a request that was
-// read long after its caller left would still be sent to a target.
+// callerGone reports whether the caller has closed the connection of the request. It checks the
+// socket, because the request's context is canceled only a little after the close. If only the
+// context were checked, a request that was read long after its caller left would still be sent to a
+// target.
 func callerGone(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return true
@@ -103,9 +104,9 @@
 	unread []byte
 
 	conns *callerConns
-	// idleElem is the connection's element in conns.idle, or nil; idleSince is when it began to
-	// wait for a request. unused is true until its first request. removed is true once it is
-	// closed. Guarded by conns.mu.
+	// idleElem is the connection's element in conns.idle, or nil. idleSince is when the connection
+	// began to wait for a request. unused is true until the first request on the connection.
+	// removed is true once the connection is closed. These four fields are guarded by conns.mu.
 	idleElem  *list.Element
 	idleSince time.Time
 	unused    bool
@@ -119,10 +120,10 @@
 }
 
 // Read implements net.Conn. While a request is in flight, net/http clears the read deadline and
-// reads a single byte to detect that the caller closes the connection. Once it has received a byte,
-// it no longer detects a close: targets would go on working for a caller that pipelined its next
-// request and left. So this read returns only when the connection is closed or maxReadAhead bytes
-// have arrived, and those bytes are kept for later reads.
+// reads a single byte to detect that the caller closes the connection. Once net/http has received
+// that byte, it no longer detects a close. Targets would then go on working for a caller that
+// pipelined its next request and left. So this read returns only when the connection is closed or
+// maxReadAhead bytes have arrived, and those bytes are kept for later reads.
 func (c *callerConn) Read(p []byte) (int, error) {
 	if len(p) == 1 && c.noReadDeadline.Load() {
 		if err := c.readAhead(p); err != nil {
@@ -141,7 +142,8 @@
 }
 
 // readAhead appends received bytes to c.unread until a read fails or maxReadAhead bytes are held.
-// The first read uses buf: usually nothing but the close follows, and no other buffer is needed.
+// The first read uses buf. Usually that read only sees the connection close, so no other buffer has
+// to be allocated.
 func (c *callerConn) readAhead(buf []byte) error {
 	for len(c.unread) < maxReadAhead {
 		n, err := c.Conn.Read(buf)
@@ -185,8 +187,8 @@
 	return pending
 }
 
-// peek returns the state of the connection without consuming data and without waiting for a read in
-// progress.
+// peek returns whether received bytes are waiting to be read (pending) and whether either side has
+// closed the connection (closed). It consumes no data and does not wait for a read in progress.
 func (c *callerConn) peek() (pending, closed bool) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -200,8 +202,9 @@
 	return pending, closed || err != nil
 }
 
-// peekSocket returns the state of a socket. It needs a poll because a peek cannot see the close
-// behind unread bytes.
+// peekSocket returns whether the socket fd has unread bytes (pending) and whether either side has
+// closed it (closed). It calls poll, because a read with MSG_PEEK does not show a close that
+// follows unread bytes.
 func peekSocket(fd int) (pending, closed bool) {
 	var b [1]byte
 	n, _, err := unix.Recvfrom(fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/internal/gateway/callerconn_test.go
+++ b/internal/gateway/callerconn_test.go
@@ -24,8 +24,8 @@
 	return newCallerListener(l, func() fleet.Limits { return fleet.Limits{} }, conns)
 }
 
-// net/http shuts down the sending side of a connection with unread bytes before it closes it, if
-// the connection has CloseWrite. Without that, the caller may lose the response.
+// Checks that callerConn has a working CloseWrite. net/http calls it before it closes a connection
+// with unread bytes. Without the call, the caller may lose the response.
 func TestCallerConnCloseWrite(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gateway/conns.go
+++ b/internal/gateway/conns.go
@@ -33,7 +33,7 @@
 	// closeIdleShare is the threshold at which idle caller connections are closed.
 	closeIdleShare = 0.75
 	// closeAfterResponseShare is the threshold at which connections are closed after their
-	// response. Few idle connections are then left to close.
+	// response. This leaves few idle connections that have to be closed.
 	closeAfterResponseShare = 0.8
 	// notReadyShare is the threshold at which the VM reports that it is not ready. The load
 	// balancer takes 2 s to react.
@@ -164,8 +164,9 @@
 }
 
 // closeIdle closes the connection that has waited longest for a request and has no unread bytes,
-// and reports whether there was one. It holds the lock over the close, so that no request on the
-// connection can be taken up meanwhile: a request that reaches the handler must get a response.
+// and reports whether there was one. It holds the lock during the close, so that no request on the
+// connection can reach the handler meanwhile. A request that reaches the handler must get a
+// response.
 func (cs *callerConns) closeIdle() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -193,8 +194,9 @@
 	cs.closeIdle()
 }
 
-// notReadyReason returns why the VM should get no new callers, or "". Between closeIdleShare and
-// notReadyShare it keeps its previous result, so that readiness does not flap.
+// notReadyReason returns why the VM should get no new callers, or "". While the number of
+// connections is between closeIdleShare and notReadyShare, the previous result is kept, so that
+// readiness does not flap.
 func (cs *callerConns) notReadyReason() string {
 	switch {
 	case cs.usedAtLeast(notReadyShare):
--- a/internal/gateway/deferral.go
+++ b/internal/gateway/deferral.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// minRecheck and maxRecheck limit the time between two checks of the engines for a deferred
+	// minRecheck is the shortest mean time between two checks of the engines for a deferred
 	// request. Other VMs report their load at most once every 10 ms.
 	minRecheck = 20 * time.Millisecond
+	// maxRecheck is the longest mean time between two checks of the engines for a deferred request.
 	maxRecheck = 100 * time.Millisecond
 )
 
--- a/internal/gateway/deferral_test.go
+++ b/internal/gateway/deferral_test.go
@@ -28,6 +28,7 @@
 	work place.Work
 }
 
+// Work implements place.PeerWork.
 func (b *busyOthers) Work(target string) place.Work {
 	if target != "d" {
 		return place.Work{}
@@ -37,16 +38,18 @@
 	return b.work
 }
 
+// set replaces the load that Work returns.
 func (b *busyOthers) set(w place.Work) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.work = w
 }
 
+// Age implements place.PeerWork. The reports of the other VMs are always new.
 func (*busyOthers) Age() time.Duration { return 0 }
 
 // lateExchange returns a request to a service that has one engine, the target "d". others reports
-// the load of other VMs on it.
+// the load of other VMs on that engine.
 func lateExchange(others place.PeerWork) *exchange {
 	k := fleet.NewKeeper()
 	k.SetConfig(fleet.NewConfig(1, nil, []*fleet.Service{{Name: "m", Engine: &fleet.EngineSpec{Slots: 8, KVTokens: 100000}}}, fleet.Limits{}))
@@ -99,7 +102,8 @@
 	is.True(waited > 800*time.Millisecond && waited < 1300*time.Millisecond)
 }
 
-// No more requests are deferred than the engines can take in time; others are refused at once.
+// No more requests are deferred than the engines can serve in time. Any further request is refused
+// at once.
 func TestFullDeferralQueueRefusesAtOnce(t *testing.T) {
 	is := is.New(t)
 	x := lateExchange(&busyOthers{work: fullWork})
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -59,9 +59,9 @@
 }
 
 // newStopCheck returns nil if the gateway is not stopping. needed is the time until the request's
-// deadline. The deadline is the only safe bound: a response takes up to six times the caller's
-// estimate, and streams that were accepted by that estimate have been cut off when the gateway
-// ended.
+// deadline. The deadline is used because no shorter bound is safe. A response takes up to six times
+// the caller's estimate, and streams that were accepted on that estimate have been cut off when the
+// gateway ended.
 func (d *drainState) newStopCheck(needed time.Duration, now time.Time) *stopCheck {
 	left, stopping := d.remaining(now)
 	if !stopping {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -148,8 +148,8 @@
 }
 
 // checkStop refuses a request that no target has run if the gateway may end before the response is
-// complete. It is called again before each attempt: reading the body or an attempt that was refused
-// may have taken long, and the gateway may have begun to stop meanwhile.
+// complete. It is called again before each attempt, because the gateway may have begun to stop
+// while the body was read or while a target refused an earlier attempt.
 func (x *exchange) checkStop() error {
 	if x.mayHaveRun {
 		return nil
@@ -185,8 +185,8 @@
 // defaultTimeout applies to routes without a timeout.
 const defaultTimeout = time.Minute
 
-// reloadView takes the newest view, so that nothing is sent to a target that has begun to leave
-// since the last one.
+// reloadView sets x.view to the newest view, so that nothing is sent to a target that has begun to
+// leave since the previous view.
 func (x *exchange) reloadView() { x.view = x.g.keeper.View() }
 
 // callerWaiting reports whether the request should still be sent to a target: the caller is
@@ -261,8 +261,8 @@
 	x.w.WriteHeader(status)
 }
 
-// endedLocally reports whether the caller left or the gateway's shutdown aborted the request. The
-// failure of an attempt then says nothing about the target.
+// endedLocally reports whether the caller left or the gateway's shutdown aborted the request. If it
+// returns true, the failure of an attempt says nothing about the target.
 func (x *exchange) endedLocally() bool {
 	return x.r.Context().Err() != nil || x.g.abortCtx.Err() != nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,15 +66,16 @@
 // ConfigFreshness reports how current this VM's copy of the configuration is. Its methods are safe
 // for concurrent use.
 type ConfigFreshness interface {
-	// Confirmed reports whether this VM has the newest configuration that must be in force; changes
-	// that need not be in force yet may be missing. A view that is read after a call that returned
-	// true contains that configuration.
+	// Confirmed reports whether this VM has every change of the configuration that must be in
+	// effect by now. A change must be in effect once settings.Node.ConfigBound has passed since it
+	// was written; newer changes may be missing. A view that is read after a call that returned
+	// true contains the changes that must be in effect.
 	Confirmed(ctx context.Context) bool
 	// KeysCurrent reports whether this VM knows of all API keys that had to be revoked by now, so
 	// that the configured keys may be accepted.
 	KeysCurrent() bool
-	// Behind reports whether other VMs know a newer configuration that must be in force and that
-	// this VM lacks.
+	// Behind reports whether this VM lacks a newer configuration that other VMs know and that must
+	// be in effect by now.
 	Behind() bool
 }
 
@@ -211,7 +212,7 @@
 }
 
 // prune closes connections to targets that are no longer listed and drops the placer's data about
-// them. If there are too many connections, it also closes those of idle callers.
+// them. If there are too many connections, prune also closes idle connections of callers.
 func (g *Gateway) prune() {
 	g.conns.makeRoom()
 	v := g.keeper.View()
--- a/internal/gateway/generate.go
+++ b/internal/gateway/generate.go
@@ -76,7 +76,7 @@
 }
 
 // generateOnce makes one attempt at a decode target, after a prefill at another target if the
-// placer chose that. The returned target is nil if there was none to choose.
+// placer chose that. The returned target is nil if no target could be chosen.
 func (x *exchange) generateOnce(ctx context.Context, s *stream) (outcome, *fleet.Target, error) {
 	choice, err := x.choosePrefill(ctx)
 	if err != nil {
@@ -170,9 +170,10 @@
 	}
 }
 
-// excludedForPrefill returns the targets that must not be chosen to prefill the prompt. A prompt
-// that was prefilled separately before is prefilled again in place only, at the target that then
-// decodes it: the request then arrives at one more target, not at two.
+// excludedForPrefill returns the targets that must not be chosen to prefill the prompt. If another
+// target has already prefilled the prompt separately, the next prefill must be in place, that is,
+// at the target that decodes the prompt. The request thus arrives at one more target instead of
+// two.
 func (x *exchange) excludedForPrefill() place.Tried {
 	if x.attempts.prefills == 0 {
 		return x.excludeForTrial(x.tried)
@@ -186,7 +187,8 @@
 	return x.excludeForTrial(tried)
 }
 
-// chooseDecode chooses the target that decodes a prompt which another target has prefilled.
+// chooseDecode chooses the target that decodes a prompt which another target has prefilled. It
+// returns false if no target can be chosen.
 func (x *exchange) chooseDecode(prefillChoice place.Choice) (place.Choice, bool) {
 	spec := x.engineSpec()
 	if spec == nil {
--- a/internal/gateway/match.go
+++ b/internal/gateway/match.go
@@ -13,8 +13,8 @@
 }
 
 // confirmedByNewest returns the result of decide. If decide denies the request under the current
-// view, it is called again under the newest configuration; if that cannot be confirmed, the request
-// is refused as not ready.
+// view, decide is called again under the newest configuration. If this VM cannot confirm that it
+// has the newest configuration, the request is refused as not ready.
 func (x *exchange) confirmedByNewest(decide func() error) error {
 	err := decide()
 	if err == nil || !configDenials[errkind.From(err).Kind] {
@@ -44,8 +44,8 @@
 // don't retry.
 var configDenials = map[errkind.Kind]bool{errkind.UnknownPath: true, errkind.HeaderTooLarge: true, errkind.BodyTooLarge: true, errkind.UnknownKey: true}
 
-// confirmDenial returns err, unless it is a denial and this VM may not have the newest
-// configuration, which might allow the request. It then returns a NotReady error.
+// confirmDenial returns a NotReady error if err is a denial and this VM may lack the newest
+// configuration, which might allow the request. Otherwise it returns err.
 func (x *exchange) confirmDenial(err error) error {
 	if !configDenials[errkind.From(err).Kind] || x.g.freshness.Confirmed(x.r.Context()) {
 		return err
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -21,8 +21,8 @@
 	// maxBufferedBody is the largest response body that is buffered until it is complete, so that
 	// the request can be retried if the response is cut off.
 	maxBufferedBody = 256 << 10
-	// maxUnreachable limits the targets of one request that could not be reached, not counting
-	// those whose host refused the connection.
+	// maxUnreachable limits how many unreachable targets are tried for one request. Targets whose
+	// host refused the connection are not counted.
 	maxUnreachable = 4
 )
 
@@ -49,8 +49,8 @@
 	err    error
 }
 
-// plainCalls holds the attempts of one plain request: one after the other, or two at once if the
-// first response is overdue. It is used by one goroutine only.
+// plainCalls makes the attempts of one plain request. They are made one after the other, or two at
+// once if the first response is overdue. A plainCalls is used by one goroutine only.
 type plainCalls struct {
 	x            *exchange
 	ctx          context.Context
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -51,9 +51,10 @@
 	trialRetryAfter = time.Second
 )
 
-// checkQuarantine refuses a request that is quarantined. A suspect is sent one attempt at a time
-// from this VM, and after three crashes one VM of the group tries it before the others may. It is
-// called before each attempt, because other VMs may have reported crashes meanwhile.
+// checkQuarantine refuses a request that is quarantined. For a suspect, this VM makes one attempt
+// at a time. After three crashes, one VM of the group tries the request before the other VMs may.
+// checkQuarantine is called before each attempt, because other VMs may have reported crashes
+// meanwhile.
 func (x *exchange) checkQuarantine() error {
 	now := clock.Now()
 	v := x.g.quarantine.Verdict(&x.quarantineReq, now)
@@ -111,7 +112,8 @@
 
 // checkTargetExit checks in the background whether a target that closed the connection has exited,
 // and if so records the crash for the quarantine. sentAt is when the request was sent to the
-// target. ranFor is how long the target had run the request, or 0 if it had not begun to.
+// target. ranFor is how long the target had run the request, or 0 if the target had not begun to
+// run it.
 func (x *exchange) checkTargetExit(t *fleet.Target, err error, sentAt time.Time, ranFor time.Duration) {
 	if x.endedLocally() || !closedByTarget(err) {
 		return
@@ -132,9 +134,9 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// hasExited reports whether a target's process has exited, which it takes from nothing listening at
-// the target's address. A target that only closed connections, or that cannot be reached, has not
-// exited. Concurrent checks of one target are merged.
+// hasExited reports whether a target's process has exited. The process counts as exited if nothing
+// listens at the target's address. A target that only closed connections, or that cannot be
+// reached, has not exited. Concurrent checks of one target are merged.
 func (g *Gateway) hasExited(t *fleet.Target) bool {
 	v, _, _ := g.exitChecks.Do(t.RunID(), func() (any, error) {
 		ctx, cancel := context.WithTimeout(g.abortCtx, exitCheckTimeout)
@@ -154,7 +156,8 @@
 	return errors.Is(g.client.Probe(ctx, t.Address), httpsend.ErrNotListening)
 }
 
-// notListeningAfterDelay is notListening after exitCheckDelay; false if ctx ends first.
+// notListeningAfterDelay waits for exitCheckDelay and then returns the result of notListening. It
+// returns false if ctx ends first.
 func (g *Gateway) notListeningAfterDelay(ctx context.Context, t *fleet.Target) bool {
 	select {
 	case <-time.After(exitCheckDelay):
@@ -164,9 +167,10 @@
 	}
 }
 
-// excludeForTrial returns the targets that must not be chosen: tried or, for a suspect, all targets
-// but one. The fingerprint of the suspect determines that one, so that different suspects are
-// usually sent to different targets; see place.Placer.AllButOne.
+// excludeForTrial returns the targets that must not be chosen. These are the targets in tried or,
+// if the request is a suspect, all targets but one. The fingerprint of the suspect determines the
+// remaining target, so that different suspects are usually sent to different targets; see
+// place.Placer.AllButOne.
 func (x *exchange) excludeForTrial(tried place.Tried) place.Tried {
 	if x.trial == nil {
 		return tried
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -37,14 +37,14 @@
 // in steps of minUnacked, so that most requests on a kept-alive connection need no system call to
 // change it.
 const (
-	minUnacked     = 250 * time.Millisecond
-	maxUnacked     = time.Second
-	unackedDivisor = 8
+	minUnacked     = 250 * time.Millisecond // lower limit of unackedTimeout
+	maxUnacked     = time.Second            // upper limit of unackedTimeout
+	unackedDivisor = 8                      // between the limits, the timeout is the time left divided by unackedDivisor
 )
 
 // unackedTimeout returns the limit for unacknowledged data of a request with the given time left.
-// It is short compared to that time, so that enough is left to try another target or to send an
-// error.
+// The limit is short compared to the time left, so that enough time remains to try another target
+// or to send an error.
 func unackedTimeout(left time.Duration) time.Duration {
 	return min(max((left/unackedDivisor).Truncate(minUnacked), minUnacked), maxUnacked)
 }
--- a/internal/gateway/sends.go
+++ b/internal/gateway/sends.go
@@ -10,8 +10,8 @@
 // the request takes, so that no target is reached without being counted against the route's
 // attempts and the retry budget. It is used by one goroutine only.
 type attemptTracker struct {
-	// budget returns the current retry budget of the service; clock is the time that the budget
-	// uses.
+	// budget returns the current retry budget of the service; clock returns the time that the
+	// budget uses.
 	budget func() *retry.Window
 	clock  func() time.Duration
 	// maxAttempts is the route's limit on arrivals.
--- a/internal/httpsend/client.go
+++ b/internal/httpsend/client.go
@@ -21,12 +21,12 @@
 
 // The phases of a failed send.
 const (
-	// NotSent: no byte of the request was written to a connection.
+	// NotSent means that no byte of the request was written to a connection.
 	NotSent Phase = iota + 1
-	// Unanswered: the request was sent, at least in part, and no response head was read. The
-	// request may have run.
+	// Unanswered means that the request was sent, at least in part, and no response head was read.
+	// The request may have run.
 	Unanswered
-	// Cut: the response broke off after its head. The request may have run.
+	// Cut means that the response broke off after its head. The request may have run.
 	Cut
 )
 
@@ -60,7 +60,8 @@
 func newError(p Phase, cause error) *Error { return &Error{Phase: p, Cause: cause} }
 
 // ErrOverdue is the cancellation cause for a send whose response is overdue. If the send reused an
-// idle connection, that connection counts as dead, and so do those that were idle when it began.
+// idle connection, that connection is considered dead, and so are all connections to the
+// destination that were idle when the send began.
 var ErrOverdue = errors.New("httpsend: the response is overdue")
 
 // ErrConnLimit reports that the destination's MaxConns connections are all in use.
@@ -194,9 +195,9 @@
 	return silence.SetUnackedTimeout(cn.nc, unacked)
 }
 
-// connDead reports whether a send that got no response indicates a dead connection: it timed
-// out at the socket or at the deadline of ctx, or was cancelled with ErrOverdue. Any other
-// cancellation is no evidence about the connection.
+// connDead reports whether a send that failed with err without a response indicates a dead
+// connection. That is so if the send timed out at the socket or at the deadline of ctx, or was
+// cancelled with ErrOverdue. Any other cancellation says nothing about the connection.
 func connDead(ctx context.Context, err error) bool {
 	cause := context.Cause(ctx)
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.Is(cause, context.DeadlineExceeded) || errors.Is(cause, ErrOverdue)
@@ -223,9 +224,9 @@
 	}
 }
 
-// popIdle removes the most recently used connection from the pool and returns it. It returns
-// nil if there is none, or if it has been idle for longer than d.MaxIdleTime; the connection then
-// stays in the pool for requests without that limit.
+// popIdle removes the most recently used connection from the pool and returns it. It returns nil if
+// the pool has no idle connection. It also returns nil if the connection has been idle for longer
+// than d.MaxIdleTime; that connection stays in the pool for requests without that limit.
 func (c *Client) popIdle(d Destination) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/httpsend/httpsend_test.go
+++ b/internal/httpsend/httpsend_test.go
@@ -190,6 +190,8 @@
 	is.Equal(phaseOf(err), httpsend.NotSent)
 }
 
+// TestConnectionIsReusedAfterCompleteResponse checks that the next request uses the connection on
+// which a complete response arrived.
 func TestConnectionIsReusedAfterCompleteResponse(t *testing.T) {
 	is := is.New(t)
 	ft := newFakeTarget(t, emit(ok, true), emit(ok, true))
@@ -349,6 +351,8 @@
 	is.Equal(phaseOf(err), httpsend.NotSent) // the connection was not kept
 }
 
+// TestPruneClosesConnectionsOfRemovedDestinations checks that Prune closes the idle connections of
+// a destination that its callback does not keep.
 func TestPruneClosesConnectionsOfRemovedDestinations(t *testing.T) {
 	is := is.New(t)
 	ft := newFakeTarget(t, emit(ok, true), emit(ok, true))
--- a/internal/httpsend/send.go
+++ b/internal/httpsend/send.go
@@ -24,8 +24,8 @@
 	// the response is read. A larger request is written while the response is read, as the target
 	// may respond before it has read all of the request.
 	maxInlineWrite = 8 << 10
-	// maxSkipped limits the response heads that are read for one request, of which all but the
-	// last belong to earlier requests or are informational (1xx).
+	// maxSkipped limits how many response heads are read for one request. All but the last of them
+	// belong to earlier requests or are informational (1xx).
 	maxSkipped = 4
 )
 
--- a/internal/kernel/background.go
+++ b/internal/kernel/background.go
@@ -9,7 +9,7 @@
 )
 
 // Background runs a module's goroutines until the module stops. It is meant to be embedded in the
-// module, which its Stop method makes a Stopper. The zero value is ready to use.
+// module. Its Stop method makes the module a Stopper. The zero value is ready to use.
 type Background struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -18,13 +18,16 @@
 	err    error
 }
 
+// Validate implements Validator.
 func (m *fakeModule) Validate() error { return m.err }
 
+// Start implements Starter.
 func (m *fakeModule) Start(context.Context) error {
 	*m.events = append(*m.events, "start "+m.name)
 	return nil
 }
 
+// Stop implements Stopper.
 func (m *fakeModule) Stop(context.Context) error {
 	*m.events = append(*m.events, "stop "+m.name)
 	return nil
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -16,8 +16,8 @@
 	"garnethoist.org/garnethoist/internal/usage"
 )
 
-// dutyModules is an empty module, which exists only for its dependencies: the modules of the
-// configured duties.
+// dutyModules is an empty module. It exists only because it depends on the modules of the
+// configured duties, so that they are started.
 type dutyModules struct{}
 
 // provideDuties provisions the modules of the duties in the settings.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,32 +27,32 @@
 // Names under which the modules are registered with the kernel. Most consist of the package of the
 // module and a short name for it.
 const (
-	ModuleLogWriter     = "telemetry.writer"
-	ModuleLog           = "telemetry.log"
-	ModuleMetrics       = "telemetry.metrics"
-	ModuleAdmin         = "telemetry.admin"
-	ModuleStore         = "store.client"
-	ModuleStoreLink     = "watch.link"
-	ModuleFleetKeeper   = "fleet.keeper"
-	ModuleFleet         = "watch.fleet"
-	ModuleConfigTable   = "watch.config"
-	ModuleTargetsTable  = "watch.targets"
-	ModuleFreshness     = "watch.knowledge" // a watch.Freshness; the name of the module differs from that of its type
-	ModulePeers         = "peers"
-	ModulePlacer        = "place.placer"
-	ModuleStats         = "gateway.stats"
-	ModuleReadyServer   = "gateway.ready"
-	ModuleHTTPClient    = "httpsend.client"
-	ModuleStages        = "stages"
-	ModuleQuarantine    = "quarantine"
-	ModuleDuties        = "node.duties"
-	ModuleDutyHolder    = "duty"
-	ModuleUsageCounter  = "usage.counter"
-	ModuleUsageReporter = "usage.reporter"
-	ModuleScaling       = "scaling"
-	ModuleCloud         = "platform.cloud"
-	ModuleGateway       = "gateway"
-	ModuleReload        = "node.reload"
+	ModuleLogWriter     = "telemetry.writer"  // the rate-limited output of the log
+	ModuleLog           = "telemetry.log"     // the logger
+	ModuleMetrics       = "telemetry.metrics" // the meter and the metrics endpoint
+	ModuleAdmin         = "telemetry.admin"   // the server for health and metrics
+	ModuleStore         = "store.client"      // the client of the platform's store
+	ModuleStoreLink     = "watch.link"        // a watch.Link
+	ModuleFleetKeeper   = "fleet.keeper"      // a fleet.Keeper, which holds the current view
+	ModuleFleet         = "watch.fleet"       // a watch.Fleet, which applies changes of both tables
+	ModuleConfigTable   = "watch.config"      // follows the configuration table
+	ModuleTargetsTable  = "watch.targets"     // follows the targets table
+	ModuleFreshness     = "watch.knowledge"   // a watch.Freshness; the name of the module differs from that of its type
+	ModulePeers         = "peers"             // exchanges reports with other VMs
+	ModulePlacer        = "place.placer"      // chooses targets
+	ModuleStats         = "gateway.stats"     // the gateway's metrics
+	ModuleReadyServer   = "gateway.ready"     // answers the load balancer's readiness checks
+	ModuleHTTPClient    = "httpsend.client"   // sends requests to targets
+	ModuleStages        = "stages"            // controls the stages of engines, prefill or decode
+	ModuleQuarantine    = "quarantine"        // keeps requests that crash targets from all targets
+	ModuleDuties        = "node.duties"       // depends on the modules of the configured duties
+	ModuleDutyHolder    = "duty"              // a duty.Holder, which decides whether this VM performs the duties
+	ModuleUsageCounter  = "usage.counter"     // counts the requests of client accounts
+	ModuleUsageReporter = "usage.reporter"    // reports usage to the platform
+	ModuleScaling       = "scaling"           // orders engines from the platform
+	ModuleCloud         = "platform.cloud"    // the client of the platform's calls for duties
+	ModuleGateway       = "gateway"           // serves callers
+	ModuleReload        = "node.reload"       // applies changes of the settings file
 )
 
 // Roots lists the modules that the program starts; the others are started because these depend on
--- a/internal/node/storelog.go
+++ b/internal/node/storelog.go
@@ -26,10 +26,10 @@
 
 // Values of the log key "op". Both ListRows and List are logged as opList.
 const (
-	opList    = "list"
-	opChanges = "changes"
-	opGet     = "get"
-	opCommit  = "commit"
+	opList    = "list"    // a call of ListRows or List
+	opChanges = "changes" // a call of Changes
+	opGet     = "get"     // a call of Get
+	opCommit  = "commit"  // a call of Commit
 )
 
 // logCall logs a call to the store. what is the key, prefix or table of the call, and rows the
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -59,8 +59,8 @@
 // Addr is an IP address with a port, such as "10.1.0.4:7100".
 type Addr string
 
-// validator is a settings struct. validate is called after the fields have been decoded, and
-// reports invalid and missing values to dec.
+// validator is a settings struct. validate is called after the fields have been decoded. It adds a
+// problem to dec for each invalid or missing value.
 type validator interface {
 	validate(dec *decoder)
 }
@@ -104,8 +104,8 @@
 	problems Problems
 }
 
-// addProblem records a problem of field, a path as in Problem.Field. A field that is not in the
-// file is reported at the line of its nearest parent that is.
+// addProblem records a problem of field, a path as in Problem.Field. If the field is not in the
+// file, the line of the problem is that of the nearest parent of the field that is in the file.
 func (dec *decoder) addProblem(field, format string, args ...any) {
 	p := Problem{Field: field, Line: dec.lineOf(field), Message: fmt.Sprintf(format, args...)}
 	dec.problems = append(dec.problems, p)
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -129,7 +129,7 @@
 // IsOff reports whether a mechanism is switched off.
 func (s *Node) IsOff(mechanism string) bool { return slices.Contains(s.Off, mechanism) }
 
-// validate reports missing values and values outside their range.
+// validate adds a problem to dec for each missing value and each value outside its range.
 func (s *Node) validate(dec *decoder) {
 	dec.requireString("vm", s.VM)
 	dec.requireString("data_centre", s.DataCentre)
--- a/internal/settings/programs.go
+++ b/internal/settings/programs.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// validate reports missing values and values outside their range.
+// validate adds a problem to dec for each missing value and each value outside its range.
 func (s *Entry) validate(dec *decoder) {
 	dec.requireString("vm", s.VM)
 	dec.requireString("data_centre", s.DataCentre)
@@ -151,7 +151,7 @@
 	}
 }
 
-// validate reports missing values and values outside their range.
+// validate adds a problem to dec for each missing value and each value outside its range.
 func (s *Steward) validate(dec *decoder) {
 	dec.requireString("vm", s.VM)
 	dec.requireString("data_centre", s.DataCentre)
@@ -168,7 +168,7 @@
 	s.Engine.validate(dec)
 }
 
-// validate reports values outside their range; NaN counts as outside.
+// validate adds a problem to dec for each value outside its range. NaN is outside every range.
 func (e EngineSpeed) validate(dec *decoder) {
 	if !(e.PrefillTokensPerS > 0) {
 		dec.addProblem("engine.prefill_tokens_per_s", "must be above zero")
@@ -224,7 +224,7 @@
 	}
 }
 
-// validate reports an unknown kind and a missing address.
+// validate adds a problem to dec for an unknown kind and for a missing address.
 func (s *Standin) validate(dec *decoder) {
 	switch s.Kind {
 	case "platform", "engine", "plain":
@@ -234,8 +234,8 @@
 	dec.requireAddr("listen", s.Listen)
 }
 
-// requireString reports field as missing if v is empty, unless a problem of the field is
-// already known.
+// requireString records the problem that field is missing if its value v is empty, unless a problem
+// of the field is already recorded.
 func (dec *decoder) requireString(field, v string) {
 	if v == "" && !dec.hasProblem(field) {
 		dec.addProblem(field, "missing")
@@ -249,15 +249,15 @@
 	}
 }
 
-// requirePositive reports v if it is not above zero, unless a problem of the field is already
-// known.
+// requirePositive records a problem of field if its value v is not above zero, unless a problem of
+// the field is already recorded.
 func (dec *decoder) requirePositive(field string, v int64) {
 	if v <= 0 && !dec.hasProblem(field) {
 		dec.addProblem(field, "must be above zero")
 	}
 }
 
-// hasProblem reports whether a problem of field is already known.
+// hasProblem reports whether a problem of field is already recorded.
 func (dec *decoder) hasProblem(field string) bool {
 	for _, p := range dec.problems {
 		if p.Field == field {
@@ -267,7 +267,8 @@
 	return false
 }
 
-// checkDuplicateAddrs reports addresses that are listed more than once.
+// checkDuplicateAddrs records a problem for each address that occurs in addrs, the list at field,
+// more than once.
 func (dec *decoder) checkDuplicateAddrs(field string, addrs []Addr) {
 	seen := map[Addr]bool{}
 	for i, a := range addrs {
@@ -278,7 +279,8 @@
 	}
 }
 
-// checkPeers reports incomplete peers, and names and addresses that occur more than once.
+// checkPeers records a problem for each incomplete peer and for each name or address that occurs
+// more than once.
 func (dec *decoder) checkPeers(peers []Peer) {
 	vms := map[string]bool{}
 	addrs := map[Addr]bool{}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -128,7 +128,7 @@
 
 // TestDefaultsCanBeWrittenAndRead checks that settings that a program has written, including the
 // defaults, can be read again. It guards against refusing an empty cloud address, which means that
-// the platform has no such calls: no VM of such a deployment would start.
+// the platform has no calls for duties. Otherwise no VM of such a deployment would start.
 func TestDefaultsCanBeWrittenAndRead(t *testing.T) {
 	is := is.New(t)
 	n := DefaultNode()
--- a/internal/telemetry/admin.go
+++ b/internal/telemetry/admin.go
@@ -31,8 +31,9 @@
 }
 
 // SetReady sets the function that returns why the program is not ready, or "" if it is. It must be
-// called before Start. The module that decides readiness depends on the admin server and not the
-// other way round, so that the server stops after it and reports a draining program as not ready.
+// called before Start. The module that decides readiness depends on the admin server, and not the
+// other way round. The server therefore stops after that module and can report a draining program
+// as not ready.
 func (a *Admin) SetReady(ready func() string) { a.ready = ready }
 
 // Start begins to listen and serve.
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -20,6 +20,7 @@
 	block chan struct{}
 }
 
+// Write appends to the text, once block is closed or if block is nil.
 func (o *output) Write(p []byte) (int, error) {
 	if o.block != nil {
 		<-o.block
@@ -29,6 +30,7 @@
 	return o.text.Write(p)
 }
 
+// String returns the text written so far.
 func (o *output) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
