--- a/internal/gateway/account.go
+++ b/internal/gateway/account.go
@@ -20,8 +20,9 @@
 func (x *exchange) identifyAccount() error { return x.confirmedByNewest(x.identifyAccountInView) }
 
 // identifyAccountInView is identifyAccount without the second lookup: only the configuration in
-// x.view is used. Keys are accepted only while this VM is known to have every revocation that must
-// be in force by now: a VM that was partitioned, frozen or suspended may have missed one.
+// x.view is used. Keys are accepted only while this VM is known to have every key revocation that
+// must be in effect by now. A VM that was partitioned, frozen or suspended may have missed a
+// revocation.
 func (x *exchange) identifyAccountInView() error {
 	cfg := x.view.Config
 	if !cfg.RequiresKeys() {
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -30,7 +30,7 @@
 const testSpan = 10 * time.Second
 
 // newTestBudgets returns budgets with a burst allowance of 54 retries per testSpan and a clock that
-// reads now.
+// returns the time in now.
 func newTestBudgets(group Group, firstStart bool, now *time.Duration) *retryBudgets {
 	var limits atomic.Pointer[Limits]
 	limits.Store(&Limits{RetryBurst: 54, RetryWindow: testSpan})
--- a/internal/gateway/callerconn.go
+++ b/internal/gateway/callerconn.go
@@ -33,8 +33,8 @@
 	return &callerListener{Listener: l, limits: limits, conns: conns, closed: make(chan struct{})}
 }
 
-// Accept implements net.Listener. It waits while the process has too many connections, and retries
-// when no file descriptor is available.
+// Accept implements net.Listener. Accept waits while the process has too many connections, and
+// retries after a pause when no file descriptor is available.
 func (l *callerListener) Accept() (net.Conn, error) {
 	for {
 		if l.conns.makeRoom() {
--- a/internal/gateway/conns_test.go
+++ b/internal/gateway/conns_test.go
@@ -44,8 +44,9 @@
 	return cc, caller
 }
 
-// The VM is not ready from 7/8 of its connections until they are below 3/4, and for shortagePeriod
-// after an accept that failed for lack of a descriptor.
+// The VM reports not ready once it has 7/8 of its maximum number of connections, until it has less
+// than 3/4 of them. It also reports not ready for shortagePeriod after an accept that failed for
+// lack of a descriptor.
 func TestReadinessFollowsConnectionCount(t *testing.T) {
 	is := is.New(t)
 	conns, targets := newTestConns(100)
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -70,8 +70,8 @@
 	return &stopCheck{needed: needed, remaining: max(left, 0)}
 }
 
-// check returns an error if the response might not be complete before the gateway ends. The request
-// has not run then, and another VM can take it.
+// check returns an error if the response might not be complete before the gateway ends. A request
+// that is refused with this error has not run, so another VM can take it.
 func (c *stopCheck) check() error {
 	if c == nil || (c.needed <= c.remaining && c.remaining > 0) {
 		return nil
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -58,7 +58,7 @@
 	// targetClosed is set once a target closed the connection before the response was complete.
 	targetClosed bool
 	// unanswered is set once an attempt got no response or its response was overdue. The next
-	// attempt uses a new connection, as a kept-alive one might be dead too.
+	// attempt uses a new connection, because a kept-alive connection might be dead.
 	unanswered bool
 	// mayHaveRun is set once a target may have run the request.
 	mayHaveRun bool
@@ -77,7 +77,7 @@
 	// longestGap is the longest time between two writes of events to the caller.
 	longestGap time.Duration
 	// admission is set once the request was sent to an engine, or refused because it could not be
-	// on time. sizeClass caches the result of size.
+	// on time. sizeClass caches the result of the method size.
 	admission *admission
 	sizeClass *fair.Size
 	// seat is the estimate with which the request was placed in the batch of its decode engine.
@@ -190,7 +190,7 @@
 func (x *exchange) reloadView() { x.view = x.g.keeper.View() }
 
 // callerWaiting reports whether the request should still be sent to a target: the caller is
-// connected, the deadline has not passed and the gateway has not aborted its requests.
+// connected, the deadline has not passed and the gateway has not aborted the requests in flight.
 func (x *exchange) callerWaiting(ctx context.Context) bool {
 	return ctx.Err() == nil && !callerGone(x.r.Context())
 }
--- a/internal/gateway/generate.go
+++ b/internal/gateway/generate.go
@@ -98,7 +98,7 @@
 
 // decodePrefilled makes the handoff: it sends a prompt that was prefilled separately to decode
 // targets until one can be reached. The handle stays valid until a target uses it, so the prompt
-// need not be prefilled again for the next one.
+// need not be prefilled again for the next decode target.
 func (x *exchange) decodePrefilled(ctx context.Context, s *stream, prefillChoice place.Choice, p *prefilledPrompt) (outcome, *fleet.Target, error) {
 	for {
 		x.reloadView()
@@ -203,8 +203,9 @@
 	return step + "~" + strconv.FormatInt(c.Expected.Milliseconds(), 10) + "c" + strconv.Itoa(c.Cached)
 }
 
-// prefill has a target prefill the prompt and returns the handle of its KV cache. A prefill does
-// not run the request, whatever its outcome: outcomeUnknown is returned as outcomeRefused.
+// prefill has a target prefill the prompt and returns the handle of its KV cache. A prefill never
+// runs the request, whatever the outcome of the prefill. So prefill returns outcomeRefused in place
+// of outcomeUnknown.
 func (x *exchange) prefill(ctx context.Context, c place.Choice) (*Handle, outcome, error) {
 	resp, out, err := x.send(ctx, c.Target, Directive{Engine: true, PrefillOnly: true, Priority: x.account.Load().RequestPriority(x.route)}, c.Ticket)
 	if err != nil {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -46,8 +46,8 @@
 	exitCheckDelay = 100 * time.Millisecond
 	// exitCheckTimeout limits both checks together.
 	exitCheckTimeout = time.Second
-	// trialRetryAfter is the retry delay for the caller of a suspect while another attempt of the
-	// same request is in flight, or is to be made by another VM.
+	// trialRetryAfter is the shortest retry delay for a caller whose request is a suspect, while
+	// another attempt at the same request is in flight or is to be made by another VM.
 	trialRetryAfter = time.Second
 )
 
@@ -86,7 +86,7 @@
 }
 
 // beginAttempt counts an attempt that is about to be made, or returns why it must not be made. The
-// key is looked up again for each attempt, because it may have been revoked since.
+// key is looked up again for each attempt, because it may have been revoked after the last lookup.
 func (x *exchange) beginAttempt(prefillOnly bool) (attempt, error) {
 	if err := x.identifyAccount(); err != nil {
 		return attempt{}, err
--- a/internal/gateway/sends.go
+++ b/internal/gateway/sends.go
@@ -37,8 +37,8 @@
 }
 
 // begin counts an attempt that is about to be made. It returns false if the attempts or the budget
-// are used up. A prompt is prefilled separately once at most: a further prefill would be one more
-// arrival in addition to that at the decode target.
+// are used up. A prompt is prefilled separately once at most, because a second separate prefill
+// would add one arrival to that at the decode target.
 func (t *attemptTracker) begin(prefillOnly bool) (attempt, bool) {
 	if t.arrivals >= t.maxAttempts || (prefillOnly && t.prefills > 0) {
 		return attempt{}, false
@@ -74,7 +74,8 @@
 }
 
 // finish records how an attempt ended. An attempt that reached no target, and the first prefill
-// that is accepted, don't count as arrivals. A retry that was taken for them is reserved again.
+// that is accepted, don't count as arrivals. A retry that was taken from the budget for such an
+// attempt is reserved again.
 func (t *attemptTracker) finish(a attempt, out outcome) {
 	if a.prefillOnly && out != outcomeNotSent && out != outcomeRefused {
 		t.prefills++
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -69,7 +69,8 @@
 }
 
 // forward writes the complete events in s.partial to the caller and keeps the rest. It flushes them
-// unless eof says that the response has ended, as the server flushes it then.
+// unless eof says that the response has ended, because the server then flushes the rest of the
+// response itself.
 func (s *stream) forward(resp *httpsend.Response, eof bool) error {
 	complete := completeEventsLen(s.partial)
 	if complete == 0 {
--- a/internal/httpsend/send.go
+++ b/internal/httpsend/send.go
@@ -85,7 +85,7 @@
 	client *Client
 	conn   *conn
 	resp   *http.Response
-	// stopWatch cancels the closing of the connection at the end of ctx. It returns false if the
+	// stopWatch stops the watch that closes the connection when ctx ends. It returns false if the
 	// connection is already being closed.
 	stopWatch func() bool
 	// writeDone receives the result of writing the request.
@@ -161,7 +161,7 @@
 	}, nil
 }
 
-// write sends the request. One larger than maxInlineWrite is written by a goroutine while the
+// write sends the request. A request larger than maxInlineWrite is written by a goroutine while the
 // response is read. The channel receives the result of the write.
 func (cn *conn) write(r *Request) (<-chan error, error) {
 	data := encode(r)
--- a/internal/httpsend/silent_test.go
+++ b/internal/httpsend/silent_test.go
@@ -40,7 +40,7 @@
 	return ft, r, httpsend.Destination{ID: "i-a", Address: r.Addr(), MaxConns: 8}
 }
 
-// timedSend is send with requestTimeout and unackedTimeout. It also returns how long it took.
+// timedSend is send with requestTimeout and unackedTimeout. It also returns how long the send took.
 func timedSend(c *httpsend.Client, d httpsend.Destination) (string, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,9 +55,10 @@
 	ModuleReload        = "node.reload"       // applies changes of the settings file
 )
 
-// Roots lists the modules that the program starts; the others are started because these depend on
-// them. All modules stop in the reverse of the order in which they started, so that a stopping VM
-// hands over its duties before it drains its requests.
+// Roots lists the modules that the program asks the kernel to start. All other modules are started
+// because a module in Roots depends on them, directly or not. All modules stop in the reverse of
+// the order in which they started, so that a stopping VM hands over its duties before it drains its
+// requests.
 var Roots = []string{ModuleAdmin, ModuleReadyServer, ModulePlacer, ModulePeers, ModuleStages, ModuleReload, ModuleGateway, ModuleDuties}
 
 // Store is a client of the platform's store: transactions on keys, and the feeds of tables.
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -16,8 +16,8 @@
 	"garnethoist.org/garnethoist/internal/telemetry"
 )
 
-// settingsPollInterval is the time between reads of the settings file, as it may change without a
-// SIGHUP.
+// settingsPollInterval is the time between reads of the settings file. The file is read
+// periodically because it may change without a SIGHUP.
 const settingsPollInterval = time.Second
 
 // reloader applies changes of the settings file, on SIGHUP or when it finds the file changed.
@@ -65,8 +65,9 @@
 	}
 }
 
-// reload reads the file and applies it if its content has changed. requested is true if an
-// operator asked for it by SIGHUP; only then are read errors and unchanged files logged.
+// reload reads the file and applies it if its content has changed. requested is true if an operator
+// asked for the reload by SIGHUP. Read errors and unchanged files are logged only if requested is
+// true.
 func (r *reloader) reload(requested bool) {
 	data, err := os.ReadFile(r.path)
 	if err != nil {
--- a/internal/node/storelog.go
+++ b/internal/node/storelog.go
@@ -32,8 +32,8 @@
 	opCommit  = "commit"  // a call of Commit
 )
 
-// logCall logs a call to the store. what is the key, prefix or table of the call, and rows the
-// number of rows read or written.
+// logCall logs a call to the store. op is the kind of call, what is the key, prefix or table of the
+// call, and rows is the number of rows read or written.
 func (s loggedStore) logCall(op, what string, start time.Time, rows int, err error) {
 	fields := []telemetry.Field{
 		telemetry.F("op", op), telemetry.F("what", what), telemetry.F("rows", rows),
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -29,8 +29,8 @@
 	// UsageWindow is the length of the time windows for which the usage of client accounts is
 	// reported.
 	UsageWindow Duration `json:"usage_window"`
-	// FirstStart is true if all VMs start for the first time, so that there is no state of earlier
-	// processes to wait for.
+	// FirstStart is true if all VMs start for the first time. There are then no earlier processes
+	// whose state has to be waited for.
 	FirstStart bool `json:"first_start"`
 	// MemoryMB is the memory that the process may use, in MiB.
 	MemoryMB int64 `json:"memory_mb"`
@@ -41,8 +41,8 @@
 	LinkMbps float64 `json:"link_mbps"`
 	// Grace is the time from SIGTERM to SIGKILL when the process is stopped.
 	Grace Duration `json:"grace"`
-	// LeaseGap is the minimum time between the last order of one lease holder and the first order
-	// of the next.
+	// LeaseGap is the minimum time between the last order that one lease holder sends and the first
+	// order that the next holder sends.
 	LeaseGap Duration `json:"lease_gap"`
 	// ConfigBound is the longest time from the writing of a change of the configuration until the
 	// change is in effect on every VM.
--- a/internal/settings/programs.go
+++ b/internal/settings/programs.go
@@ -34,7 +34,8 @@
 	Listen Addr `json:"listen"`
 	// AdminListen is the address that serves /healthz, /readyz and /metrics.
 	AdminListen Addr `json:"admin_listen"`
-	// Stewards lists the addresses of the stewards of this data centre, this VM's own first.
+	// Stewards lists the addresses of the stewards of this data centre. The steward on this VM
+	// comes first.
 	Stewards []Addr `json:"stewards"`
 	// Platform is the address and timeout of the store in which entries claim the requests that
 	// must run at most once.
