--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -86,7 +86,8 @@
 }
 
 // sinceFirstTry estimates how long ago the caller of a request with the given remaining timeout
-// first sent it. A timeout of 0 means that the caller gave none; the result is then 0.
+// first sent it. A timeout of 0 means that the caller gave no timeout; in this case the result is
+// 0.
 func (w *waitEstimator) sinceFirstTry(route string, timeout time.Duration) time.Duration {
 	if timeout <= 0 {
 		return 0
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -40,8 +40,8 @@
 }
 
 // limitBodyTime ends the reading of the body at the deadline, or earlier if the gateway aborts its
-// requests. The caller is then told that nothing ran, instead of finding its connection closed. The
-// returned function removes the limit.
+// requests. The caller gets an error response which says that the request has not run, instead of a
+// closed connection. The returned function removes the limit.
 func (x *exchange) limitBodyTime() func() {
 	ctx, cancel := clock.WithDeadline(x.g.abortCtx, x.deadline)
 	rc := http.NewResponseController(x.w)
--- a/internal/gateway/budgets.go
+++ b/internal/gateway/budgets.go
@@ -65,8 +65,8 @@
 }
 
 // mayFill reports whether this VM may use its share of the burst allowance. A VM that does not know
-// the other VMs yet must not use the share, because the share would be too large: it would include
-// the shares of the other VMs. A restarted process must not use it during the first retry window,
+// the other VMs yet must not use the share, because the share that it computes would include the
+// shares of the other VMs. A restarted process must not use it during the first retry window,
 // because the previous process on this VM may have used up the share within that time. Until the
 // share may be used, only the retries that new requests earn are available.
 func (b *retryBudgets) mayFill() bool {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -49,7 +49,7 @@
 	sentAt time.Time
 	// quarantineReq identifies the request on all VMs. trial is set while this exchange tests
 	// whether a request that is suspected of crashing targets still does so; this VM makes no other
-	// attempt at the request meanwhile.
+	// attempt at the request during that time.
 	quarantineReq quarantine.Request
 	trial         *quarantine.ID
 	// unreachableCount is the number of targets that could not be reached, except those whose host
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -129,8 +129,9 @@
 	conns     *callerConns
 	bg        kernel.Background
 	drain     drainState
-	// abortCtx is canceled by abort at the end of the drain. Requests that are still in flight then
-	// stop waiting for their targets and get an error that says what is known.
+	// abortCtx is canceled by abort at the end of the drain. Each request that is still in flight
+	// at that time stops waiting for its target, and its caller gets an error that says whether the
+	// request may have run.
 	abortCtx context.Context
 	abort    context.CancelFunc
 	// inFlight counts the requests of callers that are being served.
--- a/internal/gateway/generate.go
+++ b/internal/gateway/generate.go
@@ -133,8 +133,9 @@
 	return x.view.Config.Services[x.service].Engine
 }
 
-// choosePrefill chooses the target that prefills the prompt. While the request is deferred, it
-// waits; it returns an error if the request is refused, or if the caller leaves meanwhile.
+// choosePrefill chooses the target that prefills the prompt. choosePrefill waits while the request
+// is deferred. It returns an error if the request is refused, or if the caller leaves while
+// choosePrefill waits.
 func (x *exchange) choosePrefill(ctx context.Context) (place.Choice, error) {
 	defer x.dequeue()
 	for {
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// servePlain serves a request whose response is a single body. An error response of a target is
-// kept while another target may give a better response. If a response is overdue, a second target
-// is tried and the first response to come is used.
+// servePlain serves a request whose response is a single body. An error response to an idempotent
+// request is kept, and is sent to the caller only if no other target gives a better response. If a
+// response is overdue, a second target is tried and the first response to come is used.
 func (x *exchange) servePlain(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	c := &plainCalls{x: x, ctx: ctx, done: make(chan plainCall)}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -28,8 +28,8 @@
 	// Verdict returns what is known of a request.
 	Verdict(r *quarantine.Request, now time.Time) quarantine.Verdict
 	// BeginTrial begins a trial of a suspect: one attempt that shows whether the request still
-	// crashes its target. This VM makes no other attempt at the request meanwhile. It returns false
-	// if this VM already has a trial of the request in progress.
+	// crashes its target. This VM makes no other attempt at the request until EndTrial. BeginTrial
+	// returns false if this VM already has a trial of the request in progress.
 	BeginTrial(id quarantine.ID) bool
 	// EndTrial ends the trial that BeginTrial began.
 	EndTrial(id quarantine.ID)
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -115,8 +115,8 @@
 }
 
 // lateReason returns why the answer is late: "first" if its first byte came after the route's
-// objective, "pause" if the time between two events was too long. It returns "" if the answer has
-// been on time so far or has not begun.
+// objective, "pause" if the time between two events was too long. It returns "" if the answer is
+// not late or has not begun.
 func (x *exchange) lateReason() string {
 	if x.route == nil || x.firstByteAt.IsZero() {
 		return ""
--- a/internal/httpsend/client.go
+++ b/internal/httpsend/client.go
@@ -203,9 +203,9 @@
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.Is(cause, context.DeadlineExceeded) || errors.Is(cause, ErrOverdue)
 }
 
-// closeIdleSince closes the connections to a destination that have been idle since before the
-// given time. It is called when one such connection turned out to be dead, as the others probably
-// are dead too.
+// closeIdleSince closes the connections to a destination that have been idle since before the given
+// time. It is called when one such connection turned out to be dead, because the other ones are
+// probably dead too.
 func (c *Client) closeIdleSince(id string, before time.Time) {
 	c.mu.Lock()
 	p := c.pools[id]
--- a/internal/httpsend/silent_test.go
+++ b/internal/httpsend/silent_test.go
@@ -153,8 +153,8 @@
 }
 
 // TestAcknowledgedButLostRequest covers a connection on which written bytes are acknowledged but
-// not delivered. Only the deadline of the context ends such a send, which then also closes the
-// connections that were idle.
+// not delivered. Nothing but the deadline of the context ends a send on such a connection. The send
+// must then close the connections that were idle, so that the next request succeeds.
 func TestAcknowledgedButLostRequest(t *testing.T) {
 	is := is.New(t)
 	_, r, d := newRelayedTarget(t, emit(ok, true), emit(ok, true))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -214,8 +214,8 @@
 	})
 }
 
-// providePlacer returns the placer. It also connects the peers, the placer and the stage
-// controller, each of which needs the others.
+// providePlacer returns the placer. It also connects the peers, the placer and the stage controller
+// with each other, because each of them needs the other two.
 func providePlacer(k *kernel.Kernel, cfg *settings.Node) (any, error) {
 	g := &kernel.Getter{Kernel: k}
 	group := kernel.Need[*peers.Peers](g, ModulePeers)
