--- a/internal/gateway/sends.go
+++ b/internal/gateway/sends.go
@@ -57,7 +57,7 @@
 }
 
 // reserve takes a retry from the budget for a further attempt, unless one is reserved already. It
-// returns false if the attempts or the budget are used up.
+// returns false if no attempts are left or the budget is used up.
 func (t *attemptTracker) reserve() bool {
 	if t.arrivals >= t.maxAttempts {
 		return false
--- a/internal/live/live_test.go
+++ b/internal/live/live_test.go
@@ -56,12 +56,12 @@
 	return s, d
 }
 
-// Guards against large requests being served less than half as often as their class on engines
-// slower than those the system was tuned with. In that fault, the longest answers ended at their
-// callers' deadline. With real processes and all of a site's engines at 0.6 of their speed, 0.26 of
-// the largest tenth were served, but 0.85 of all. TestLargeRequestsAreServedBySlowEngines in
+// Guards against large requests being served less than half as often as their class on slow
+// engines. In that fault, the longest answers ended at their callers' deadline. With real processes
+// and all of a site's engines at 0.6 of their speed, 0.26 of the largest tenth were served, but 0.85
+// of all. TestLargeRequestsAreServedBySlowEngines in
 // package model checks the same in virtual time and explains the fault. Here processes are also
-// stopped for a fraction of the time, as on busy hosts.
+// stopped for a fraction of the time, as on busy VMs.
 func TestLargeRequestsAreServedOnTheWallClock(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
--- a/internal/model/sizes_test.go
+++ b/internal/model/sizes_test.go
@@ -6,7 +6,7 @@
 )
 
 // Guards against large requests of a class being served less than half as often as the class on
-// engines slower than those the system was tuned with. Two faults led to this.
+// engines at 0.6 of their speed. Two faults led to this.
 //
 // Decoding: an answer of 214 events must produce one every 70 ms to end within its caller's 15 s.
 // With a single stream an engine at 0.6 of its speed needs 53 ms (69 ms if it is one of the slower
--- a/internal/peers/fan.go
+++ b/internal/peers/fan.go
@@ -13,9 +13,7 @@
 // In a large data centre the VMs send their reports only to the relay and to its standby, the VM
 // that becomes relay next. The relay sends every VM of its data centre a digest: one report with
 // the total work of all data centres. If every VM reported to every other one, 60 VMs would
-// exchange 47,000 datagrams a second, as computed from their report interval. Measured with 99
-// VMs, 21 per data centre, over 28 s: the processes used 35.9 s of CPU time with digests and 43.9 s
-// without.
+// exchange 47,000 datagrams a second, as computed from their report interval.
 
 const (
 	// digestMinVMs is the minimum number of VMs in a data centre for its relay to send digests,
--- a/internal/peers/news.go
+++ b/internal/peers/news.go
@@ -14,8 +14,6 @@
 	// forwardMinVMs is the minimum group size in which sentinels forward the changes that they
 	// read, so that the other VMs do not poll the store for them. In smaller groups, the calls
 	// saved are worth less than the up-to-date data that each VM gets by reading the store itself.
-	// On a quiet day 19 VMs made 803 calls when each watched the store itself, and 476 with
-	// forwarding.
 	forwardMinVMs = 12
 )
 
--- a/internal/place/spread.go
+++ b/internal/place/spread.go
@@ -96,8 +96,8 @@
 	return time.Duration(r.rate * float64(span))
 }
 
-// share returns the fraction of its time that a target spends on the work, if the work is placed at
-// this one target.
+// share returns the fraction of time for which a single target would be busy if all of the work were
+// placed at it.
 func (r *workRate) share(now time.Time) float64 {
 	r.decay(now)
 	return r.rate
--- a/internal/place/stale_test.go
+++ b/internal/place/stale_test.go
@@ -79,7 +79,7 @@
 	burstPromptsPerStep = 40
 	// simObjective is the time after its arrival within which a prompt should be prefilled.
 	simObjective = 250 * time.Millisecond
-	simPatience  = 2 * time.Second // how long the caller of a prompt waits
+	simPatience  = 2 * time.Second // how long a caller waits for its prompt to be prefilled
 	// checkInterval is the mean time between two checks of a deferred prompt.
 	checkInterval = 60 * time.Millisecond
 )
--- a/internal/place/weigh.go
+++ b/internal/place/weigh.go
@@ -18,8 +18,8 @@
 	// spareSlots is the number of slots of each decode target that are kept free for the short
 	// decode phases of prompts prefilled separately.
 	spareSlots = 4
-	// smallPromptShare is the largest fraction of the gap budget that the prefill of a small prompt
-	// takes. A small prompt may be prefilled in place no matter which streams run at the target.
+	// smallPromptShare defines a small prompt: its prefill takes at most this fraction of the gap
+	// budget (see gapBudget). A small prompt may be prefilled in place no matter which streams run at the target.
 	smallPromptShare = 1.0 / 8
 	// minHandoffShare is the shortest prefill time for which a handoff is worthwhile, as a fraction
 	// of the time of the handoff. As a prefill in place takes twice as long as a separate one, a
--- a/internal/profile/profile.go
+++ b/internal/profile/profile.go
@@ -37,7 +37,7 @@
 	priorEventTokens = 10
 	// priorRunTimeMS is how long a running request occupies its slot.
 	priorRunTimeMS = 1000
-	// priorPlainMS is the time of a request at an idle target of a plain service.
+	// priorPlainMS is how long a request takes at an idle target of a plain service.
 	priorPlainMS = 20
 )
 
--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -98,7 +98,8 @@
 	retryAt time.Time
 }
 
-// orderRow is the JSON value of a pool's row in the journal.
+// orderRow is the JSON value of a pool's row in the journal: the last order for the pool. Count is
+// the total number of engines ordered, and Fence the fencing number of the tenure that ordered them.
 type orderRow struct {
 	Count int    `json:"count"`
 	Fence uint64 `json:"fence"`
--- a/internal/stages/journal.go
+++ b/internal/stages/journal.go
@@ -57,7 +57,7 @@
 }
 
 // removeClosedOrders removes the journal rows of orders that are no longer open, at most
-// maxChangesPerTxn at a time.
+// maxChangesPerTxn per call. The next call removes more.
 func (c *Controller) removeClosedOrders(ctx context.Context, t lease.Tenure, v *fleet.View) {
 	var keys []string
 	c.mu.Lock()
